--- a/benchmarks/mix/routed.cpp
+++ b/benchmarks/mix/routed.cpp
@@ -206,7 +206,7 @@
                                                                                           now);
             for (int entry = 0; entry < static_cast<int>(entries_.size()); ++entry) {
                 if (world_.reachable(entry / perDomain, domain) && entry / perDomain != domain) {
-                    entries_[entry].router_.onDomainRoom(domainId(domain), spare,
+                    entries_[entry].router_.onDomainCapacity(domainId(domain), spare,
                                                          now + spanOf(RoomValidSeconds));
                 }
             }
--- a/libs/admission/include/almondridge/admission/admission.h
+++ b/libs/admission/include/almondridge/admission/admission.h
@@ -55,8 +55,8 @@
     Answer answer_ = Answer::Refuse;
     Ticket ticket_ = 0; ///< For Admit and Queue.
     RefusalReason reason_ = RefusalReason::None;
-    TimePoint comeBack_ {}; ///< For Refuse: when a new try is worth it.
-    std::string why_;       ///< Estimate and rule, as key=value pairs.
+    TimePoint retryAt_ {}; ///< For Refuse: when a new try is worth it.
+    std::string details_;       ///< Estimate and rule, as key=value pairs.
 };
 
 /** A queued request whose turn has come, or whose deadline can no longer be met. */
--- a/libs/app/src/instance.cpp
+++ b/libs/app/src/instance.cpp
@@ -352,7 +352,7 @@
     }
     const TimePoint validUntil = now + millis(settings_.heartbeatMillis_) * RoomHeartbeats;
     relay_->withRouter(
-        [&](routing::Router &router) { router.onDomainRoom(member.domain_, spare, validUntil); });
+        [&](routing::Router &router) { router.onDomainCapacity(member.domain_, spare, validUntil); });
 }
 
 nlohmann::json Instance::Parts::status()
--- a/libs/planner/include/almondridge/planner/planner.h
+++ b/libs/planner/include/almondridge/planner/planner.h
@@ -95,7 +95,7 @@
     Builder &fastWindow(Duration window);
     Builder &slowWindow(Duration window);
     /** How long a change takes an engine away. */
-    Builder &awayTime(Duration away);
+    Builder &roleChangeDuration(Duration away);
     Builder &tuning(const Tuning &tuning);
     Planner build();
 
--- a/libs/planner/src/planner.cpp
+++ b/libs/planner/src/planner.cpp
@@ -238,7 +238,7 @@
     return *this;
 }
 
-Planner::Builder &Planner::Builder::awayTime(Duration away)
+Planner::Builder &Planner::Builder::roleChangeDuration(Duration away)
 {
     away_ = away;
     return *this;
--- a/libs/planner/tests/plannertest.cpp
+++ b/libs/planner/tests/plannertest.cpp
@@ -35,7 +35,7 @@
 {
 public:
     explicit Domain(const std::vector<EngineRole> &roles, fleet::Policy policy = defaultPolicy())
-        : planner_(Planner::Builder().domain(Pasila).awayTime(Away).build())
+        : planner_(Planner::Builder().domain(Pasila).roleChangeDuration(Away).build())
     {
         fleet_.policy_ = policy;
         applyFleet();
--- a/libs/relay/include/almondridge/relay/machine.h
+++ b/libs/relay/include/almondridge/relay/machine.h
@@ -78,7 +78,7 @@
     Duration silence_ = millis(1'000);       ///< Between two tokens, before the stream is probed.
     Duration endpointWait_ = millis(15'000); ///< For an endpoint to continue a begun stream on.
     Duration endpointPause_ = millis(100);   ///< Between two searches for one.
-    Duration comeBack_ = millis(1'000);      ///< What a refusal says when nothing better is known.
+    Duration retryAt_ = millis(1'000);      ///< What a refusal says when nothing better is known.
     int maxAttempts_ = 6;
     int maxFruitlessProbes_ = 5; ///< Resumes in a row that brought no token.
 };
@@ -109,7 +109,7 @@
 { };
 struct AdmissionRefused
 {
-    TimePoint comeBack_ {};
+    TimePoint retryAt_ {};
 };
 struct EndpointChosen
 {
@@ -119,11 +119,11 @@
 };
 struct NoEndpoint
 {
-    TimePoint comeBack_ {};
+    TimePoint retryAt_ {};
 };
 struct NoRetryLeft
 {
-    TimePoint comeBack_ {};
+    TimePoint retryAt_ {};
 };
 
 enum class PrefillStatus {
@@ -150,7 +150,7 @@
     ConnectionNumber connection_ = 0;
     HeadKind kind_ = HeadKind::Failed;
     /** When the endpoint says to come back, for NotRun. */
-    std::optional<TimePoint> comeBack_ {};
+    std::optional<TimePoint> retryAt_ {};
 };
 
 /** What came of CheckEngine. */
@@ -274,7 +274,7 @@
 {
     Outcome outcome_ = Outcome::Unknown;
     RefusalCause cause_ = RefusalCause::NoEndpoint;
-    TimePoint comeBack_ {};
+    TimePoint retryAt_ {};
 };
 /** Final: there is nobody to answer. */
 struct Abandon
--- a/libs/relay/src/calldriver.cpp
+++ b/libs/relay/src/calldriver.cpp
@@ -80,7 +80,7 @@
     link_.reset();
     const TimePoint now = BootClock::now();
     if (action.budgeted_ && !parts_.admission_.takeRetry()) {
-        push(NoRetryLeft {now + MachineLimits().comeBack_});
+        push(NoRetryLeft {now + MachineLimits().retryAt_});
         return;
     }
     routing::RouteQuery wanted = query();
@@ -88,7 +88,7 @@
     wanted.random_ = randomNumber();
     const auto choice = parts_.router_.dispatch(action.attempt_, wanted);
     if (!choice) {
-        push(NoEndpoint {now + MachineLimits().comeBack_});
+        push(NoEndpoint {now + MachineLimits().retryAt_});
         return;
     }
     parts_.metrics_.count("attempts_total");
--- a/libs/relay/src/callreader.cpp
+++ b/libs/relay/src/callreader.cpp
@@ -127,7 +127,7 @@
         return false;
     }
     Refusal refusal = refusalFor(Refuse {Outcome::NotRun, RefusalCause::DeadlinePassed, {}});
-    refusal.comeBack_.reset();
+    refusal.retryAt_.reset();
     refuse(refusal);
     return true;
 }
--- a/libs/relay/src/gates.cpp
+++ b/libs/relay/src/gates.cpp
@@ -51,7 +51,7 @@
 bool RouterGate::beginSend(const EndpointId &endpoint)
 {
     const std::lock_guard lock(mutex_);
-    if (!router_.isOpen(endpoint)) {
+    if (!router_.isAvailable(endpoint)) {
         return false;
     }
     ++sending_[endpoint];
--- a/libs/relay/src/keyedcall.cpp
+++ b/libs/relay/src/keyedcall.cpp
@@ -20,7 +20,7 @@
         refusal.message_ = "a request with this key was begun before and has no known outcome";
         refusal.remedy_ = "ask again with the same key after Retry-After; it is never run again";
         refusal.outcome_ = Outcome::Unknown;
-        refusal.comeBack_ = now + ComeBackAfter;
+        refusal.retryAt_ = now + ComeBackAfter;
     } else if (verdict == KeyVerdict::SayNotRun) {
         refusal.code_ = "key_not_run";
         refusal.message_ = "the request with this key was not run and will not be";
@@ -32,7 +32,7 @@
                            "an earlier try came to is not known here";
         refusal.remedy_ = "send the request again after Retry-After, or number its attempts with "
                           "X-Attempt from the first one on";
-        refusal.comeBack_ = now + ComeBackAfter;
+        refusal.retryAt_ = now + ComeBackAfter;
     }
     return refusal;
 }
--- a/libs/relay/src/machine.cpp
+++ b/libs/relay/src/machine.cpp
@@ -81,7 +81,7 @@
         ++staleEvents_;
         return;
     }
-    refuse(RefusalCause::Admission, event.comeBack_, out);
+    refuse(RefusalCause::Admission, event.retryAt_, out);
 }
 
 void RequestMachine::choose(bool budgeted, Actions &out)
@@ -126,7 +126,7 @@
     // endpoint back within seconds. New requests are refused at once instead.
     const bool wait = spec_.recovery_ == Recovery::Stream && oldAttemptMayRun_;
     if (!wait || now >= endpointDeadline_) {
-        refuse(RefusalCause::NoEndpoint, std::max(event.comeBack_, notRunUntil_), out);
+        refuse(RefusalCause::NoEndpoint, std::max(event.retryAt_, notRunUntil_), out);
         return;
     }
     if (endpointDeadline_ == TimePoint::max()) {
@@ -144,7 +144,7 @@
         ++staleEvents_;
         return;
     }
-    refuse(RefusalCause::NoRetryLeft, std::max(event.comeBack_, notRunUntil_), out);
+    refuse(RefusalCause::NoRetryLeft, std::max(event.retryAt_, notRunUntil_), out);
 }
 
 // Attempts --------------------------------------------------------------------------------------
@@ -198,7 +198,7 @@
     if (isStale(event.connection_) || phase_ != Phase::AwaitingHead) {
         return;
     }
-    notRunUntil_ = std::max(notRunUntil_, event.comeBack_.value_or(TimePoint()));
+    notRunUntil_ = std::max(notRunUntil_, event.retryAt_.value_or(TimePoint()));
     using HeadRule = void (RequestMachine::*)(TimePoint, Actions &);
     static constexpr std::array<HeadRule, 5> HeadRules {
         &RequestMachine::onAccepted, &RequestMachine::onNotRun, &RequestMachine::onForgotten,
@@ -235,7 +235,7 @@
         return;
     }
     if (spec_.recovery_ == Recovery::ResumeOnly) {
-        refuse(RefusalCause::StreamForgotten, now + limits_.comeBack_, out);
+        refuse(RefusalCause::StreamForgotten, now + limits_.retryAt_, out);
         return;
     }
     moveToAnother(now, out);
@@ -244,7 +244,7 @@
 void RequestMachine::onFinal(TimePoint now, Actions &out)
 {
     if (begun()) {
-        refuse(RefusalCause::AnswerBroken, now + limits_.comeBack_, out);
+        refuse(RefusalCause::AnswerBroken, now + limits_.retryAt_, out);
         return;
     }
     out.emplace_back(PassOn {connection_});
--- a/libs/relay/src/machinerecovery.cpp
+++ b/libs/relay/src/machinerecovery.cpp
@@ -41,7 +41,7 @@
     // answer lost. So it is sent again only when not a byte of it left this process.
     if (attemptMayRun_) {
         refuse(passedOn_ ? RefusalCause::AnswerBroken : RefusalCause::ConnectionLost,
-               now + limits_.comeBack_, out);
+               now + limits_.retryAt_, out);
         return;
     }
     moveToAnother(now, out);
@@ -50,7 +50,7 @@
 void RequestMachine::lostRepeatable(TimePoint now, Actions &out)
 {
     if (passedOn_) {
-        refuse(RefusalCause::AnswerBroken, now + limits_.comeBack_, out);
+        refuse(RefusalCause::AnswerBroken, now + limits_.retryAt_, out);
         return;
     }
     moveToAnother(now, out);
@@ -105,7 +105,7 @@
 void RequestMachine::leaveEngine(TimePoint now, Actions &out)
 {
     if (spec_.recovery_ == Recovery::ResumeOnly) {
-        refuse(RefusalCause::ConnectionLost, now + limits_.comeBack_, out);
+        refuse(RefusalCause::ConnectionLost, now + limits_.retryAt_, out);
         return;
     }
     cancelAttempt(out);
@@ -124,7 +124,7 @@
         return;
     }
     if (attempts_ >= limits_.maxAttempts_) {
-        refuse(RefusalCause::AttemptsSpent, std::max(now + limits_.comeBack_, notRunUntil_), out);
+        refuse(RefusalCause::AttemptsSpent, std::max(now + limits_.retryAt_, notRunUntil_), out);
         return;
     }
     // The budget keeps retries from feeding an overload. A first move that cost no endpoint any
@@ -152,7 +152,7 @@
 {
     if (now >= deadline_) {
         cancelAttempt(out);
-        refuse(RefusalCause::DeadlinePassed, now + limits_.comeBack_, out);
+        refuse(RefusalCause::DeadlinePassed, now + limits_.retryAt_, out);
     } else if (now >= chooseAt_) {
         choose(false, out);
     } else if (now >= silenceDeadline_ && phase_ == Phase::Prefilling) {
--- a/libs/relay/src/modelcall.cpp
+++ b/libs/relay/src/modelcall.cpp
@@ -129,12 +129,12 @@
     }
     if (decision->answer_ != admission::Answer::Admit) {
         respondRefusal(refusalFor(*decision));
-        outcome(CallOutcome::NotRun, decision->why_);
+        outcome(CallOutcome::NotRun, decision->details_);
         return false;
     }
     ticket_ = decision->ticket_;
     record("request.accepted", "account=" + info_.account_.id_.value()
-                                   + " model=" + task_.routed_.value() + " " + decision->why_);
+                                   + " model=" + task_.routed_.value() + " " + decision->details_);
     return true;
 }
 
--- a/libs/relay/src/refusal.cpp
+++ b/libs/relay/src/refusal.cpp
@@ -91,7 +91,7 @@
 
 std::int64_t millisToWait(const Refusal &refusal, TimePoint now)
 {
-    return std::max<std::int64_t>(millisUntil(*refusal.comeBack_, now), 1);
+    return std::max<std::int64_t>(millisUntil(*refusal.retryAt_, now), 1);
 }
 
 } // namespace
@@ -100,14 +100,14 @@
 {
     Refusal refusal = fromTable(CauseRows, refuse.cause_);
     refusal.outcome_ = refuse.outcome_;
-    refusal.comeBack_ = refuse.comeBack_;
+    refusal.retryAt_ = refuse.retryAt_;
     return refusal;
 }
 
 Refusal refusalFor(const admission::Decision &decision)
 {
     Refusal refusal = fromTable(AdmissionRows, decision.reason_);
-    refusal.comeBack_ = decision.comeBack_;
+    refusal.retryAt_ = decision.retryAt_;
     return refusal;
 }
 
@@ -146,7 +146,7 @@
         error["fields"].push_back(
             {{"field", field.field_}, {"value", field.value_}, {"remedy", field.remedy_}});
     }
-    if (refusal.comeBack_) {
+    if (refusal.retryAt_) {
         error["retry_after_ms"] = millisToWait(refusal, now);
     }
     // Messages may quote a caller's bytes, which need not be UTF-8.
@@ -156,7 +156,7 @@
 net::Headers refusalHeaders(const Refusal &refusal, TimePoint now)
 {
     net::Headers headers {{"X-Outcome", std::string(nameOf(OutcomeNames, refusal.outcome_))}};
-    if (refusal.comeBack_) {
+    if (refusal.retryAt_) {
         const std::int64_t wait = millisToWait(refusal, now);
         const std::int64_t seconds = (wait + MillisPerSecond - 1) / MillisPerSecond;
         headers.push_back({"Retry-After", std::to_string(seconds)});
--- a/libs/relay/src/refusal.h
+++ b/libs/relay/src/refusal.h
@@ -21,7 +21,7 @@
     std::string message_;
     std::string remedy_;
     Outcome outcome_ = Outcome::NotRun;
-    std::optional<TimePoint> comeBack_ {}; ///< Empty: a later try would end the same.
+    std::optional<TimePoint> retryAt_ {}; ///< Empty: a later try would end the same.
     std::vector<FieldError> fields_ {};
 };
 
--- a/libs/relay/src/relay.cpp
+++ b/libs/relay/src/relay.cpp
@@ -46,7 +46,7 @@
     admission::Decision decision;
     decision.reason_ =
         accepting_ ? admission::RefusalReason::NoCapacity : admission::RefusalReason::Stopping;
-    decision.comeBack_ = BootClock::now() + ComeBackAfter;
+    decision.retryAt_ = BootClock::now() + ComeBackAfter;
     return refusalFor(decision);
 }
 
--- a/libs/relay/src/servicecall.cpp
+++ b/libs/relay/src/servicecall.cpp
@@ -195,7 +195,7 @@
     const bool unknown = refusal.outcome_ == Outcome::Unknown;
     if (unknown && task_.recovery_ == Recovery::Once && !task_.key_) {
         // Clients come back by themselves after Retry-After; here that could run the call twice.
-        refusal.comeBack_.reset();
+        refusal.retryAt_.reset();
         refusal.remedy_ = "find out whether it took effect; next time send an Idempotency-Key, "
                           "with which a repeat is safe";
     }
--- a/libs/relay/tests/machinetest.cpp
+++ b/libs/relay/tests/machinetest.cpp
@@ -100,7 +100,7 @@
     {
         const auto *refuse = did<Refuse>();
         return refuse && refuse->outcome_ == outcome && refuse->cause_ == cause
-               && refuse->comeBack_ > now_;
+               && refuse->retryAt_ > now_;
     }
     bool deliveredAllOnce(std::int64_t count) const
     {
@@ -335,7 +335,7 @@
     Run spent = run;
     spent(NoRetryLeft {spent.now_ + millis(100)});
     BOOST_TEST(spent.refused(Outcome::NotRun, RefusalCause::NoRetryLeft));
-    BOOST_TEST((spent.did<Refuse>()->comeBack_ == spent.now_ + millis(9'000)));
+    BOOST_TEST((spent.did<Refuse>()->retryAt_ == spent.now_ + millis(9'000)));
     for (int attempt = 2; attempt < MachineLimits().maxAttempts_; ++attempt) {
         run.sentTo(EndpointId("other" + std::to_string(attempt)));
         run(HeadReceived {run.connection_, HeadKind::NotRun, {}});
--- a/libs/routing/include/almondridge/routing/ablation.h
+++ b/libs/routing/include/almondridge/routing/ablation.h
@@ -14,7 +14,7 @@
     OwnDispatches, ///< Adds what this entry has sent since the report's stamp.
     Observations,  ///< Corrects by this entry's own first-token times.
     Overdue,       ///< Counts how long the oldest own dispatch has waited for its first token.
-    ReportWorth,   ///< Believes reports only as far as they have foretold first tokens.
+    ReportReliability,   ///< Believes reports only as far as they have foretold first tokens.
     Staleness,     ///< A report past its deadline is unknown instead of true.
     Affinity,      ///< Prefers engines that hold the prompt's prefix.
     CacheEvents,   ///< Believes engines' cache events for a while.
@@ -24,7 +24,7 @@
     {Mechanism::OwnDispatches, "own-dispatches"},
     {Mechanism::Observations, "observations"},
     {Mechanism::Overdue, "overdue"},
-    {Mechanism::ReportWorth, "report-worth"},
+    {Mechanism::ReportReliability, "report-worth"},
     {Mechanism::Staleness, "staleness"},
     {Mechanism::Affinity, "affinity"},
     {Mechanism::CacheEvents, "cache-events"},
--- a/libs/routing/include/almondridge/routing/router.h
+++ b/libs/routing/include/almondridge/routing/router.h
@@ -81,7 +81,7 @@
     void onCacheEvent(const CacheEvent &event, TimePoint now);
     void onReachability(const EndpointId &endpoint, Reachability reachability, TimePoint now);
     /** Other domains say whether they have room; unknown counts as no room. */
-    void onDomainRoom(const DomainId &domain, double spareShare, TimePoint validUntil);
+    void onDomainCapacity(const DomainId &domain, double spareShare, TimePoint validUntil);
 
     void onDispatched(const AttemptId &attempt, const EndpointId &endpoint, const RouteQuery &query,
                       TimePoint now);
@@ -94,7 +94,7 @@
     std::optional<RouteChoice> choose(const RouteQuery &query, TimePoint now);
 
     /** Whether the endpoint may get new work; to be asked again between a choice and its send. */
-    bool isOpen(const EndpointId &endpoint) const;
+    bool isAvailable(const EndpointId &endpoint) const;
 
     /** Estimated first token for promptTokens at this endpoint if sent now. */
     TimePoint estimateFirstToken(const EndpointId &endpoint, const RouteQuery &query,
--- a/libs/routing/src/endpointload.h
+++ b/libs/routing/src/endpointload.h
@@ -20,7 +20,7 @@
     double decodeTokensPerSecond_ = 30;
     double prefillTokensAhead_ = 0;
     double outstanding_ = 0; ///< Requests, as services report them.
-    double reportWorth_ = 1; ///< See ReportWorth.
+    double reportWorth_ = 1; ///< See ReportReliability.
 };
 
 /** What an engine's report said beyond the typical load, and what a dispatch then met. */
--- a/libs/routing/src/endpointtable.cpp
+++ b/libs/routing/src/endpointtable.cpp
@@ -211,7 +211,7 @@
         outstanding.push_back(load.outstanding(now, rules_, {}));
     }
     const double worth =
-        rules_.mechanisms_.has(Mechanism::ReportWorth) ? group.worth_.share() : 1.0;
+        rules_.mechanisms_.has(Mechanism::ReportReliability) ? group.worth_.share() : 1.0;
     const TypicalLoad before = group.typical_;
     return {median(prefillRates).value_or(before.prefillTokensPerSecond_),
             median(decodeRates).value_or(before.decodeTokensPerSecond_), median(ahead).value_or(0),
--- a/libs/routing/src/endpointtable.h
+++ b/libs/routing/src/endpointtable.h
@@ -58,7 +58,7 @@
     std::vector<SlotIndex> members_;
     std::array<std::vector<OpenEndpoint>, Roles> openByRole_; ///< Services count as mixed.
     bool changed_ = true; ///< openByRole_ no longer agrees with the slots.
-    ReportWorth worth_;
+    ReportReliability worth_;
     TypicalLoad typical_;
     TimePoint typicalUntil_ {}; ///< typical_ is worked out anew from then on.
 
--- a/libs/routing/src/reportworth.cpp
+++ b/libs/routing/src/reportworth.cpp
@@ -20,14 +20,14 @@
 
 } // namespace
 
-double ReportWorth::share() const
+double ReportReliability::share() const
 {
     const double slope = (products_ + PriorSquares * PriorSlope) / (squares_ + PriorSquares);
     const double bounded = std::clamp(slope, 0.0, 1.0);
     return CommonKnowledge * bounded * bounded;
 }
 
-void ReportWorth::observe(const ReportOutcome &outcome)
+void ReportReliability::observe(const ReportOutcome &outcome)
 {
     const double reported = std::clamp(outcome.reportedSeconds_, -MostSeconds, MostSeconds);
     const double observed = std::clamp(outcome.observedSeconds_, -MostSeconds, MostSeconds);
--- a/libs/routing/src/reportworth.h
+++ b/libs/routing/src/reportworth.h
@@ -9,7 +9,7 @@
 
 namespace almondridge::routing {
 
-class ReportWorth
+class ReportReliability
 {
 public:
     /** The part of a report's excess to count on; 0: it says nothing about what is met. */
--- a/libs/routing/src/router.cpp
+++ b/libs/routing/src/router.cpp
@@ -89,7 +89,7 @@
     }
 }
 
-void Router::onDomainRoom(const DomainId &domain, double spareShare, TimePoint validUntil)
+void Router::onDomainCapacity(const DomainId &domain, double spareShare, TimePoint validUntil)
 {
     state_->rooms_[domain] = {spareShare, validUntil};
 }
@@ -165,7 +165,7 @@
     return chooser.choose(state_->rooms_);
 }
 
-bool Router::isOpen(const EndpointId &endpoint) const
+bool Router::isAvailable(const EndpointId &endpoint) const
 {
     const EndpointSlot *slot = state_->table_.find(endpoint);
     return slot != nullptr && slot->open();
--- a/libs/routing/tests/availabilitytest.cpp
+++ b/libs/routing/tests/availabilitytest.cpp
@@ -140,26 +140,26 @@
 {
     Router router = busyHomeIdleAway();
     BOOST_TEST(!router.choose(prompt(100), at(10)).value().otherDomain_);
-    router.onDomainRoom(DomainId("d2"), 0.8, at(1'000));
+    router.onDomainCapacity(DomainId("d2"), 0.8, at(1'000));
     const RouteChoice away = router.choose(prompt(100), at(20)).value();
     BOOST_TEST(away.otherDomain_);
     BOOST_TEST(away.endpoint_ == engine(1, "d2"));
     BOOST_TEST(!router.choose(prompt(100), at(1'000)).value().otherDomain_);
-    router.onDomainRoom(DomainId("d2"), 0.01, at(5'000));
+    router.onDomainCapacity(DomainId("d2"), 0.01, at(5'000));
     BOOST_TEST(!router.choose(prompt(100), at(1'001)).value().otherDomain_);
 }
 
 BOOST_AUTO_TEST_CASE(anotherDomainIsTakenOnlyWhenItIsClearlyBetter)
 {
     Router router = busyHomeIdleAway();
-    router.onDomainRoom(DomainId("d2"), 0.8, at(1'000));
+    router.onDomainCapacity(DomainId("d2"), 0.8, at(1'000));
     for (int request = 0; request < 6; ++request) {
         dispatch(router, engine(1, "d2"), prompt(1'000), at(0));
     }
     BOOST_TEST(!router.choose(prompt(100), at(20)).value().otherDomain_);
 
     Router calm = TestFleet().engines(1).engines(1, "d2").router();
-    calm.onDomainRoom(DomainId("d2"), 1.0, at(1'000));
+    calm.onDomainCapacity(DomainId("d2"), 1.0, at(1'000));
     dispatch(calm, engine(0), prompt(1'000), at(0));
     BOOST_TEST(!calm.choose(prompt(100), at(20)).value().otherDomain_);
 }
@@ -169,7 +169,7 @@
     Router router = TestFleet().engines(1).engines(1, "d2").router();
     router.onReachability(engine(0), Reachability::Withheld, at(0));
     BOOST_TEST(!router.choose(prompt(100), at(0)).has_value());
-    router.onDomainRoom(DomainId("d2"), 0.5, at(1'000));
+    router.onDomainCapacity(DomainId("d2"), 0.5, at(1'000));
     BOOST_TEST(router.choose(prompt(100), at(0)).value().otherDomain_);
     BOOST_TEST(router.spareShare(ModelId("m"), at(0)) == 0.0);
 }
