--- a/libs/routing/src/attempttable.h
+++ b/libs/routing/src/attempttable.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "prefixbeliefs.h"
+#include "prefixcachetracker.h"
 
 #include <unordered_map>
 
--- a/libs/routing/src/chooser.cpp
+++ b/libs/routing/src/endpointselector.cpp
@@ -1,4 +1,4 @@
-#include "chooser.h"
+#include "endpointselector.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/libs/routing/src/endpointtable.h
+++ b/libs/routing/src/endpointtable.h
@@ -5,8 +5,8 @@
 
 #include "endpointload.h"
 #include "failurebackoff.h"
-#include "prefixbeliefs.h"
-#include "reportworth.h"
+#include "prefixcachetracker.h"
+#include "reportreliability.h"
 
 #include <array>
 #include <span>
--- a/libs/routing/src/prefixbeliefs.cpp
+++ b/libs/routing/src/prefixcachetracker.cpp
@@ -1,4 +1,4 @@
-#include "prefixbeliefs.h"
+#include "prefixcachetracker.h"
 
 #include <algorithm>
 
--- a/libs/routing/src/prefixbeliefs.h
+++ b/libs/routing/src/prefixcachetracker.h
@@ -6,7 +6,7 @@
 
 #include "almondridge/routing/ablation.h"
 #include "almondridge/routing/router.h"
-#include "prefixmemory.h"
+#include "prefixholdercache.h"
 
 #include <optional>
 
--- a/libs/routing/src/prefixmemory.cpp
+++ b/libs/routing/src/prefixholdercache.cpp
@@ -1,4 +1,4 @@
-#include "prefixmemory.h"
+#include "prefixholdercache.h"
 
 #include <algorithm>
 
--- a/libs/routing/src/reportworth.cpp
+++ b/libs/routing/src/reportreliability.cpp
@@ -1,4 +1,4 @@
-#include "reportworth.h"
+#include "reportreliability.h"
 
 #include <algorithm>
 
--- a/libs/routing/src/router.cpp
+++ b/libs/routing/src/router.cpp
@@ -1,7 +1,7 @@
 #include "almondridge/routing/router.h"
 
 #include "attempttable.h"
-#include "chooser.h"
+#include "endpointselector.h"
 
 #include <algorithm>
 
