--- a/libs/routing/include/almondridge/routing/ablation.h
+++ b/libs/routing/include/almondridge/routing/ablation.h
@@ -1,6 +1,6 @@
 /**
- * Parts of the router's estimate that can be switched off one by one, so that a measurement can
- * show what each is worth. Production code leaves all of them on.
+ * Parts of the router's latency estimate that benchmarks switch off one at a time to measure the
+ * contribution of each (an ablation study). Production code leaves all of them on.
  */
 #pragma once
 
@@ -10,14 +10,15 @@
 
 namespace almondridge::routing {
 
+/** A part of the estimate that can be switched off. */
 enum class Mechanism : std::uint8_t {
-    OwnDispatches, ///< Adds what this entry has sent since the report's stamp.
-    Observations,  ///< Corrects by this entry's own first-token times.
-    Overdue,       ///< Counts how long the oldest own dispatch has waited for its first token.
-    ReportReliability,   ///< Believes reports only as far as they have foretold first tokens.
-    Staleness,     ///< A report past its deadline is unknown instead of true.
-    Affinity,      ///< Prefers engines that hold the prompt's prefix.
-    CacheEvents,   ///< Believes engines' cache events for a while.
+    OwnDispatches,     ///< Adds requests that this instance sent after the report was taken.
+    Observations,      ///< Corrects estimates by the first-token times seen by this instance.
+    Overdue,           ///< Raises the estimate while a first token is later than estimated.
+    ReportReliability, ///< Weights reports by how well they have predicted first-token times.
+    Staleness,         ///< Ignores reports older than the staleness limit.
+    Affinity,          ///< Prefers engines that have the prompt's prefix in their KV cache.
+    CacheEvents,       ///< Uses cache events published by engines, for a limited time.
 };
 
 inline constexpr std::array<EnumName<Mechanism>, 7> MechanismNames {{
@@ -30,7 +31,7 @@
     {Mechanism::CacheEvents, "cache-events"},
 }};
 
-/** Which mechanisms are on; all, unless switched off. */
+/** The set of mechanisms that are on; all of them by default. */
 class Mechanisms
 {
 public:
--- a/libs/routing/src/attempttable.cpp
+++ b/libs/routing/src/attempttable.cpp
@@ -5,11 +5,11 @@
 namespace almondridge::routing {
 namespace {
 
-constexpr Duration LookInterval = millis(1'000);
-/** An answer may still come in after its deadline. */
-constexpr Duration AfterDeadline = millis(30'000);
-/** Of an attempt without a deadline. */
-constexpr Duration LongestAttempt = millis(600'000);
+constexpr Duration SweepInterval = millis(1'000);
+/** A response may still arrive after its deadline. */
+constexpr Duration DeadlineGrace = millis(30'000);
+/** For an attempt without a deadline. */
+constexpr Duration DefaultLifetime = millis(600'000);
 
 } // namespace
 
@@ -20,7 +20,7 @@
     attempt.number_ = ++lastNumber_;
     attempt.sentAt_ = now;
     attempt.expiresAt_ =
-        deadline == TimePoint {} ? now + LongestAttempt : std::max(deadline, now) + AfterDeadline;
+        deadline == TimePoint {} ? now + DefaultLifetime : std::max(deadline, now) + DeadlineGrace;
     return attempt;
 }
 
@@ -33,10 +33,10 @@
 std::vector<Attempt> AttemptTable::takeExpired(TimePoint now)
 {
     std::vector<Attempt> expired;
-    if (now < nextLook_) {
+    if (now < nextSweep_) {
         return expired;
     }
-    nextLook_ = now + LookInterval;
+    nextSweep_ = now + SweepInterval;
     std::erase_if(attempts_, [&](auto &entry) {
         if (entry.second.expiresAt_ > now) {
             return false;
--- a/libs/routing/src/candidate.cpp
+++ b/libs/routing/src/candidate.cpp
@@ -5,24 +5,24 @@
 namespace almondridge::routing {
 namespace {
 
-/** Holders beyond the first few are no better than what the random candidates find. */
-constexpr std::size_t MostHolders = 2;
-/** Draws that may hit an ineligible endpoint before the lists are scanned instead. */
+/** Further holders are no better than the random candidates. */
+constexpr std::size_t MaxHolders = 2;
+/** Limit on random draws, some of which hit duplicates or ineligible endpoints. */
 constexpr std::size_t DrawsPerCandidate = 4;
-/** What a second of lateness in decoding counts against a second to the first token. */
+/** Weight of a second of decode lateness relative to a second of time to first token. */
 constexpr double DecodeLatenessWeight = 0.1;
 
-std::size_t totalOf(const CandidateSampler::Lists &lists)
+std::size_t totalSize(const CandidateSampler::Lists &lists)
 {
     std::size_t total = 0;
-    for (const std::vector<OpenEndpoint> *list : lists) {
+    for (const std::vector<AvailableEndpoint> *list : lists) {
         total += list->size();
     }
     return total;
 }
 
-/** The index-th endpoint of all lists one after the other. */
-const OpenEndpoint &endpointAt(const CandidateSampler::Lists &lists, std::size_t index)
+/** The endpoint at index in the concatenation of the lists. */
+const AvailableEndpoint &endpointAt(const CandidateSampler::Lists &lists, std::size_t index)
 {
     auto list = lists.begin();
     while (index >= (*list)->size()) {
@@ -32,10 +32,11 @@
     return (**list)[index];
 }
 
+/** Seconds by which decoding the expected output misses the inter-token target. */
 double decodeLateness(const EndpointSlot &slot, const RouteQuery &query,
                       const ChoiceSettings &settings, const TypicalLoad &typical)
 {
-    const double late = 1 / slot.load_.decodeRate(typical) - settings.interTokenAimSeconds_;
+    const double late = 1 / slot.load_.decodeRate(typical) - settings.interTokenTargetSeconds_;
     return std::max(late, 0.0) * static_cast<double>(query.outputTokens_);
 }
 
@@ -48,7 +49,7 @@
            / static_cast<std::int64_t>(all);
 }
 
-Demand demandOf(const RouteQuery &query, std::int64_t cachedTokens)
+RequestCost requestCost(const RouteQuery &query, std::int64_t cachedTokens)
 {
     return {std::max<std::int64_t>(query.promptTokens_ - cachedTokens, 1),
             query.promptTokens_ + query.outputTokens_, query.outputTokens_};
@@ -62,15 +63,16 @@
     candidate.slot_ = table.indexOf(slot);
     const std::size_t blocks = hits.blocksAt(table.refOf(candidate.slot_));
     candidate.cachedTokens_ = static_cast<std::int64_t>(
-        static_cast<double>(tokensInBlocks(query, blocks)) * slot.trust_.share());
-    candidate.sharedPart_ = static_cast<double>(tokensInBlocks(query, blocks))
-                            / static_cast<double>(std::max<std::int64_t>(query.promptTokens_, 1));
+        static_cast<double>(tokensInBlocks(query, blocks)) * slot.cacheHitPrecision_.ratio());
+    candidate.sharedFraction_ =
+        static_cast<double>(tokensInBlocks(query, blocks))
+        / static_cast<double>(std::max<std::int64_t>(query.promptTokens_, 1));
     const TypicalLoad &typical = table.group(slot.group_).typical_;
     const LoadRules &rules = table.rules();
-    const Demand demand = demandOf(query, candidate.cachedTokens_);
-    candidate.rawSeconds_ = slot.load_.rawSeconds(demand, now, rules, typical);
+    const RequestCost cost = requestCost(query, candidate.cachedTokens_);
+    candidate.rawSeconds_ = slot.load_.rawSeconds(cost, now, rules, typical);
     candidate.seconds_ = slot.load_.correctedSeconds(candidate.rawSeconds_, now, rules);
-    candidate.fresh_ = slot.load_.reportIsFresh(now, rules);
+    candidate.hasFreshReport_ = slot.load_.reportIsFresh(now, rules);
     candidate.score_ =
         candidate.seconds_ + decodeLateness(slot, query, settings, typical) * DecodeLatenessWeight;
     return candidate;
@@ -99,7 +101,8 @@
     return candidates;
 }
 
-std::vector<Candidate> CandidateSampler::random(const Lists &lists, int count, CandidateRule rule)
+std::vector<Candidate> CandidateSampler::sampleRandom(const Lists &lists, int count,
+                                                      CandidateRule rule)
 {
     std::vector<Candidate> candidates;
     addRandom(candidates, lists, static_cast<std::size_t>(count), rule);
@@ -109,7 +112,7 @@
 bool CandidateSampler::eligible(SlotIndex index) const
 {
     const EndpointSlot &slot = table_.at(index);
-    if (!ignoreBackoff_ && !slot.backoff_.open(now_)) {
+    if (!ignoreBackoff_ && !slot.backoff_.allowsDispatch(now_)) {
         return false;
     }
     return std::find(query_.excluded_.begin(), query_.excluded_.end(), slot.id_)
@@ -127,15 +130,15 @@
 {
     for (const PrefixHit &hit : hits_.hits_) {
         const EndpointSlot *slot = table_.at(hit.slot_);
-        if (slot == nullptr || slot->group_ != group || !slot->open()) {
+        if (slot == nullptr || slot->group_ != group || !slot->available()) {
             continue;
         }
-        const std::vector<OpenEndpoint> *list = &table_.group(group).open(slot->role());
+        const std::vector<AvailableEndpoint> *list = &table_.group(group).available(slot->role());
         const bool listed = std::find(lists.begin(), lists.end(), list) != lists.end();
         if (listed && eligible(hit.slot_.index_)) {
             add(candidates, hit.slot_.index_, CandidateRule::Holder);
         }
-        if (candidates.size() == MostHolders) {
+        if (candidates.size() == MaxHolders) {
             return;
         }
     }
@@ -143,14 +146,14 @@
 
 void CandidateSampler::addRendezvous(std::vector<Candidate> &candidates, const Lists &lists)
 {
-    if (!hits_.key_) {
+    if (!hits_.rendezvousKey_) {
         return;
     }
     std::uint64_t highest = 0;
     std::optional<SlotIndex> winner;
-    for (const std::vector<OpenEndpoint> *list : lists) {
-        for (const OpenEndpoint &endpoint : *list) {
-            const std::uint64_t rank = mixHashes(*hits_.key_, endpoint.idHash_);
+    for (const std::vector<AvailableEndpoint> *list : lists) {
+        for (const AvailableEndpoint &endpoint : *list) {
+            const std::uint64_t rank = mixHashes(*hits_.rendezvousKey_, endpoint.idHash_);
             if (rank >= highest && eligible(endpoint.slot_)) {
                 highest = rank;
                 winner = endpoint.slot_;
@@ -159,14 +162,14 @@
     }
     if (winner) {
         add(candidates, *winner, CandidateRule::Rendezvous);
-        candidates.back().sharedPart_ = hits_.sharingShare_;
+        candidates.back().sharedFraction_ = hits_.sharedPromptShare_;
     }
 }
 
 void CandidateSampler::addRandom(std::vector<Candidate> &candidates, const Lists &lists,
                                  std::size_t count, CandidateRule rule)
 {
-    const std::size_t total = totalOf(lists);
+    const std::size_t total = totalSize(lists);
     if (total == 0) {
         return;
     }
@@ -185,7 +188,7 @@
 void CandidateSampler::scan(std::vector<Candidate> &candidates, const Lists &lists,
                             std::size_t count, CandidateRule rule)
 {
-    const std::size_t total = totalOf(lists);
+    const std::size_t total = totalSize(lists);
     const std::size_t start = nextRandom() % total;
     for (std::size_t step = 0; step < total && candidates.size() < count; ++step) {
         const SlotIndex slot = endpointAt(lists, (start + step) % total).slot_;
--- a/libs/routing/src/candidate.h
+++ b/libs/routing/src/candidate.h
@@ -1,5 +1,5 @@
 /**
- * Candidates for one choice: how they are found and what each is estimated to cost.
+ * Finds the candidate endpoints for a request and estimates the latency of each.
  */
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace almondridge::routing {
 
-/** Why an endpoint became a candidate. */
+/** How an endpoint became a candidate. */
 enum class CandidateRule { Holder, Rendezvous, Random, OtherDomain, LastResort };
 
 inline constexpr std::array<EnumName<CandidateRule>, 5> CandidateRuleNames {{
@@ -18,51 +18,54 @@
     {CandidateRule::LastResort, "last-resort"},
 }};
 
+/** An endpoint that may serve the request, and its estimates. */
 struct Candidate
 {
     SlotIndex slot_ = 0;
     CandidateRule rule_ = CandidateRule::Random;
-    double rawSeconds_ = 0; ///< To the first token, before correction by observations.
-    double seconds_ = 0;    ///< To the first token.
-    double score_ = 0;      ///< Seconds and what slow decoding adds; less is better.
-    std::int64_t cachedTokens_ = 0;
-    double sharedPart_ = 0; ///< Of the prompt, that choosing it again and again keeps cached.
-    bool fresh_ = false;    ///< Its report was believed.
+    double rawSeconds_ = 0;         ///< Time to first token, before correction by observations.
+    double seconds_ = 0;            ///< Time to first token.
+    double score_ = 0;              ///< seconds_ plus a penalty for slow decoding; lower is better.
+    std::int64_t cachedTokens_ = 0; ///< Prompt tokens expected in the KV cache.
+    /** Part of the prompt that stays cached if such prompts keep going to this endpoint. */
+    double sharedFraction_ = 0;
+    bool hasFreshReport_ = false;
 };
 
+/** Settings that apply to every choice. */
 struct ChoiceSettings
 {
     int randomCandidates_ = 16;
     double otherDomainPenaltySeconds_ = 0;
-    double firstTokenAimSeconds_ = 0.32;
-    double interTokenAimSeconds_ = 0.047;
+    double firstTokenTargetSeconds_ = 0.32;
+    double interTokenTargetSeconds_ = 0.047;
 };
 
-/** Tokens of the prompt in its first blocks. */
+/** The number of prompt tokens in the first blocks of the prompt. */
 std::int64_t tokensInBlocks(const RouteQuery &query, std::size_t blocks);
 
-/** What the query asks of an endpoint that is believed to have cachedTokens of it. */
-Demand demandOf(const RouteQuery &query, std::int64_t cachedTokens);
+/** The work of an endpoint that has cachedTokens of the prompt in its KV cache. */
+RequestCost requestCost(const RouteQuery &query, std::int64_t cachedTokens);
 
-/** Estimates one endpoint. */
+/** Estimates the latency of the request on one endpoint. */
 Candidate estimateCandidate(const EndpointTable &table, const EndpointSlot &slot,
                             const RouteQuery &query, const PrefixHits &hits,
                             const ChoiceSettings &settings, TimePoint now);
 
-/** Finds and estimates the candidates of one choice. */
+/** Finds the candidates for one request and estimates each of them. */
 class CandidateSampler
 {
 public:
-    using Lists = std::vector<const std::vector<OpenEndpoint> *>;
+    using Lists = std::vector<const std::vector<AvailableEndpoint> *>;
 
     CandidateSampler(EndpointTable &table, const ChoiceSettings &settings, const RouteQuery &query,
                      const PrefixHits &hits, TimePoint now);
 
-    /** Those with affinity to the prompt and a few random ones. */
+    /** Endpoints with affinity to the prompt, and a few drawn at random. */
     std::vector<Candidate> gather(GroupIndex group, const Lists &lists);
-    /** Up to count different ones, taken at random; fewer only if fewer are eligible. */
-    std::vector<Candidate> random(const Lists &lists, int count, CandidateRule rule);
-    /** From now on takes endpoints in back-off too. */
+    /** Draws up to count distinct endpoints at random. Returns at least one if any is eligible. */
+    std::vector<Candidate> sampleRandom(const Lists &lists, int count, CandidateRule rule);
+    /** Makes endpoints in back-off eligible from now on. */
     void ignoreBackoff() { ignoreBackoff_ = true; }
 
 private:
--- a/libs/routing/src/endpointload.cpp
+++ b/libs/routing/src/endpointload.cpp
@@ -7,29 +7,29 @@
 namespace {
 
 /**
- * A dispatch this close before a report's stamp counts as not yet in the report. Guards against
- * requests still on the wire when the engine took the stamp and against small clock differences:
- * counting a request twice for one report interval costs less than not counting it at all.
+ * A dispatch this close before a report's stamp counts as not included in the report, since it may
+ * still have been in transit, and clocks differ a little. Counting a request twice for one report
+ * interval costs less than not counting it at all.
  */
-constexpr Duration ReportCoverMargin = millis(20);
+constexpr Duration ReportCoverageMargin = millis(20);
 
-/** Streams that fill an engine which does not tell its KV capacity. */
+/** Streams that fill an engine that does not report its KV capacity. */
 constexpr double AssumedStreams = 64;
 
-/** Weight of one earlier observation when the next one arrives. */
-constexpr double ObservationFade = 0.97;
-/** Without new observations the old ones count half after each such span. */
+/** Factor applied to earlier observations for each new one. */
+constexpr double ObservationDecay = 0.97;
+/** Half-life of observations over time. */
 constexpr double ObservationHalfLifeSeconds = 20;
-/** Pulls the ratio to 1 while little was observed, and keeps tiny estimates from ruling it. */
+/** Pulls the ratio towards 1 for few observations, and limits the effect of tiny estimates. */
 constexpr double ObservationPriorSeconds = 0.02;
-constexpr double LeastRatio = 0.5;
-constexpr double GreatestRatio = 20;
+constexpr double MinRatio = 0.5;
+constexpr double MaxRatio = 20;
 
 } // namespace
 
 bool EndpointLoad::onReport(const LoadReport &report, TimePoint now)
 {
-    // A stamp ahead of this machine's clock would make every later honest report look old.
+    // A stamp in the future would make every later report with a correct stamp look old.
     const TimePoint stamp = std::min(report.stamp_, now);
     if (reported_ && stamp < stamp_) {
         return false;
@@ -53,47 +53,48 @@
     reported_ = false;
     prefillTokensPerSecond_ = 0;
     decodeTokensPerSecond_ = 0;
-    observed_ = {};
+    firstTokenStats_ = {};
 }
 
-void EndpointLoad::onDispatched(std::uint64_t attempt, const Demand &demand, double rawSeconds,
+void EndpointLoad::onDispatched(std::uint64_t attempt, const RequestCost &cost, double rawSeconds,
                                 TimePoint now, const LoadRules &rules, const TypicalLoad &typical)
 {
     OwnDispatch dispatch;
     dispatch.attempt_ = attempt;
     dispatch.sentAt_ = now;
-    dispatch.prefillTokens_ = demand.uncachedTokens_;
-    dispatch.kvTokens_ = demand.kvTokens_;
+    dispatch.prefillTokens_ = cost.uncachedTokens_;
+    dispatch.kvTokens_ = cost.kvTokens_;
     dispatch.estimatedSeconds_ = rawSeconds;
-    dispatch.hadReport_ = reportIsFresh(now, rules);
-    if (dispatch.hadReport_) {
-        const double beyond = reportedByOthers(rules) - typical.prefillTokensAhead_;
-        dispatch.reportedSeconds_ = beyond / prefillRate(typical);
-        dispatch.typicalSeconds_ = rawSeconds - dispatch.reportedSeconds_ * typical.reportWorth_;
+    dispatch.hadFreshReport_ = reportIsFresh(now, rules);
+    if (dispatch.hadFreshReport_) {
+        const double excessTokens = reportedTokensOfOthers(rules) - typical.prefillTokensAhead_;
+        dispatch.reportedExcessSeconds_ = excessTokens / prefillRate(typical);
+        dispatch.typicalSeconds_ =
+            rawSeconds - dispatch.reportedExcessSeconds_ * typical.reportWeight_;
     }
-    own_.push_back(dispatch);
+    ownDispatches_.push_back(dispatch);
 }
 
 std::optional<ReportOutcome> EndpointLoad::onFirstToken(std::uint64_t attempt, TimePoint now)
 {
-    const auto dispatch = findOwn(attempt);
-    if (dispatch == own_.end() || dispatch->firstTokenAt_ != TimePoint::max()) {
+    const auto dispatch = findDispatch(attempt);
+    if (dispatch == ownDispatches_.end() || dispatch->firstTokenAt_ != TimePoint::max()) {
         return std::nullopt;
     }
     dispatch->firstTokenAt_ = now;
     const double seconds = toSeconds(now - dispatch->sentAt_);
     observe(seconds, dispatch->estimatedSeconds_, now);
-    if (!dispatch->hadReport_) {
+    if (!dispatch->hadFreshReport_) {
         return std::nullopt;
     }
-    return ReportOutcome {dispatch->reportedSeconds_, seconds - dispatch->typicalSeconds_};
+    return ReportOutcome {dispatch->reportedExcessSeconds_, seconds - dispatch->typicalSeconds_};
 }
 
 void EndpointLoad::onFinished(std::uint64_t attempt)
 {
-    const auto dispatch = findOwn(attempt);
-    if (dispatch != own_.end()) {
-        own_.erase(dispatch);
+    const auto dispatch = findDispatch(attempt);
+    if (dispatch != ownDispatches_.end()) {
+        ownDispatches_.erase(dispatch);
     }
 }
 
@@ -108,12 +109,12 @@
 {
     double tokens = typical.prefillTokensAhead_;
     if (reportIsFresh(now, rules)) {
-        tokens += (reportedByOthers(rules) - tokens) * typical.reportWorth_;
+        tokens += (reportedTokensOfOthers(rules) - tokens) * typical.reportWeight_;
     }
     if (!rules.mechanisms_.has(Mechanism::OwnDispatches)) {
         return tokens;
     }
-    for (const OwnDispatch &dispatch : own_) {
+    for (const OwnDispatch &dispatch : ownDispatches_) {
         if (dispatch.firstTokenAt_ == TimePoint::max()) {
             tokens += static_cast<double>(dispatch.prefillTokens_);
         }
@@ -121,15 +122,15 @@
     return tokens;
 }
 
-double EndpointLoad::reportedByOthers(const LoadRules &rules) const
+double EndpointLoad::reportedTokensOfOthers(const LoadRules &rules) const
 {
     auto tokens = static_cast<double>(prefillTokensWaiting_);
     if (!rules.mechanisms_.has(Mechanism::OwnDispatches)) {
         return tokens;
     }
-    for (const OwnDispatch &dispatch : own_) {
+    for (const OwnDispatch &dispatch : ownDispatches_) {
         const bool reported =
-            dispatch.sentAt_ + ReportCoverMargin < stamp_ && dispatch.firstTokenAt_ > stamp_;
+            dispatch.sentAt_ + ReportCoverageMargin < stamp_ && dispatch.firstTokenAt_ > stamp_;
         if (reported) {
             tokens -= static_cast<double>(dispatch.prefillTokens_);
         }
@@ -145,44 +146,45 @@
     if (!rules.mechanisms_.has(Mechanism::OwnDispatches)) {
         return others;
     }
-    const auto uncovered = std::count_if(own_.begin(), own_.end(), [&](const OwnDispatch &own) {
-        return !fresh || own.sentAt_ + ReportCoverMargin >= stamp_;
-    });
-    return others + static_cast<double>(uncovered);
+    const auto notInReport =
+        std::count_if(ownDispatches_.begin(), ownDispatches_.end(), [&](const OwnDispatch &own) {
+            return !fresh || own.sentAt_ + ReportCoverageMargin >= stamp_;
+        });
+    return others + static_cast<double>(notInReport);
 }
 
-double EndpointLoad::writingShare(TimePoint now, const LoadRules &rules,
-                                  const TypicalLoad &typical) const
+double EndpointLoad::kvUtilization(TimePoint now, const LoadRules &rules,
+                                   const TypicalLoad &typical) const
 {
     if (kvCapacityTokens_ <= 0 || !reportIsFresh(now, rules)) {
         return outstanding(now, rules, typical) / AssumedStreams;
     }
     double used = static_cast<double>(kvUsedTokens_);
-    for (const OwnDispatch &dispatch : own_) {
-        used += dispatch.sentAt_ + ReportCoverMargin < stamp_
+    for (const OwnDispatch &dispatch : ownDispatches_) {
+        used += dispatch.sentAt_ + ReportCoverageMargin < stamp_
                     ? 0.0
                     : static_cast<double>(dispatch.kvTokens_);
     }
     return used / static_cast<double>(kvCapacityTokens_);
 }
 
-double EndpointLoad::rawSeconds(const Demand &demand, TimePoint now, const LoadRules &rules,
+double EndpointLoad::rawSeconds(const RequestCost &cost, TimePoint now, const LoadRules &rules,
                                 const TypicalLoad &typical) const
 {
     const double tokens =
-        prefillTokensAhead(now, rules, typical) + static_cast<double>(demand.uncachedTokens_);
-    return tokens / prefillRate(typical) + kvRoomSeconds(demand, now, rules, typical);
+        prefillTokensAhead(now, rules, typical) + static_cast<double>(cost.uncachedTokens_);
+    return tokens / prefillRate(typical) + kvWaitSeconds(cost, now, rules, typical);
 }
 
-double EndpointLoad::kvRoomSeconds(const Demand &demand, TimePoint now, const LoadRules &rules,
+double EndpointLoad::kvWaitSeconds(const RequestCost &cost, TimePoint now, const LoadRules &rules,
                                    const TypicalLoad &typical) const
 {
     if (kvCapacityTokens_ <= 0 || running_ <= 0 || !reportIsFresh(now, rules)) {
         return 0;
     }
-    double used = static_cast<double>(kvUsedTokens_ + demand.kvTokens_);
-    for (const OwnDispatch &dispatch : own_) {
-        used += dispatch.sentAt_ + ReportCoverMargin < stamp_
+    double used = static_cast<double>(kvUsedTokens_ + cost.kvTokens_);
+    for (const OwnDispatch &dispatch : ownDispatches_) {
+        used += dispatch.sentAt_ + ReportCoverageMargin < stamp_
                     ? 0.0
                     : static_cast<double>(dispatch.kvTokens_);
     }
@@ -190,9 +192,10 @@
     if (excess <= 0 || kvUsedTokens_ <= 0) {
         return 0;
     }
-    // Running streams end at an even pace, so the room of all of them comes free over one stream.
+    // Streams are assumed to end at a steady rate, so all used KV space is freed within the
+    // duration of one stream.
     const double streamSeconds =
-        static_cast<double>(std::max<std::int64_t>(demand.outputTokens_, 1)) / decodeRate(typical);
+        static_cast<double>(std::max<std::int64_t>(cost.outputTokens_, 1)) / decodeRate(typical);
     return streamSeconds * excess / static_cast<double>(kvUsedTokens_);
 }
 
@@ -201,22 +204,23 @@
 {
     double ratio = 1;
     if (rules.mechanisms_.has(Mechanism::Observations)) {
-        const double weight = fade(now);
-        ratio = (observed_.observedSeconds_ * weight + ObservationPriorSeconds)
-                / (observed_.estimatedSeconds_ * weight + ObservationPriorSeconds);
+        const double weight = decay(now);
+        ratio = (firstTokenStats_.observedSeconds_ * weight + ObservationPriorSeconds)
+                / (firstTokenStats_.estimatedSeconds_ * weight + ObservationPriorSeconds);
     }
     if (rules.mechanisms_.has(Mechanism::Overdue)) {
         ratio = std::max(ratio, overdueRatio(now));
     }
-    return rawSeconds * std::clamp(ratio, LeastRatio, GreatestRatio);
+    return rawSeconds * std::clamp(ratio, MinRatio, MaxRatio);
 }
 
 double EndpointLoad::overdueRatio(TimePoint now) const
 {
-    const auto oldest = std::find_if(own_.begin(), own_.end(), [](const OwnDispatch &dispatch) {
-        return dispatch.firstTokenAt_ == TimePoint::max();
-    });
-    if (oldest == own_.end()) {
+    const auto oldest =
+        std::find_if(ownDispatches_.begin(), ownDispatches_.end(), [](const OwnDispatch &dispatch) {
+            return dispatch.firstTokenAt_ == TimePoint::max();
+        });
+    if (oldest == ownDispatches_.end()) {
         return 0;
     }
     return (toSeconds(now - oldest->sentAt_) + ObservationPriorSeconds)
@@ -238,23 +242,25 @@
     return reported_ ? std::optional(role_) : std::nullopt;
 }
 
-std::vector<EndpointLoad::OwnDispatch>::iterator EndpointLoad::findOwn(std::uint64_t attempt)
+std::vector<EndpointLoad::OwnDispatch>::iterator EndpointLoad::findDispatch(std::uint64_t attempt)
 {
-    return std::find_if(own_.begin(), own_.end(),
+    return std::find_if(ownDispatches_.begin(), ownDispatches_.end(),
                         [&](const OwnDispatch &dispatch) { return dispatch.attempt_ == attempt; });
 }
 
 void EndpointLoad::observe(double observedSeconds, double estimatedSeconds, TimePoint now)
 {
-    const double weight = fade(now) * ObservationFade;
-    observed_.observedSeconds_ = observed_.observedSeconds_ * weight + observedSeconds;
-    observed_.estimatedSeconds_ = observed_.estimatedSeconds_ * weight + estimatedSeconds;
-    observed_.at_ = now;
+    const double weight = decay(now) * ObservationDecay;
+    firstTokenStats_.observedSeconds_ =
+        firstTokenStats_.observedSeconds_ * weight + observedSeconds;
+    firstTokenStats_.estimatedSeconds_ =
+        firstTokenStats_.estimatedSeconds_ * weight + estimatedSeconds;
+    firstTokenStats_.updatedAt_ = now;
 }
 
-double EndpointLoad::fade(TimePoint now) const
+double EndpointLoad::decay(TimePoint now) const
 {
-    return std::exp2(-toSeconds(now - observed_.at_) / ObservationHalfLifeSeconds);
+    return std::exp2(-toSeconds(now - firstTokenStats_.updatedAt_) / ObservationHalfLifeSeconds);
 }
 
 } // namespace almondridge::routing
--- a/libs/routing/src/endpointload.h
+++ b/libs/routing/src/endpointload.h
@@ -1,6 +1,6 @@
 /**
- * What this entry knows of one endpoint's load: the last report, its own dispatches since then,
- * and how its first tokens compared with the estimates.
+ * The load of one endpoint as this instance knows it: the last report, the requests that this
+ * instance has sent since, and how observed first-token times compared with the estimates.
  */
 #pragma once
 
@@ -13,78 +13,84 @@
 
 namespace almondridge::routing {
 
-/** What an endpoint without a usable report is assumed to be like: the median of its group. */
+/** Medians over a group of endpoints, assumed for an endpoint without a usable report. */
 struct TypicalLoad
 {
-    double prefillTokensPerSecond_ = 8'000; ///< Until any engine has told its rate.
+    double prefillTokensPerSecond_ = 8'000; ///< Until an engine reports its rate.
     double decodeTokensPerSecond_ = 30;
-    double prefillTokensAhead_ = 0;
-    double outstanding_ = 0; ///< Requests, as services report them.
-    double reportWorth_ = 1; ///< See ReportReliability.
+    double prefillTokensAhead_ = 0; ///< Prompt tokens queued for prefill.
+    double outstanding_ = 0;        ///< Running and waiting requests; used for services.
+    double reportWeight_ = 1;       ///< See ReportReliability::weight().
 };
 
-/** What an engine's report said beyond the typical load, and what a dispatch then met. */
+/** How far the wait of one dispatch exceeded the typical wait, as reported and as observed. */
 struct ReportOutcome
 {
-    double reportedSeconds_ = 0;
-    double observedSeconds_ = 0;
+    double reportedExcessSeconds_ = 0;
+    double observedExcessSeconds_ = 0;
 };
 
-/** What the estimate needs to know of a request. */
-struct Demand
+/** The work that a request makes for an engine, in tokens. */
+struct RequestCost
 {
     std::int64_t uncachedTokens_ = 0;
     std::int64_t kvTokens_ = 0; ///< Prompt and expected output.
     std::int64_t outputTokens_ = 0;
 };
 
-/** Settings that hold for all endpoints. */
+/** Settings that apply to all endpoints. */
 struct LoadRules
 {
-    Duration staleAfter_ {};
+    Duration staleAfter_ {}; ///< Reports older than this are ignored.
     Mechanisms mechanisms_;
 };
 
+/** Combines the reports of one endpoint with the dispatches of this instance. */
 class EndpointLoad
 {
 public:
-    /** False when the report is older than the one known, and ignored. */
+    /** Returns false, and ignores the report, if it is older than the last one. */
     bool onReport(const LoadReport &report, TimePoint now);
-    /** Forgets what was measured on a configuration that no longer holds. */
+    /** Discards measurements; call when the endpoint's configuration has changed. */
     void reset();
 
-    /** rawSeconds: the uncorrected estimate it was dispatched on. */
-    void onDispatched(std::uint64_t attempt, const Demand &demand, double rawSeconds, TimePoint now,
-                      const LoadRules &rules, const TypicalLoad &typical);
-    /** Nothing when there was no report to compare with. */
+    /** rawSeconds: the estimated time to first token before correction. */
+    void onDispatched(std::uint64_t attempt, const RequestCost &cost, double rawSeconds,
+                      TimePoint now, const LoadRules &rules, const TypicalLoad &typical);
+    /** Returns nullopt if there was no fresh report at dispatch to compare with. */
     std::optional<ReportOutcome> onFirstToken(std::uint64_t attempt, TimePoint now);
     void onFinished(std::uint64_t attempt);
 
-    /** Whether the last report may still be believed. */
+    /** Whether the last report is recent enough to be used. */
     bool reportIsFresh(TimePoint now, const LoadRules &rules) const;
-    /** Prompt tokens to be read before a new request's own. */
+    /** Prompt tokens that the engine has to prefill before those of a new request. */
     double prefillTokensAhead(TimePoint now, const LoadRules &rules,
                               const TypicalLoad &typical) const;
-    /** Prompt tokens that the report counts as waiting and that are not this entry's own. */
-    double reportedByOthers(const LoadRules &rules) const;
-    /** Requests begun and not ended, for services. */
+    /** Waiting prompt tokens in the last report, without those that this instance sent. */
+    double reportedTokensOfOthers(const LoadRules &rules) const;
+    /** Unfinished requests; used for services. */
     double outstanding(TimePoint now, const LoadRules &rules, const TypicalLoad &typical) const;
-    /** KV cache in use or under way, as a share of what there is; streams when not told. */
-    double writingShare(TimePoint now, const LoadRules &rules, const TypicalLoad &typical) const;
-    /** Seconds to the first token before correction by this entry's own observations. */
-    double rawSeconds(const Demand &demand, TimePoint now, const LoadRules &rules,
+    /**
+     * Used part of the KV cache, including requests not yet reported. May exceed 1. Based on the
+     * number of streams if the engine does not report its KV capacity.
+     */
+    double kvUtilization(TimePoint now, const LoadRules &rules, const TypicalLoad &typical) const;
+    /** Estimated time to first token, before correction by observed first-token times. */
+    double rawSeconds(const RequestCost &cost, TimePoint now, const LoadRules &rules,
                       const TypicalLoad &typical) const;
-    /** Seconds to the first token. */
+    /** The estimate rawSeconds, corrected by observed and overdue first tokens. */
     double correctedSeconds(double rawSeconds, TimePoint now, const LoadRules &rules) const;
 
+    /** Tokens per second as reported, else the typical rate. */
     double prefillRate(const TypicalLoad &typical) const;
+    /** Tokens per second of one stream as reported, else the typical rate. */
     double decodeRate(const TypicalLoad &typical) const;
     std::optional<fleet::EngineRole> reportedRole() const;
     bool admits() const { return !reported_ || admits_; }
-    std::size_t ownDispatches() const { return own_.size(); }
+    std::size_t ownDispatches() const { return ownDispatches_.size(); }
 
 private:
-    /** A dispatch of this entry that has not ended. */
+    /** An unfinished request that this instance sent. */
     struct OwnDispatch
     {
         std::uint64_t attempt_ = 0;
@@ -93,24 +99,24 @@
         std::int64_t prefillTokens_ = 0;
         std::int64_t kvTokens_ = 0;
         double estimatedSeconds_ = 0;
-        double reportedSeconds_ = 0; ///< Reported wait beyond the typical one.
-        double typicalSeconds_ = 0;  ///< The estimate, had the report been the typical one.
-        bool hadReport_ = false;
+        double reportedExcessSeconds_ = 0; ///< Reported wait minus the typical wait.
+        double typicalSeconds_ = 0;        ///< The estimate if the report had been typical.
+        bool hadFreshReport_ = false;
     };
 
-    /** Sums of observed and estimated seconds, both fading with each observation and with time. */
-    struct Observed
+    /** Sums of observed and estimated times that decay with each observation and with time. */
+    struct FirstTokenStats
     {
         double observedSeconds_ = 0;
         double estimatedSeconds_ = 0;
-        TimePoint at_ {};
+        TimePoint updatedAt_ {};
     };
 
-    std::vector<OwnDispatch>::iterator findOwn(std::uint64_t attempt);
+    std::vector<OwnDispatch>::iterator findDispatch(std::uint64_t attempt);
     void observe(double observedSeconds, double estimatedSeconds, TimePoint now);
-    double fade(TimePoint now) const;
+    double decay(TimePoint now) const;
     double overdueRatio(TimePoint now) const;
-    double kvRoomSeconds(const Demand &demand, TimePoint now, const LoadRules &rules,
+    double kvWaitSeconds(const RequestCost &cost, TimePoint now, const LoadRules &rules,
                          const TypicalLoad &typical) const;
 
     TimePoint stamp_ {};
@@ -124,8 +130,8 @@
     fleet::EngineRole role_ = fleet::EngineRole::Mixed;
     bool admits_ = true;
     bool reported_ = false;
-    std::vector<OwnDispatch> own_; ///< In the order of dispatch.
-    Observed observed_;
+    std::vector<OwnDispatch> ownDispatches_; ///< In order of dispatch.
+    FirstTokenStats firstTokenStats_;
 };
 
 } // namespace almondridge::routing
--- a/libs/routing/src/endpointselector.cpp
+++ b/libs/routing/src/endpointselector.cpp
@@ -10,30 +10,31 @@
 using fleet::EngineRole;
 
 /**
- * Bounded load: an engine with affinity is taken up to this multiple of the median of the other
- * candidates. Their median and not their best, since the best of many late estimates is mostly the
- * one that is most wrong, and a prompt read anew makes load.
+ * Consistent hashing with bounded loads: an engine with affinity is preferred while its score is at
+ * most this multiple of the median score of the other candidates. The median is used because the
+ * best of many outdated estimates is mostly the one with the largest error, and because prefilling
+ * a prompt again adds load.
  */
-constexpr double AffinityBound = 4;
-/** From this shared part of the prompt on the whole bound holds, below it a part. */
-constexpr double FullBoundPart = 0.5;
+constexpr double MaxAffinityFactor = 4;
+/** Shared fraction of the prompt from which the whole factor applies; it is scaled down below. */
+constexpr double FullFactorSharedFraction = 0.5;
 constexpr double AffinitySlackSeconds = 0.02;
-/** Where less of the prompt is shared, affinity brings too little to queue for. */
-constexpr double LeastSharedPart = 0.1;
+/** Below this shared fraction affinity is ignored: too little is saved to justify queueing. */
+constexpr double MinSharedFraction = 0.1;
 
-/** Another domain must need less than this part of the local time, penalty included. */
-constexpr double ClearlyBetter = 0.5;
-/** Room below this share is what a domain needs for its own bursts. */
-constexpr double LeastSpareShare = 0.1;
+/** Another domain is used if its time, penalty included, is below this part of the local time. */
+constexpr double MaxOtherDomainRatio = 0.5;
+/** Domains with less spare capacity need it for their own bursts. */
+constexpr double MinSpareShare = 0.1;
 
-/** Alternatives that a choice's reason names. */
-constexpr std::size_t ToldAlternatives = 3;
+/** Alternatives listed in RouteChoice::reason_. */
+constexpr std::size_t MaxLoggedAlternatives = 3;
 
-/** A KV handover costs a fixed part and the transfer, at 160 KB a token over some 32 GB/s. */
-constexpr double HandoverSeconds = 0.005;
+/** Cost of a KV transfer: a fixed part, and 160 KB per token at about 32 GB/s. */
+constexpr double HandoverFixedSeconds = 0.005;
 constexpr double HandoverTokensPerSecond = 200'000;
-/** Shorter prompts are read alone: the second engine's part of the work would not pay. */
-constexpr std::int64_t LeastSplitTokens = 512;
+/** Shorter prompts stay on one engine, since splitting them saves less than it costs. */
+constexpr std::int64_t MinSplitTokens = 512;
 
 Duration toDuration(double seconds)
 {
@@ -42,18 +43,18 @@
 
 bool hasAffinity(const Candidate &candidate)
 {
-    const bool ruled =
+    const bool byAffinityRule =
         candidate.rule_ == CandidateRule::Holder || candidate.rule_ == CandidateRule::Rendezvous;
-    return ruled && candidate.sharedPart_ >= LeastSharedPart;
+    return byAffinityRule && candidate.sharedFraction_ >= MinSharedFraction;
 }
 
-bool scoresLess(const Candidate &left, const Candidate &right)
+bool hasLowerScore(const Candidate &left, const Candidate &right)
 {
     return left.score_ < right.score_;
 }
 
-/** The median score of the candidates without affinity; infinite when all have it. */
-double medianOfOthers(const std::vector<Candidate> &candidates)
+/** Median score of the candidates without affinity; infinity if all have it. */
+double medianWithoutAffinity(const std::vector<Candidate> &candidates)
 {
     std::vector<double> scores;
     for (const Candidate &candidate : candidates) {
@@ -71,8 +72,8 @@
 
 } // namespace
 
-Chooser::Chooser(EndpointTable &table, const ChoiceSettings &settings, const RouteQuery &query,
-                 const PrefixHits &hits, TimePoint now)
+EndpointSelector::EndpointSelector(EndpointTable &table, const ChoiceSettings &settings,
+                                   const RouteQuery &query, const PrefixHits &hits, TimePoint now)
     : table_(table)
     , settings_(settings)
     , query_(query)
@@ -80,37 +81,39 @@
     , sampler_(table, settings, query, hits, now)
 { }
 
-std::optional<RouteChoice> Chooser::choose(const DomainRooms &rooms)
+std::optional<RouteChoice> EndpointSelector::choose(const DomainCapacities &capacities)
 {
     const std::span<const GroupIndex> groups = table_.groupsFor(query_.model_, query_.service_);
     if (groups.empty()) {
         return std::nullopt;
     }
     const bool local = table_.group(groups.front()).domain_ == table_.domain();
-    std::optional<Pick> pick;
+    std::optional<Selection> selection;
     if (local) {
-        pick = query_.model_.empty() ? pickService(groups.front()) : pickEngine(groups.front());
+        selection =
+            query_.model_.empty() ? selectService(groups.front()) : selectEngine(groups.front());
     }
-    if (!pick || pick->taken_.seconds_ > settings_.firstTokenAimSeconds_) {
-        const std::optional<Pick> other =
-            pickOtherDomain(local ? groups.subspan(1) : groups, rooms);
+    if (!selection || selection->selected_.seconds_ > settings_.firstTokenTargetSeconds_) {
+        const std::optional<Selection> other =
+            selectOtherDomain(local ? groups.subspan(1) : groups, capacities);
         const bool better =
-            other && pick && other->taken_.seconds_ < pick->taken_.seconds_ * ClearlyBetter;
-        if (other && (!pick || better)) {
-            pick = other;
+            other && selection
+            && other->selected_.seconds_ < selection->selected_.seconds_ * MaxOtherDomainRatio;
+        if (other && (!selection || better)) {
+            selection = other;
         }
     }
-    if (!pick && local) {
-        pick = pickInBackoff(groups.front());
+    if (!selection && local) {
+        selection = selectInBackoff(groups.front());
     }
-    return pick ? std::optional(toChoice(*pick)) : std::nullopt;
+    return selection ? std::optional(toChoice(*selection)) : std::nullopt;
 }
 
-std::optional<Chooser::Pick> Chooser::pickService(GroupIndex group)
+std::optional<EndpointSelector::Selection> EndpointSelector::selectService(GroupIndex group)
 {
-    const EndpointGroup &endpoints = table_.refreshed(group, now_);
+    const EndpointGroup &endpoints = table_.refreshedGroup(group, now_);
     std::vector<Candidate> candidates =
-        sampler_.random({&endpoints.open(EngineRole::Mixed)}, 2, CandidateRule::Random);
+        sampler_.sampleRandom({&endpoints.available(EngineRole::Mixed)}, 2, CandidateRule::Random);
     if (candidates.empty()) {
         return std::nullopt;
     }
@@ -121,67 +124,72 @@
     return best(std::move(candidates));
 }
 
-std::optional<Chooser::Pick> Chooser::pickEngine(GroupIndex group)
+std::optional<EndpointSelector::Selection> EndpointSelector::selectEngine(GroupIndex group)
 {
-    const EndpointGroup &engines = table_.refreshed(group, now_);
+    const EndpointGroup &engines = table_.refreshedGroup(group, now_);
     std::vector<Candidate> candidates = sampler_.gather(
-        group, {&engines.open(EngineRole::Mixed), &engines.open(EngineRole::Decode)});
+        group, {&engines.available(EngineRole::Mixed), &engines.available(EngineRole::Decode)});
     if (candidates.empty()) {
-        // A prefill engine decodes too, only slowly: better than refusing the request.
-        candidates = sampler_.gather(group, {&engines.open(EngineRole::Prefill)});
+        // A prefill engine can decode too, only slowly, which is better than a refusal.
+        candidates = sampler_.gather(group, {&engines.available(EngineRole::Prefill)});
     }
     if (candidates.empty()) {
         return std::nullopt;
     }
-    Pick alone = best(std::move(candidates));
-    std::optional<Pick> split = pickSplit(group, alone.taken_);
-    return split ? split : alone;
+    Selection single = best(std::move(candidates));
+    std::optional<Selection> split = selectSplit(group, single.selected_);
+    return split ? split : single;
 }
 
-std::optional<Chooser::Pick> Chooser::pickSplit(GroupIndex group, const Candidate &alone)
+std::optional<EndpointSelector::Selection> EndpointSelector::selectSplit(GroupIndex group,
+                                                                         const Candidate &single)
 {
-    const EndpointGroup &engines = table_.refreshed(group, now_);
-    const std::int64_t uncached = query_.promptTokens_ - alone.cachedTokens_;
-    if (uncached < LeastSplitTokens || engines.open(EngineRole::Prefill).empty()) {
+    const EndpointGroup &engines = table_.refreshedGroup(group, now_);
+    const std::int64_t uncached = query_.promptTokens_ - single.cachedTokens_;
+    if (uncached < MinSplitTokens || engines.available(EngineRole::Prefill).empty()) {
         return std::nullopt;
     }
-    std::vector<Candidate> readers = sampler_.gather(group, {&engines.open(EngineRole::Prefill)});
-    std::vector<Candidate> decoders = sampler_.random(
-        {&engines.open(EngineRole::Decode)}, settings_.randomCandidates_, CandidateRule::Random);
-    if (readers.empty() || decoders.empty()) {
+    std::vector<Candidate> prefillCandidates =
+        sampler_.gather(group, {&engines.available(EngineRole::Prefill)});
+    std::vector<Candidate> decodeCandidates =
+        sampler_.sampleRandom({&engines.available(EngineRole::Decode)}, settings_.randomCandidates_,
+                              CandidateRule::Random);
+    if (prefillCandidates.empty() || decodeCandidates.empty()) {
         return std::nullopt;
     }
-    Pick split = best(std::move(readers));
+    Selection split = best(std::move(prefillCandidates));
     const double handover =
-        HandoverSeconds + static_cast<double>(query_.promptTokens_) / HandoverTokensPerSecond;
-    const double seconds = split.taken_.seconds_ + handover;
-    if (seconds >= alone.seconds_) {
+        HandoverFixedSeconds + static_cast<double>(query_.promptTokens_) / HandoverTokensPerSecond;
+    const double seconds = split.selected_.seconds_ + handover;
+    if (seconds >= single.seconds_) {
         return std::nullopt;
     }
-    split.prefill_ = split.taken_;
-    split.others_.push_back(alone);
-    split.taken_ = *std::min_element(decoders.begin(), decoders.end(), scoresLess);
-    split.taken_.seconds_ = seconds;
+    split.prefill_ = split.selected_;
+    split.alternatives_.push_back(single);
+    split.selected_ =
+        *std::min_element(decodeCandidates.begin(), decodeCandidates.end(), hasLowerScore);
+    split.selected_.seconds_ = seconds;
     return split;
 }
 
-std::optional<Chooser::Pick> Chooser::pickOtherDomain(std::span<const GroupIndex> groups,
-                                                      const DomainRooms &rooms)
+std::optional<EndpointSelector::Selection>
+EndpointSelector::selectOtherDomain(std::span<const GroupIndex> groups,
+                                    const DomainCapacities &capacities)
 {
     std::vector<Candidate> candidates;
     for (const GroupIndex index : groups) {
-        const auto room = rooms.find(table_.group(index).domain_);
-        if (room == rooms.end() || room->second.validUntil_ <= now_
-            || room->second.spareShare_ < LeastSpareShare) {
+        const auto capacity = capacities.find(table_.group(index).domain_);
+        if (capacity == capacities.end() || capacity->second.validUntil_ <= now_
+            || capacity->second.spareShare_ < MinSpareShare) {
             continue;
         }
-        const EndpointGroup &group = table_.refreshed(index, now_);
-        std::vector<Candidate> found =
-            sampler_.random({&group.open(EngineRole::Mixed), &group.open(EngineRole::Decode)}, 1,
-                            CandidateRule::OtherDomain);
+        const EndpointGroup &group = table_.refreshedGroup(index, now_);
+        std::vector<Candidate> found = sampler_.sampleRandom(
+            {&group.available(EngineRole::Mixed), &group.available(EngineRole::Decode)}, 1,
+            CandidateRule::OtherDomain);
         for (Candidate &candidate : found) {
-            // Without a report of its own the engine is as free as its domain says.
-            const double share = candidate.fresh_ ? 1.0 : room->second.spareShare_;
+            // Without a fresh report of the engine, use the spare share of its domain.
+            const double share = candidate.hasFreshReport_ ? 1.0 : capacity->second.spareShare_;
             candidate.seconds_ = candidate.seconds_ / share + settings_.otherDomainPenaltySeconds_;
             candidate.score_ = candidate.seconds_;
             candidates.push_back(candidate);
@@ -190,75 +198,78 @@
     if (candidates.empty()) {
         return std::nullopt;
     }
-    Pick pick = best(std::move(candidates));
-    pick.otherDomain_ = true;
-    return pick;
+    Selection selection = best(std::move(candidates));
+    selection.otherDomain_ = true;
+    return selection;
 }
 
-std::optional<Chooser::Pick> Chooser::pickInBackoff(GroupIndex group)
+std::optional<EndpointSelector::Selection> EndpointSelector::selectInBackoff(GroupIndex group)
 {
-    // When every endpoint is in back-off the fault may be the requests': one that crashes engines
-    // would otherwise close the whole domain to everyone else until the back-off ends.
+    // If every endpoint is in back-off, the requests may be the cause: otherwise one query of death
+    // would block the whole domain for all clients until the back-off ends.
     sampler_.ignoreBackoff();
-    const EndpointGroup &endpoints = table_.refreshed(group, now_);
-    std::vector<Candidate> candidates =
-        sampler_.random({&endpoints.open(EngineRole::Mixed), &endpoints.open(EngineRole::Decode),
-                         &endpoints.open(EngineRole::Prefill)},
-                        settings_.randomCandidates_, CandidateRule::LastResort);
+    const EndpointGroup &endpoints = table_.refreshedGroup(group, now_);
+    std::vector<Candidate> candidates = sampler_.sampleRandom(
+        {&endpoints.available(EngineRole::Mixed), &endpoints.available(EngineRole::Decode),
+         &endpoints.available(EngineRole::Prefill)},
+        settings_.randomCandidates_, CandidateRule::LastResort);
     return candidates.empty() ? std::nullopt : std::optional(best(std::move(candidates)));
 }
 
-Chooser::Pick Chooser::best(std::vector<Candidate> candidates)
+EndpointSelector::Selection EndpointSelector::best(std::vector<Candidate> candidates)
 {
-    auto taken = std::min_element(candidates.begin(), candidates.end(), scoresLess);
-    const double median = medianOfOthers(candidates);
-    const auto within = [&](const Candidate &candidate) {
+    auto selected = std::min_element(candidates.begin(), candidates.end(), hasLowerScore);
+    const double median = medianWithoutAffinity(candidates);
+    const auto withinBound = [&](const Candidate &candidate) {
         const double factor =
-            1 + (AffinityBound - 1) * std::min(candidate.sharedPart_ / FullBoundPart, 1.0);
+            1
+            + (MaxAffinityFactor - 1)
+                  * std::min(candidate.sharedFraction_ / FullFactorSharedFraction, 1.0);
         return hasAffinity(candidate) && candidate.score_ <= median * factor + AffinitySlackSeconds;
     };
-    if (!hasAffinity(*taken)) {
-        const auto affine = std::find_if(candidates.begin(), candidates.end(), within);
-        taken = affine == candidates.end() ? taken : affine;
+    if (!hasAffinity(*selected)) {
+        const auto withAffinity = std::find_if(candidates.begin(), candidates.end(), withinBound);
+        selected = withAffinity == candidates.end() ? selected : withAffinity;
     }
-    Pick pick;
-    pick.taken_ = *taken;
-    candidates.erase(taken);
-    const std::size_t told = std::min(candidates.size(), ToldAlternatives);
-    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(told),
-                      candidates.end(), scoresLess);
-    candidates.resize(told);
-    pick.others_ = std::move(candidates);
-    return pick;
+    Selection selection;
+    selection.selected_ = *selected;
+    candidates.erase(selected);
+    const std::size_t logged = std::min(candidates.size(), MaxLoggedAlternatives);
+    std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(logged),
+                      candidates.end(), hasLowerScore);
+    candidates.resize(logged);
+    selection.alternatives_ = std::move(candidates);
+    return selection;
 }
 
-RouteChoice Chooser::toChoice(const Pick &pick) const
+RouteChoice EndpointSelector::toChoice(const Selection &selection) const
 {
     RouteChoice choice;
-    choice.endpoint_ = table_.at(pick.taken_.slot_).id_;
-    if (pick.prefill_) {
-        choice.prefill_ = table_.at(pick.prefill_->slot_).id_;
+    choice.endpoint_ = table_.at(selection.selected_.slot_).id_;
+    if (selection.prefill_) {
+        choice.prefill_ = table_.at(selection.prefill_->slot_).id_;
     }
-    choice.firstToken_ = now_ + toDuration(pick.taken_.seconds_);
-    choice.otherDomain_ = pick.otherDomain_;
-    choice.reason_ = reasonOf(pick);
+    choice.firstToken_ = now_ + toDuration(selection.selected_.seconds_);
+    choice.otherDomain_ = selection.otherDomain_;
+    choice.reason_ = formatReason(selection);
     return choice;
 }
 
-std::string Chooser::reasonOf(const Pick &pick) const
+std::string EndpointSelector::formatReason(const Selection &selection) const
 {
-    const Candidate &because = pick.prefill_ ? *pick.prefill_ : pick.taken_;
-    std::string reason = fmt::format(
-        "rule={} estimate_ms={:.0f} cached_tokens={} report={} split={} alternatives=",
-        nameOf(CandidateRuleNames, because.rule_), pick.taken_.seconds_ * 1e3,
-        because.cachedTokens_, because.fresh_ ? "fresh" : "unknown", pick.prefill_ ? "yes" : "no");
-    if (pick.others_.empty()) {
+    const Candidate &deciding = selection.prefill_ ? *selection.prefill_ : selection.selected_;
+    std::string reason =
+        fmt::format("rule={} estimate_ms={:.0f} cached_tokens={} report={} split={} alternatives=",
+                    nameOf(CandidateRuleNames, deciding.rule_), selection.selected_.seconds_ * 1e3,
+                    deciding.cachedTokens_, deciding.hasFreshReport_ ? "fresh" : "unknown",
+                    selection.prefill_ ? "yes" : "no");
+    if (selection.alternatives_.empty()) {
         return reason + "none";
     }
-    for (const Candidate &other : pick.others_) {
+    for (const Candidate &other : selection.alternatives_) {
         fmt::format_to(std::back_inserter(reason), "{}{}:{:.0f}",
-                       &other == pick.others_.data() ? "" : ",", table_.at(other.slot_).id_.value(),
-                       other.seconds_ * 1e3);
+                       &other == selection.alternatives_.data() ? "" : ",",
+                       table_.at(other.slot_).id_.value(), other.seconds_ * 1e3);
     }
     return reason;
 }
--- a/libs/routing/src/endpointselector.h
+++ b/libs/routing/src/endpointselector.h
@@ -1,5 +1,5 @@
 /**
- * One choice of an endpoint among its candidates. Lives for one call of Router::choose().
+ * Selects an endpoint for one request. Created for one call of Router::choose().
  */
 #pragma once
 
@@ -10,42 +10,45 @@
 
 namespace almondridge::routing {
 
-/** Another domain's word on its room. */
-struct DomainRoom
+/** Spare capacity that another failure domain reported. */
+struct DomainCapacity
 {
-    double spareShare_ = 0;
+    double spareShare_ = 0; ///< Free share of its engines, 0 to 1.
     TimePoint validUntil_ {};
 };
 
-using DomainRooms = std::map<DomainId, DomainRoom>;
+using DomainCapacities = std::map<DomainId, DomainCapacity>;
 
-class Chooser
+/** Applies the selection rules to the candidates of one request. */
+class EndpointSelector
 {
 public:
-    Chooser(EndpointTable &table, const ChoiceSettings &settings, const RouteQuery &query,
-            const PrefixHits &hits, TimePoint now);
+    EndpointSelector(EndpointTable &table, const ChoiceSettings &settings, const RouteQuery &query,
+                     const PrefixHits &hits, TimePoint now);
 
-    std::optional<RouteChoice> choose(const DomainRooms &rooms);
+    /** Returns nullopt if no endpoint is available. */
+    std::optional<RouteChoice> choose(const DomainCapacities &capacities);
 
 private:
-    struct Pick
+    /** The selected candidate or, with prefill_, the pair of them. */
+    struct Selection
     {
-        Candidate taken_;
+        Candidate selected_;
         std::optional<Candidate> prefill_;
-        std::vector<Candidate> others_; ///< Alternatives, for the reason.
+        std::vector<Candidate> alternatives_; ///< The next best, for RouteChoice::reason_.
         bool otherDomain_ = false;
     };
 
-    std::optional<Pick> pickService(GroupIndex group);
-    std::optional<Pick> pickEngine(GroupIndex group);
-    std::optional<Pick> pickSplit(GroupIndex group, const Candidate &alone);
-    std::optional<Pick> pickOtherDomain(std::span<const GroupIndex> groups,
-                                        const DomainRooms &rooms);
-    std::optional<Pick> pickInBackoff(GroupIndex group);
-    /** The best by score, or one with affinity that is hardly worse. */
-    static Pick best(std::vector<Candidate> candidates);
-    RouteChoice toChoice(const Pick &pick) const;
-    std::string reasonOf(const Pick &pick) const;
+    std::optional<Selection> selectService(GroupIndex group);
+    std::optional<Selection> selectEngine(GroupIndex group);
+    std::optional<Selection> selectSplit(GroupIndex group, const Candidate &single);
+    std::optional<Selection> selectOtherDomain(std::span<const GroupIndex> groups,
+                                               const DomainCapacities &capacities);
+    std::optional<Selection> selectInBackoff(GroupIndex group);
+    /** The candidate with the lowest score, or one with affinity within the affinity bound. */
+    static Selection best(std::vector<Candidate> candidates);
+    RouteChoice toChoice(const Selection &selection) const;
+    std::string formatReason(const Selection &selection) const;
 
     EndpointTable &table_;
     const ChoiceSettings &settings_;
--- a/libs/routing/src/endpointtable.cpp
+++ b/libs/routing/src/endpointtable.cpp
@@ -5,12 +5,13 @@
 namespace almondridge::routing {
 namespace {
 
-/** Medians move slowly against single queues, and sorting a group for each choice would not. */
-constexpr Duration TypicalLife = millis(100);
+/** Caches the medians, which change slowly, since computing them per choice is expensive. */
+constexpr Duration TypicalLoadTtl = millis(100);
 
-constexpr std::size_t EmptyGroupsKept = 64;
+/** Empty groups are dropped only beyond this number. */
+constexpr std::size_t MaxEmptyGroups = 64;
 
-/** FNV-1a rather than std::hash: every process must rank the endpoints alike. */
+/** FNV-1a instead of std::hash, since all processes must rank endpoints equally. */
 std::uint64_t stableHash(std::string_view text)
 {
     std::uint64_t hash = 0xcbf29ce484222325ULL;
@@ -40,13 +41,13 @@
 void EndpointTable::setFleet(const fleet::Fleet &fleet)
 {
     removeMissing(fleet);
-    forgetEmptyGroups();
+    dropEmptyGroups();
     for (EndpointGroup &group : groups_) {
         group.members_.clear();
-        group.changed_ = true;
+        group.listsOutdated_ = true;
     }
     for (const auto &[id, endpoint] : fleet.endpoints_) {
-        place(endpoint);
+        addEndpoint(endpoint);
     }
 }
 
@@ -64,7 +65,7 @@
 
 EndpointSlot *EndpointTable::at(SlotRef ref)
 {
-    const bool same = ref.index_ < slots_.size() && slots_[ref.index_].used_
+    const bool same = ref.index_ < slots_.size() && slots_[ref.index_].inUse_
                       && slots_[ref.index_].generation_ == ref.generation_;
     return same ? &slots_[ref.index_] : nullptr;
 }
@@ -82,18 +83,18 @@
 
 void EndpointTable::observeReport(const EndpointSlot &slot, const ReportOutcome &outcome)
 {
-    groups_[slot.group_].worth_.observe(outcome);
+    groups_[slot.group_].reportReliability_.observe(outcome);
 }
 
-const EndpointGroup &EndpointTable::refreshed(GroupIndex index, TimePoint now)
+const EndpointGroup &EndpointTable::refreshedGroup(GroupIndex index, TimePoint now)
 {
     EndpointGroup &group = groups_[index];
-    if (group.changed_) {
-        relist(group);
+    if (group.listsOutdated_) {
+        rebuildLists(group);
     }
-    if (now >= group.typicalUntil_) {
-        group.typical_ = typicalOf(group, now);
-        group.typicalUntil_ = now + TypicalLife;
+    if (now >= group.typicalExpiresAt_) {
+        group.typical_ = computeTypicalLoad(group, now);
+        group.typicalExpiresAt_ = now + TypicalLoadTtl;
     }
     return group;
 }
@@ -112,14 +113,14 @@
     });
 }
 
-void EndpointTable::forgetEmptyGroups()
+void EndpointTable::dropEmptyGroups()
 {
-    // Groups keep what they learnt from one file to the next, so those of models that are gone
-    // would pile up over the months.
+    // Groups keep their state across configuration changes, so groups of removed models would
+    // accumulate over months.
     const auto empty = static_cast<std::size_t>(
         std::count_if(groups_.begin(), groups_.end(),
                       [](const EndpointGroup &group) { return group.members_.empty(); }));
-    if (empty * 2 > groups_.size() && empty > EmptyGroupsKept) {
+    if (empty * 2 > groups_.size() && empty > MaxEmptyGroups) {
         groups_.clear();
         byModel_.clear();
         byService_.clear();
@@ -145,18 +146,18 @@
     return index;
 }
 
-void EndpointTable::place(const fleet::Endpoint &endpoint)
+void EndpointTable::addEndpoint(const fleet::Endpoint &endpoint)
 {
     const SlotIndex index = slotFor(endpoint.id_);
     EndpointSlot &slot = slots_[index];
-    if (slot.used_ && slot.model_ != endpoint.model_) {
+    if (slot.inUse_ && slot.model_ != endpoint.model_) {
         slot.load_.reset();
     }
     slot.model_ = endpoint.model_;
     slot.kind_ = endpoint.kind_;
-    slot.fileRole_ = endpoint.role_;
+    slot.configuredRole_ = endpoint.role_;
     slot.leaving_ = endpoint.leaving_;
-    slot.used_ = true;
+    slot.inUse_ = true;
     slot.group_ = groupFor(endpoint);
     groups_[slot.group_].members_.push_back(index);
 }
@@ -179,22 +180,22 @@
     return index;
 }
 
-void EndpointTable::relist(EndpointGroup &group)
+void EndpointTable::rebuildLists(EndpointGroup &group)
 {
-    for (std::vector<OpenEndpoint> &list : group.openByRole_) {
+    for (std::vector<AvailableEndpoint> &list : group.availableByRole_) {
         list.clear();
     }
     for (const SlotIndex index : group.members_) {
         const EndpointSlot &slot = slots_[index];
-        if (slot.open()) {
-            group.openByRole_[static_cast<std::size_t>(slot.role())].push_back(
+        if (slot.available()) {
+            group.availableByRole_[static_cast<std::size_t>(slot.role())].push_back(
                 {index, slot.idHash_});
         }
     }
-    group.changed_ = false;
+    group.listsOutdated_ = false;
 }
 
-TypicalLoad EndpointTable::typicalOf(const EndpointGroup &group, TimePoint now) const
+TypicalLoad EndpointTable::computeTypicalLoad(const EndpointGroup &group, TimePoint now) const
 {
     std::vector<double> prefillRates;
     std::vector<double> decodeRates;
@@ -207,15 +208,16 @@
         }
         prefillRates.push_back(load.prefillRate({}));
         decodeRates.push_back(load.decodeRate({}));
-        ahead.push_back(load.reportedByOthers(rules_));
+        ahead.push_back(load.reportedTokensOfOthers(rules_));
         outstanding.push_back(load.outstanding(now, rules_, {}));
     }
-    const double worth =
-        rules_.mechanisms_.has(Mechanism::ReportReliability) ? group.worth_.share() : 1.0;
-    const TypicalLoad before = group.typical_;
-    return {median(prefillRates).value_or(before.prefillTokensPerSecond_),
-            median(decodeRates).value_or(before.decodeTokensPerSecond_), median(ahead).value_or(0),
-            median(outstanding).value_or(0), worth};
+    const double reportWeight = rules_.mechanisms_.has(Mechanism::ReportReliability)
+                                    ? group.reportReliability_.weight()
+                                    : 1.0;
+    const TypicalLoad previous = group.typical_;
+    return {median(prefillRates).value_or(previous.prefillTokensPerSecond_),
+            median(decodeRates).value_or(previous.decodeTokensPerSecond_),
+            median(ahead).value_or(0), median(outstanding).value_or(0), reportWeight};
 }
 
 } // namespace almondridge::routing
--- a/libs/routing/src/endpointtable.h
+++ b/libs/routing/src/endpointtable.h
@@ -1,5 +1,5 @@
 /**
- * All endpoints of the fleet in force, in slots, grouped by what they serve and by failure domain.
+ * The endpoints of the current fleet, grouped by model or service and by failure domain.
  */
 #pragma once
 
@@ -17,33 +17,34 @@
 using SlotIndex = std::uint32_t;
 using GroupIndex = std::uint32_t;
 
+/** A place in the table for one endpoint. Slots are reused. */
 struct EndpointSlot
 {
     EndpointId id_;
-    std::uint32_t generation_ = 1; ///< Grows when the slot gets another endpoint.
-    std::uint64_t idHash_ = 0;     ///< For rendezvous hashing; the same in all processes.
+    std::uint32_t generation_ = 1; ///< Incremented when the slot is freed.
+    std::uint64_t idHash_ = 0;     ///< For rendezvous hashing; equal in all processes.
     GroupIndex group_ = 0;
     ModelId model_; ///< Empty for services.
     fleet::EndpointKind kind_ = fleet::EndpointKind::Engine;
-    fleet::EngineRole fileRole_ = fleet::EngineRole::Mixed;
-    bool used_ = false;
-    bool leaving_ = false;
+    fleet::EngineRole configuredRole_ = fleet::EngineRole::Mixed;
+    bool inUse_ = false;
+    bool leaving_ = false; ///< Being removed from the fleet.
     Reachability reachability_ = Reachability::Open;
     EndpointLoad load_;
     FailureBackoff backoff_;
-    HitTrust trust_;
+    CacheHitPrecision cacheHitPrecision_;
 
-    fleet::EngineRole role() const { return load_.reportedRole().value_or(fileRole_); }
-    /** Whether it may get new work at all, back-off aside. */
-    bool open() const
+    /** The reported role, else the configured one. */
+    fleet::EngineRole role() const { return load_.reportedRole().value_or(configuredRole_); }
+    /** Whether the endpoint may get new requests, regardless of its back-off. */
+    bool available() const
     {
-        return used_ && !leaving_ && reachability_ == Reachability::Open && load_.admits();
+        return inUse_ && !leaving_ && reachability_ == Reachability::Open && load_.admits();
     }
 };
 
-/** An endpoint of a group that may get new work; its hash is here so that ranking reads one array.
- */
-struct OpenEndpoint
+/** An endpoint that may get new requests. Has a copy of the hash, so ranking reads one array. */
+struct AvailableEndpoint
 {
     SlotIndex slot_ = 0;
     std::uint64_t idHash_ = 0;
@@ -56,31 +57,34 @@
 
     DomainId domain_;
     std::vector<SlotIndex> members_;
-    std::array<std::vector<OpenEndpoint>, Roles> openByRole_; ///< Services count as mixed.
-    bool changed_ = true; ///< openByRole_ no longer agrees with the slots.
-    ReportReliability worth_;
+    std::array<std::vector<AvailableEndpoint>, Roles>
+        availableByRole_;       ///< Services are under Mixed.
+    bool listsOutdated_ = true; ///< availableByRole_ must be rebuilt before use.
+    ReportReliability reportReliability_;
     TypicalLoad typical_;
-    TimePoint typicalUntil_ {}; ///< typical_ is worked out anew from then on.
+    TimePoint typicalExpiresAt_ {}; ///< When to compute typical_ again.
 
-    const std::vector<OpenEndpoint> &open(fleet::EngineRole role) const
+    const std::vector<AvailableEndpoint> &available(fleet::EngineRole role) const
     {
-        return openByRole_[static_cast<std::size_t>(role)];
+        return availableByRole_[static_cast<std::size_t>(role)];
     }
 };
 
+/** Owns the state of all endpoints. */
 class EndpointTable
 {
 public:
     EndpointTable(DomainId domain, LoadRules rules);
 
+    /** Adds, updates and removes endpoints; keeps the state of those that stay. */
     void setFleet(const fleet::Fleet &fleet);
 
-    /** Null when the fleet in force does not have it. */
+    /** Null if the endpoint is not in the current fleet. */
     EndpointSlot *find(const EndpointId &id);
     const EndpointSlot *find(const EndpointId &id) const;
     EndpointSlot &at(SlotIndex index) { return slots_[index]; }
     const EndpointSlot &at(SlotIndex index) const { return slots_[index]; }
-    /** Null when the slot has gone to another endpoint since. */
+    /** Null if the endpoint that ref was made for has been removed. */
     EndpointSlot *at(SlotRef ref);
     SlotRef refOf(SlotIndex index) const { return {index, slots_[index].generation_}; }
     SlotRef refOf(const EndpointSlot &slot) const { return refOf(indexOf(slot)); }
@@ -88,15 +92,15 @@
     {
         return static_cast<SlotIndex>(&slot - slots_.data());
     }
-    /** Learns how far the reports of the slot's group may be believed. */
+    /** Updates the report reliability of the slot's group. */
     void observeReport(const EndpointSlot &slot, const ReportOutcome &outcome);
-    /** To be called after whatever may change a slot's open() or role(). */
-    void markChanged(const EndpointSlot &slot) { groups_[slot.group_].changed_ = true; }
+    /** Call after any change that may affect the slot's available() or role(). */
+    void markListsOutdated(const EndpointSlot &slot) { groups_[slot.group_].listsOutdated_ = true; }
 
-    /** Groups of the model or service, that of the own domain first. */
+    /** Groups that serve the model or service; the group of the local domain is first. */
     std::span<const GroupIndex> groupsFor(const ModelId &model, const ServiceId &service) const;
-    /** The group with its lists and typical load brought up to date. */
-    const EndpointGroup &refreshed(GroupIndex index, TimePoint now);
+    /** Returns the group after updating its lists and typical load. */
+    const EndpointGroup &refreshedGroup(GroupIndex index, TimePoint now);
     const EndpointGroup &group(GroupIndex index) const { return groups_[index]; }
 
     const DomainId &domain() const { return domain_; }
@@ -105,12 +109,12 @@
 
 private:
     void removeMissing(const fleet::Fleet &fleet);
-    void forgetEmptyGroups();
+    void dropEmptyGroups();
     SlotIndex slotFor(const EndpointId &id);
-    void place(const fleet::Endpoint &endpoint);
+    void addEndpoint(const fleet::Endpoint &endpoint);
     GroupIndex groupFor(const fleet::Endpoint &endpoint);
-    void relist(EndpointGroup &group);
-    TypicalLoad typicalOf(const EndpointGroup &group, TimePoint now) const;
+    void rebuildLists(EndpointGroup &group);
+    TypicalLoad computeTypicalLoad(const EndpointGroup &group, TimePoint now) const;
 
     DomainId domain_;
     LoadRules rules_;
@@ -122,7 +126,7 @@
     std::unordered_map<ServiceId, std::vector<GroupIndex>> byService_;
 };
 
-/** Mixes two hashes into one whose bits all depend on both. */
+/** Combines two hashes; each bit of the result depends on all bits of both. */
 constexpr std::uint64_t mixHashes(std::uint64_t left, std::uint64_t right) noexcept
 {
     std::uint64_t mixed = left ^ (right + 0x9e3779b97f4a7c15ULL + (left << 6U) + (left >> 2U));
--- a/libs/routing/src/failurebackoff.h
+++ b/libs/routing/src/failurebackoff.h
@@ -1,6 +1,6 @@
 /**
- * Back-off of one endpoint after failed attempts: closed until a deadline that doubles with each
- * failure, then one probe at a time until something succeeds.
+ * Exponential back-off of one endpoint after failed attempts. Once the back-off has passed, one
+ * probe request at a time is allowed until a request succeeds (half-open).
  */
 #pragma once
 
@@ -8,28 +8,31 @@
 
 namespace almondridge::routing {
 
+/** Decides whether an endpoint that has failed may get requests. */
 class FailureBackoff
 {
 public:
     void onDispatched(TimePoint now);
-    /** sentAt: when the attempt that failed was dispatched. */
+    /** sentAt: when the failed attempt was dispatched. */
     void onFailure(TimePoint sentAt, TimePoint now);
+    /** sentAt: when the successful attempt was dispatched; older than the failure: ignored. */
     void onSuccess(TimePoint sentAt);
 
-    /** Whether the endpoint may be chosen: not in back-off and no other probe under way. */
-    bool open(TimePoint now) const
+    /** False during back-off and while a probe is in progress. */
+    bool allowsDispatch(TimePoint now) const
     {
-        return failures_ == 0 || (now >= until_ && now >= probeUntil_);
+        return failures_ == 0 || (now >= blockedUntil_ && now >= probeUntil_);
     }
-    bool probing() const { return failures_ > 0; }
+    /** Whether the last counted attempt failed, including the half-open state. */
+    bool inBackoff() const { return failures_ > 0; }
     int failures() const { return failures_; }
-    TimePoint until() const { return until_; }
+    TimePoint blockedUntil() const { return blockedUntil_; }
 
 private:
-    int failures_ = 0;
-    TimePoint since_ {};      ///< The last failure that counted.
-    TimePoint until_ {};      ///< Closed before this.
-    TimePoint probeUntil_ {}; ///< A probe is under way, and given up at this point.
+    int failures_ = 0;           ///< Counted failures since the last success.
+    TimePoint lastFailureAt_ {}; ///< Time of the last counted failure.
+    TimePoint blockedUntil_ {};  ///< End of the back-off.
+    TimePoint probeUntil_ {};    ///< When a probe in progress times out.
 };
 
 } // namespace almondridge::routing
--- a/libs/routing/src/prefixcachetracker.cpp
+++ b/libs/routing/src/prefixcachetracker.cpp
@@ -5,20 +5,20 @@
 namespace almondridge::routing {
 namespace {
 
-/** About 4 MB for each of the two memories. */
-constexpr std::size_t RememberedPrefixes = 32'768;
-/** An engine that has not seen a prompt for so long has most likely put others in its place. */
-constexpr Duration LearntLife = millis(120'000);
-/** Events that take the prefix out again may be lost, so a hint ends by itself. */
-constexpr Duration HintLife = millis(30'000);
+/** Per cache; each of the two takes about 4 MB. */
+constexpr std::size_t MaxPrefixes = 32'768;
+/** An engine that has not seen a prompt for this long has most likely evicted it. */
+constexpr Duration DispatchTtl = millis(120'000);
+/** Eviction events may get lost, so entries made from events expire. */
+constexpr Duration EventTtl = millis(30'000);
 
-/** Weight of all earlier prompts in the share of sharing ones when the next one comes. */
-constexpr double SharingFade = 0.95;
-/** A prompt counts as sharing when this part of it was known. */
-constexpr double SharedPart = 0.25;
+/** Decay per prompt of the share of prompts with a known prefix. */
+constexpr double SharingDecay = 0.95;
+/** A prompt counts as shared if at least this part of it was known. */
+constexpr double SharingThreshold = 0.25;
 
-constexpr double TrustFade = 0.9;
-constexpr double TrustPriorTokens = 500;
+constexpr double PrecisionDecay = 0.9;
+constexpr double PrecisionPriorTokens = 500;
 
 } // namespace
 
@@ -32,16 +32,16 @@
     return 0;
 }
 
-double HitTrust::share() const
+double CacheHitPrecision::ratio() const
 {
-    return std::min((confirmed_ + TrustPriorTokens) / (believed_ + TrustPriorTokens), 1.0);
+    return std::min((confirmed_ + PrecisionPriorTokens) / (predicted_ + PrecisionPriorTokens), 1.0);
 }
 
-void HitTrust::observe(std::int64_t believedTokens, std::int64_t cachedTokens)
+void CacheHitPrecision::observe(std::int64_t predictedTokens, std::int64_t cachedTokens)
 {
-    believed_ = believed_ * TrustFade + static_cast<double>(believedTokens);
+    predicted_ = predicted_ * PrecisionDecay + static_cast<double>(predictedTokens);
     confirmed_ =
-        confirmed_ * TrustFade + static_cast<double>(std::min(cachedTokens, believedTokens));
+        confirmed_ * PrecisionDecay + static_cast<double>(std::min(cachedTokens, predictedTokens));
 }
 
 SampledPrefixes samplePrefixes(const std::vector<std::uint64_t> &prefixHashes)
@@ -54,55 +54,57 @@
     return prefixes;
 }
 
-PrefixBeliefs::PrefixBeliefs(Mechanisms mechanisms)
+PrefixCacheTracker::PrefixCacheTracker(Mechanisms mechanisms)
     : mechanisms_(mechanisms)
-    , learnt_(RememberedPrefixes)
-    , hints_(RememberedPrefixes)
+    , fromDispatches_(MaxPrefixes)
+    , fromEvents_(MaxPrefixes)
 { }
 
-PrefixHits PrefixBeliefs::hitsFor(const std::vector<std::uint64_t> &prefixHashes,
-                                  TimePoint now) const
+PrefixHits PrefixCacheTracker::hitsFor(const std::vector<std::uint64_t> &prefixHashes,
+                                       TimePoint now) const
 {
     PrefixHits hits;
-    hits.sharingShare_ = sharingShare_;
+    hits.sharedPromptShare_ = sharedPromptShare_;
     if (!mechanisms_.has(Mechanism::Affinity)) {
         return hits;
     }
     const std::vector<std::size_t> sampled = sampledBlocks(prefixHashes.size());
     for (auto block = sampled.rbegin(); block != sampled.rend(); ++block) {
         const std::uint64_t hash = prefixHashes[*block - 1];
-        const PrefixMemory::Holders *learnt = learnt_.find(hash);
-        const PrefixMemory::Holders *hinted = hints_.find(hash);
-        addHits(hits, learnt, *block, now);
-        addHits(hits, hinted, *block, now);
-        const bool known = learnt != nullptr || hinted != nullptr;
+        const PrefixHolderCache::Holders *dispatchHolders = fromDispatches_.find(hash);
+        const PrefixHolderCache::Holders *eventHolders = fromEvents_.find(hash);
+        addHits(hits, dispatchHolders, *block, now);
+        addHits(hits, eventHolders, *block, now);
+        const bool known = dispatchHolders != nullptr || eventHolders != nullptr;
         const bool half = *block * 2 <= prefixHashes.size();
-        if (!hits.key_ && (known || half)) {
-            hits.key_ = hash;
+        if (!hits.rendezvousKey_ && (known || half)) {
+            hits.rendezvousKey_ = hash;
         }
     }
     return hits;
 }
 
-void PrefixBeliefs::onDispatched(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now)
+void PrefixCacheTracker::onDispatched(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now)
 {
     for (const std::uint64_t hash : prefixes.hashes_) {
-        learnt_.learn(hash, {slot, now, now + LearntLife});
+        fromDispatches_.insert(hash, {slot, now, now + DispatchTtl});
     }
 }
 
-void PrefixBeliefs::onPrompt(const PrefixHits &hits, std::size_t blocks)
+void PrefixCacheTracker::onPrompt(const PrefixHits &hits, std::size_t blocks)
 {
     if (blocks == 0) {
         return;
     }
     const std::size_t known = hits.hits_.empty() ? 0 : hits.hits_.front().blocks_;
-    const bool shared = static_cast<double>(known) >= static_cast<double>(blocks) * SharedPart;
-    sharingShare_ = sharingShare_ * SharingFade + (shared ? 1 - SharingFade : 0);
+    const bool shared =
+        static_cast<double>(known) >= static_cast<double>(blocks) * SharingThreshold;
+    sharedPromptShare_ = sharedPromptShare_ * SharingDecay + (shared ? 1 - SharingDecay : 0);
 }
 
-void PrefixBeliefs::onCached(const SampledPrefixes &prefixes, SlotRef slot,
-                             std::int64_t cachedTokens, std::int64_t promptTokens, TimePoint now)
+void PrefixCacheTracker::onCached(const SampledPrefixes &prefixes, SlotRef slot,
+                                  std::int64_t cachedTokens, std::int64_t promptTokens,
+                                  TimePoint now)
 {
     const std::vector<std::size_t> sampled = sampledBlocks(prefixes.blocks_);
     const double tokensPerBlock = static_cast<double>(promptTokens)
@@ -110,42 +112,42 @@
     for (std::size_t index = 0; index < prefixes.hashes_.size(); ++index) {
         const double tokens = static_cast<double>(sampled[index]) * tokensPerBlock;
         if (tokens > static_cast<double>(cachedTokens)) {
-            hints_.forget(prefixes.hashes_[index], slot, now);
+            fromEvents_.invalidate(prefixes.hashes_[index], slot, now);
         }
     }
-    // The engine has just read the whole prompt, so from now on it holds all of it.
+    // The engine has just prefilled the whole prompt, so it holds all of it now.
     onDispatched(prefixes, slot, now);
 }
 
-void PrefixBeliefs::onFailed(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now)
+void PrefixCacheTracker::onFailed(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now)
 {
     for (const std::uint64_t hash : prefixes.hashes_) {
-        learnt_.forget(hash, slot, now);
+        fromDispatches_.invalidate(hash, slot, now);
     }
 }
 
-void PrefixBeliefs::onCacheEvent(const CacheEvent &event, SlotRef slot, TimePoint now)
+void PrefixCacheTracker::onCacheEvent(const CacheEvent &event, SlotRef slot, TimePoint now)
 {
     const TimePoint stamp = std::min(event.stamp_, now);
-    if (!mechanisms_.has(Mechanism::CacheEvents) || stamp + HintLife <= now) {
+    if (!mechanisms_.has(Mechanism::CacheEvents) || stamp + EventTtl <= now) {
         return;
     }
     if (event.cached_) {
-        hints_.learn(event.prefixHash_, {slot, stamp, stamp + HintLife});
+        fromEvents_.insert(event.prefixHash_, {slot, stamp, stamp + EventTtl});
         return;
     }
-    hints_.forget(event.prefixHash_, slot, stamp);
-    learnt_.forget(event.prefixHash_, slot, stamp);
+    fromEvents_.invalidate(event.prefixHash_, slot, stamp);
+    fromDispatches_.invalidate(event.prefixHash_, slot, stamp);
 }
 
-void PrefixBeliefs::addHits(PrefixHits &hits, const PrefixMemory::Holders *holders,
-                            std::size_t blocks, TimePoint now) const
+void PrefixCacheTracker::addHits(PrefixHits &hits, const PrefixHolderCache::Holders *holders,
+                                 std::size_t blocks, TimePoint now) const
 {
     if (holders == nullptr) {
         return;
     }
     for (const PrefixHolder &holder : *holders) {
-        if (holder.until_ > now && hits.blocksAt(holder.slot_) == 0) {
+        if (holder.expiresAt_ > now && hits.blocksAt(holder.slot_) == 0) {
             hits.hits_.push_back({holder.slot_, blocks});
         }
     }
--- a/libs/routing/src/prefixcachetracker.h
+++ b/libs/routing/src/prefixcachetracker.h
@@ -1,6 +1,7 @@
 /**
- * Beliefs about which endpoint has how much of a prompt in its cache. What engines' answers say
- * goes first, then what this entry has sent where, then cache events, which come late and gapped.
+ * Tracks which endpoints hold which prompt prefixes in their KV caches. Cached-token counts in
+ * engines' responses take precedence, then the dispatches of this instance, then cache events,
+ * which may arrive late or get lost.
  */
 #pragma once
 
@@ -12,73 +13,77 @@
 
 namespace almondridge::routing {
 
-/** An endpoint that is believed to hold the first blocks of a prompt. */
+/** An endpoint that is assumed to hold the first blocks of a prompt. */
 struct PrefixHit
 {
     SlotRef slot_;
     std::size_t blocks_ = 0;
 };
 
-/** What is known about one prompt. */
+/** Where the prefixes of one prompt are assumed to be cached. */
 struct PrefixHits
 {
-    std::vector<PrefixHit> hits_; ///< Longest first, each endpoint once.
-    /** For rendezvous hashing: the longest known prefix, or half of an unknown prompt. */
-    std::optional<std::uint64_t> key_;
-    double sharingShare_ = 0; ///< Of all prompts, that began like an earlier one.
+    std::vector<PrefixHit> hits_; ///< Longest prefix first, each endpoint once.
+    /** Hash of the longest known prefix, or of half the prompt if none is known. */
+    std::optional<std::uint64_t> rendezvousKey_;
+    double sharedPromptShare_ = 0; ///< Share of prompts that began like an earlier one.
 
+    /** The number of blocks that the endpoint holds; 0 if it is not among the hits. */
     std::size_t blocksAt(SlotRef slot) const;
 };
 
-/** How much of what was believed to be cached an endpoint's answers confirm. */
-class HitTrust
+/** The part of the predicted cached tokens that an endpoint's responses confirm. */
+class CacheHitPrecision
 {
 public:
-    /** The part of believed tokens to count on, 0 to 1. */
-    double share() const;
-    void observe(std::int64_t believedTokens, std::int64_t cachedTokens);
+    /** Confirmed by predicted tokens, 0 to 1; 1 before the first observation. */
+    double ratio() const;
+    void observe(std::int64_t predictedTokens, std::int64_t cachedTokens);
 
 private:
-    double believed_ = 0;
+    double predicted_ = 0;
     double confirmed_ = 0;
 };
 
-/** The sampled prefixes of one prompt, as an attempt keeps them until its first token. */
+/** The tracked prefixes of one prompt, kept with an attempt until its first token. */
 struct SampledPrefixes
 {
-    std::vector<std::uint64_t> hashes_; ///< Shortest first, at the positions of sampledBlocks().
-    std::size_t blocks_ = 0;            ///< Of the whole prompt.
+    std::vector<std::uint64_t>
+        hashes_;             ///< Shortest first, at the positions that sampledBlocks() returns.
+    std::size_t blocks_ = 0; ///< Number of blocks in the whole prompt.
 };
 
 SampledPrefixes samplePrefixes(const std::vector<std::uint64_t> &prefixHashes);
 
-class PrefixBeliefs
+/** Predicts which endpoints have prefixes of a prompt in their KV caches. */
+class PrefixCacheTracker
 {
 public:
-    explicit PrefixBeliefs(Mechanisms mechanisms);
+    explicit PrefixCacheTracker(Mechanisms mechanisms);
 
     PrefixHits hitsFor(const std::vector<std::uint64_t> &prefixHashes, TimePoint now) const;
-    /** The endpoint is about to hold the whole prompt. */
+    /** The prompt was sent to the endpoint, which will then hold all of it. */
     void onDispatched(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now);
-    /** To be called for each prompt once, with what hitsFor() said. */
+    /** Call once for each prompt with the result of hitsFor(). */
     void onPrompt(const PrefixHits &hits, std::size_t blocks);
-    /** The engine found only cachedTokens of promptTokens: older beliefs beyond them were wrong. */
+    /** The engine had only cachedTokens of promptTokens: drops older event entries beyond. */
     void onCached(const SampledPrefixes &prefixes, SlotRef slot, std::int64_t cachedTokens,
                   std::int64_t promptTokens, TimePoint now);
-    /** The attempt failed before its first token, so nothing says that the prompt was read. */
+    /** The attempt failed before its first token, so the prompt may not have been prefilled. */
     void onFailed(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now);
     void onCacheEvent(const CacheEvent &event, SlotRef slot, TimePoint now);
 
-    std::size_t size() const { return learnt_.size() + hints_.size(); }
+    std::size_t size() const { return fromDispatches_.size() + fromEvents_.size(); }
 
 private:
-    void addHits(PrefixHits &hits, const PrefixMemory::Holders *holders, std::size_t blocks,
+    void addHits(PrefixHits &hits, const PrefixHolderCache::Holders *holders, std::size_t blocks,
                  TimePoint now) const;
 
     Mechanisms mechanisms_;
-    double sharingShare_ = 0.5; ///< Undecided until prompts have come.
-    PrefixMemory learnt_;       ///< From this entry's own dispatches and their answers.
-    PrefixMemory hints_; ///< From cache events; apart, so that a flood of them evicts only hints.
+    double sharedPromptShare_ = 0.5;   ///< 0.5 is neutral until prompts have been seen.
+    PrefixHolderCache fromDispatches_; ///< From dispatches of this instance and their responses.
+    /** From cache events. Separate, so that a flood of events evicts no entries of dispatches. */
+    PrefixHolderCache fromEvents_;
 };
 
 } // namespace almondridge::routing
--- a/libs/routing/src/prefixholdercache.cpp
+++ b/libs/routing/src/prefixholdercache.cpp
@@ -5,53 +5,54 @@
 namespace almondridge::routing {
 namespace {
 
+/** See sampledBlocks(): steps grow by a quarter of the length. */
 constexpr std::size_t StepDivisor = 4;
 
 } // namespace
 
-PrefixMemory::PrefixMemory(std::size_t capacity)
+PrefixHolderCache::PrefixHolderCache(std::size_t capacity)
     : capacity_(std::max<std::size_t>(capacity, 1))
 { }
 
-void PrefixMemory::learn(std::uint64_t hash, const PrefixHolder &holder)
+void PrefixHolderCache::insert(std::uint64_t hash, const PrefixHolder &holder)
 {
-    Holders &holders = nodes_[nodeFor(hash)].holders_;
+    Holders &holders = nodes_[findOrAddNode(hash)].holders_;
     const auto same = std::find_if(holders.begin(), holders.end(), [&](const PrefixHolder &known) {
         return known.slot_ == holder.slot_;
     });
     if (same != holders.end()) {
-        if (holder.learntAt_ >= same->learntAt_) {
+        if (holder.observedAt_ >= same->observedAt_) {
             *same = holder;
         }
         return;
     }
     *std::min_element(holders.begin(), holders.end(),
                       [](const PrefixHolder &left, const PrefixHolder &right) {
-                          return left.until_ < right.until_;
+                          return left.expiresAt_ < right.expiresAt_;
                       }) = holder;
 }
 
-void PrefixMemory::forget(std::uint64_t hash, SlotRef slot, TimePoint stamp)
+void PrefixHolderCache::invalidate(std::uint64_t hash, SlotRef slot, TimePoint stamp)
 {
     const auto found = index_.find(hash);
     if (found == index_.end()) {
         return;
     }
     for (PrefixHolder &holder : nodes_[found->second].holders_) {
-        if (holder.slot_ == slot && holder.learntAt_ <= stamp) {
-            holder.learntAt_ = stamp;
-            holder.until_ = TimePoint {};
+        if (holder.slot_ == slot && holder.observedAt_ <= stamp) {
+            holder.observedAt_ = stamp;
+            holder.expiresAt_ = TimePoint {};
         }
     }
 }
 
-const PrefixMemory::Holders *PrefixMemory::find(std::uint64_t hash) const
+const PrefixHolderCache::Holders *PrefixHolderCache::find(std::uint64_t hash) const
 {
     const auto found = index_.find(hash);
     return found == index_.end() ? nullptr : &nodes_[found->second].holders_;
 }
 
-PrefixMemory::NodeIndex PrefixMemory::nodeFor(std::uint64_t hash)
+PrefixHolderCache::NodeIndex PrefixHolderCache::findOrAddNode(std::uint64_t hash)
 {
     const auto found = index_.find(hash);
     if (found != index_.end()) {
@@ -74,14 +75,14 @@
     return index;
 }
 
-void PrefixMemory::unlink(NodeIndex index)
+void PrefixHolderCache::unlink(NodeIndex index)
 {
     const Node &node = nodes_[index];
     (node.newer_ == None ? newest_ : nodes_[node.newer_].older_) = node.older_;
     (node.older_ == None ? oldest_ : nodes_[node.older_].newer_) = node.newer_;
 }
 
-void PrefixMemory::linkNewest(NodeIndex index)
+void PrefixHolderCache::linkNewest(NodeIndex index)
 {
     nodes_[index].newer_ = None;
     nodes_[index].older_ = newest_;
--- a/libs/routing/src/prefixholdercache.h
+++ b/libs/routing/src/prefixholdercache.h
@@ -1,6 +1,6 @@
 /**
- * Which endpoints hold which prompt prefix, as far as this entry knows: a bounded map with the
- * least recently learnt prefix going first.
+ * A bounded map from prompt prefixes to the endpoints assumed to hold them; the least recently
+ * inserted prefix is evicted first.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace almondridge::routing {
 
-/** Names a slot of the endpoint table; a slot given to another endpoint has a new generation. */
+/** A slot of the endpoint table. A reused slot has a new generation, so old refs don't match. */
 struct SlotRef
 {
     std::uint32_t index_ = 0;
@@ -23,27 +23,29 @@
     friend bool operator==(const SlotRef &, const SlotRef &) = default;
 };
 
-/** An endpoint believed to hold a prefix. */
+/** An endpoint assumed to hold a prefix. */
 struct PrefixHolder
 {
     SlotRef slot_;
-    TimePoint learntAt_ {};
-    TimePoint until_ {}; ///< The belief ends here; in the past for an unused place.
+    TimePoint observedAt_ {};
+    TimePoint expiresAt_ {}; ///< In the past for an unused or invalidated place.
 };
 
-class PrefixMemory
+/** LRU map from the hash of a prefix to its holders. */
+class PrefixHolderCache
 {
 public:
-    /** Endpoints remembered for one prefix; the one whose belief ends first gives way. */
+    /** Endpoints stored for one prefix; a further one replaces the one that expires first. */
     static constexpr std::size_t HoldersPerPrefix = 3;
     using Holders = std::array<PrefixHolder, HoldersPerPrefix>;
 
-    explicit PrefixMemory(std::size_t capacity);
+    explicit PrefixHolderCache(std::size_t capacity);
 
-    void learn(std::uint64_t hash, const PrefixHolder &holder);
-    /** Ends the belief, unless it was learnt after stamp. */
-    void forget(std::uint64_t hash, SlotRef slot, TimePoint stamp);
-    /** Null when nothing is known. Beliefs that have ended are among the holders. */
+    /** Adds or updates a holder, unless a newer observation of it is stored. */
+    void insert(std::uint64_t hash, const PrefixHolder &holder);
+    /** Marks the slot as no longer holding the prefix, unless that was observed after stamp. */
+    void invalidate(std::uint64_t hash, SlotRef slot, TimePoint stamp);
+    /** Null if the prefix is unknown. The holders may include expired ones. */
     const Holders *find(std::uint64_t hash) const;
 
     std::size_t size() const noexcept { return index_.size(); }
@@ -52,6 +54,7 @@
     using NodeIndex = std::uint32_t;
     static constexpr NodeIndex None = UINT32_MAX;
 
+    /** An entry of the LRU list. */
     struct Node
     {
         std::uint64_t hash_ = 0;
@@ -60,7 +63,7 @@
         Holders holders_ {};
     };
 
-    NodeIndex nodeFor(std::uint64_t hash);
+    NodeIndex findOrAddNode(std::uint64_t hash);
     void unlink(NodeIndex index);
     void linkNewest(NodeIndex index);
 
@@ -72,9 +75,9 @@
 };
 
 /**
- * Positions, in blocks and shortest first, at which a prompt of so many blocks is remembered:
- * each of the first few, then steps of a quarter. A shared prefix is thus found to within a fifth
- * of its length for a handful of entries per prompt, and all entries take the same positions.
+ * Prefix lengths, in blocks and ascending, that are stored for a prompt of this many blocks: each
+ * of the first few, then steps of a quarter of the length. This finds the length of a shared
+ * prefix to within a fifth and stores few prefixes per prompt. All instances use the same lengths.
  */
 std::vector<std::size_t> sampledBlocks(std::size_t blocks);
 
--- a/libs/routing/src/prompttext.cpp
+++ b/libs/routing/src/prompttext.cpp
@@ -16,7 +16,7 @@
     return hash;
 }
 
-/** Takes the next word off the front of text; empty at the end. */
+/** Removes the next word from the front of text and returns it; empty at the end. */
 std::string_view takeWord(std::string_view &text)
 {
     const std::size_t begin = text.find_first_not_of(Whitespace);
--- a/libs/routing/src/reportreliability.h
+++ b/libs/routing/src/reportreliability.h
@@ -1,7 +1,7 @@
 /**
- * How far reports may be believed: the part of a report's excess over the typical load that own
- * dispatches then met. It is learnt, since it falls with the lag and with every other entry that
- * acts on the same report.
+ * Estimates how well load reports predict the wait of a request: the part of a report's excess over
+ * the typical load that dispatches of this instance then observed. It has to be estimated at run
+ * time, because it falls with the age of reports and with every other instance that acts on them.
  */
 #pragma once
 
@@ -9,16 +9,17 @@
 
 namespace almondridge::routing {
 
+/** Regression of observed on reported excess waiting times. */
 class ReportReliability
 {
 public:
-    /** The part of a report's excess to count on; 0: it says nothing about what is met. */
-    double share() const;
+    /** The part of a report's excess to use in estimates, 0 to 1; 0: reports predict nothing. */
+    double weight() const;
     void observe(const ReportOutcome &outcome);
 
 private:
-    double products_ = 0; ///< Of reported and observed seconds.
-    double squares_ = 0;  ///< Of reported seconds.
+    double products_ = 0; ///< Decayed sum of reported times observed seconds.
+    double squares_ = 0;  ///< Decayed sum of squared reported seconds.
 };
 
 } // namespace almondridge::routing
--- a/libs/routing/src/router.cpp
+++ b/libs/routing/src/router.cpp
@@ -12,23 +12,23 @@
     State(DomainId domain, LoadRules rules, ChoiceSettings settings);
 
     EndpointTable table_;
-    PrefixBeliefs beliefs_;
+    PrefixCacheTracker prefixCaches_;
     AttemptTable attempts_;
     ChoiceSettings settings_;
-    DomainRooms rooms_;
+    DomainCapacities domainCapacities_;
 
-    void endExpired(TimePoint now);
-    double readingRoom(const EndpointSlot &slot, TimePoint now) const;
-    double writingRoom(const EndpointSlot &slot, TimePoint now) const;
+    void finishExpired(TimePoint now);
+    double prefillHeadroom(const EndpointSlot &slot, TimePoint now) const;
+    double decodeHeadroom(const EndpointSlot &slot, TimePoint now) const;
 };
 
 Router::State::State(DomainId domain, LoadRules rules, ChoiceSettings settings)
     : table_(std::move(domain), rules)
-    , beliefs_(rules.mechanisms_)
+    , prefixCaches_(rules.mechanisms_)
     , settings_(settings)
 { }
 
-void Router::State::endExpired(TimePoint now)
+void Router::State::finishExpired(TimePoint now)
 {
     for (const Attempt &attempt : attempts_.takeExpired(now)) {
         if (EndpointSlot *slot = table_.at(attempt.slot_)) {
@@ -37,25 +37,27 @@
     }
 }
 
-double Router::State::readingRoom(const EndpointSlot &slot, TimePoint now) const
+double Router::State::prefillHeadroom(const EndpointSlot &slot, TimePoint now) const
 {
     const TypicalLoad &typical = table_.group(slot.group_).typical_;
-    const double raw = slot.load_.rawSeconds(Demand {}, now, table_.rules(), typical);
+    const double raw = slot.load_.rawSeconds(RequestCost {}, now, table_.rules(), typical);
     const double seconds = slot.load_.correctedSeconds(raw, now, table_.rules());
-    return std::clamp(1 - seconds / settings_.firstTokenAimSeconds_, 0.0, 1.0);
+    return std::clamp(1 - seconds / settings_.firstTokenTargetSeconds_, 0.0, 1.0);
 }
 
-double Router::State::writingRoom(const EndpointSlot &slot, TimePoint now) const
+double Router::State::decodeHeadroom(const EndpointSlot &slot, TimePoint now) const
 {
     const TypicalLoad &typical = table_.group(slot.group_).typical_;
-    return std::clamp(1 - slot.load_.writingShare(now, table_.rules(), typical), 0.0, 1.0);
+    return std::clamp(1 - slot.load_.kvUtilization(now, table_.rules(), typical), 0.0, 1.0);
 }
 
 void Router::setFleet(const std::shared_ptr<const fleet::Fleet> &fleet)
 {
     state_->table_.setFleet(*fleet);
-    state_->settings_.firstTokenAimSeconds_ = toSeconds(millis(fleet->policy_.firstTokenMillis_));
-    state_->settings_.interTokenAimSeconds_ = toSeconds(millis(fleet->policy_.interTokenMillis_));
+    state_->settings_.firstTokenTargetSeconds_ =
+        toSeconds(millis(fleet->policy_.firstTokenMillis_));
+    state_->settings_.interTokenTargetSeconds_ =
+        toSeconds(millis(fleet->policy_.interTokenMillis_));
 }
 
 void Router::onReport(const LoadReport &report, TimePoint now)
@@ -64,11 +66,11 @@
     if (slot == nullptr) {
         return;
     }
-    const bool open = slot->open();
+    const bool available = slot->available();
     const fleet::EngineRole role = slot->role();
     slot->load_.onReport(report, now);
-    if (slot->open() != open || slot->role() != role) {
-        state_->table_.markChanged(*slot);
+    if (slot->available() != available || slot->role() != role) {
+        state_->table_.markListsOutdated(*slot);
     }
 }
 
@@ -76,7 +78,7 @@
 {
     const EndpointSlot *slot = state_->table_.find(event.endpoint_);
     if (slot != nullptr) {
-        state_->beliefs_.onCacheEvent(event, state_->table_.refOf(*slot), now);
+        state_->prefixCaches_.onCacheEvent(event, state_->table_.refOf(*slot), now);
     }
 }
 
@@ -85,37 +87,37 @@
     EndpointSlot *slot = state_->table_.find(endpoint);
     if (slot != nullptr) {
         slot->reachability_ = reachability;
-        state_->table_.markChanged(*slot);
+        state_->table_.markListsOutdated(*slot);
     }
 }
 
 void Router::onDomainCapacity(const DomainId &domain, double spareShare, TimePoint validUntil)
 {
-    state_->rooms_[domain] = {spareShare, validUntil};
+    state_->domainCapacities_[domain] = {spareShare, validUntil};
 }
 
 void Router::onDispatched(const AttemptId &attempt, const EndpointId &endpoint,
                           const RouteQuery &query, TimePoint now)
 {
-    state_->endExpired(now);
+    state_->finishExpired(now);
     EndpointSlot *slot = state_->table_.find(endpoint);
     if (slot == nullptr) {
         return;
     }
-    const PrefixHits hits = state_->beliefs_.hitsFor(query.prefixHashes_, now);
+    const PrefixHits hits = state_->prefixCaches_.hitsFor(query.prefixHashes_, now);
     const Candidate estimate =
         estimateCandidate(state_->table_, *slot, query, hits, state_->settings_, now);
     Attempt &added = state_->attempts_.add(attempt, query.deadline_, now);
     added.slot_ = state_->table_.refOf(*slot);
     added.promptTokens_ = query.promptTokens_;
-    added.believedTokens_ = tokensInBlocks(query, hits.blocksAt(added.slot_));
+    added.predictedTokens_ = tokensInBlocks(query, hits.blocksAt(added.slot_));
     added.prefixes_ = samplePrefixes(query.prefixHashes_);
-    slot->load_.onDispatched(added.number_, demandOf(query, estimate.cachedTokens_),
+    slot->load_.onDispatched(added.number_, requestCost(query, estimate.cachedTokens_),
                              estimate.rawSeconds_, now, state_->table_.rules(),
                              state_->table_.group(slot->group_).typical_);
     slot->backoff_.onDispatched(now);
-    state_->beliefs_.onPrompt(hits, added.prefixes_.blocks_);
-    state_->beliefs_.onDispatched(added.prefixes_, added.slot_, now);
+    state_->prefixCaches_.onPrompt(hits, added.prefixes_.blocks_);
+    state_->prefixCaches_.onDispatched(added.prefixes_, added.slot_, now);
 }
 
 void Router::onFirstToken(const AttemptId &id, std::int64_t cachedTokens, TimePoint now)
@@ -133,9 +135,9 @@
         slot->backoff_.onSuccess(attempt->sentAt_);
     }
     if (slot != nullptr && cachedTokens >= 0) {
-        slot->trust_.observe(attempt->believedTokens_, cachedTokens);
-        state_->beliefs_.onCached(attempt->prefixes_, attempt->slot_, cachedTokens,
-                                  attempt->promptTokens_, now);
+        slot->cacheHitPrecision_.observe(attempt->predictedTokens_, cachedTokens);
+        state_->prefixCaches_.onCached(attempt->prefixes_, attempt->slot_, cachedTokens,
+                                       attempt->promptTokens_, now);
     }
     attempt->prefixes_ = {};
 }
@@ -152,7 +154,7 @@
             slot->backoff_.onSuccess(attempt->sentAt_);
         } else {
             slot->backoff_.onFailure(attempt->sentAt_, now);
-            state_->beliefs_.onFailed(attempt->prefixes_, attempt->slot_, now);
+            state_->prefixCaches_.onFailed(attempt->prefixes_, attempt->slot_, now);
         }
     }
     state_->attempts_.erase(id);
@@ -160,15 +162,15 @@
 
 std::optional<RouteChoice> Router::choose(const RouteQuery &query, TimePoint now)
 {
-    const PrefixHits hits = state_->beliefs_.hitsFor(query.prefixHashes_, now);
-    Chooser chooser(state_->table_, state_->settings_, query, hits, now);
-    return chooser.choose(state_->rooms_);
+    const PrefixHits hits = state_->prefixCaches_.hitsFor(query.prefixHashes_, now);
+    EndpointSelector selector(state_->table_, state_->settings_, query, hits, now);
+    return selector.choose(state_->domainCapacities_);
 }
 
 bool Router::isAvailable(const EndpointId &endpoint) const
 {
     const EndpointSlot *slot = state_->table_.find(endpoint);
-    return slot != nullptr && slot->open();
+    return slot != nullptr && slot->available();
 }
 
 TimePoint Router::estimateFirstToken(const EndpointId &endpoint, const RouteQuery &query,
@@ -178,7 +180,7 @@
     if (slot == nullptr) {
         return TimePoint::max();
     }
-    const PrefixHits hits = state_->beliefs_.hitsFor(query.prefixHashes_, now);
+    const PrefixHits hits = state_->prefixCaches_.hitsFor(query.prefixHashes_, now);
     const Candidate estimate =
         estimateCandidate(state_->table_, *slot, query, hits, state_->settings_, now);
     return now
@@ -192,25 +194,25 @@
         return 0;
     }
     const std::vector<SlotIndex> &members = state_->table_.group(groups.front()).members_;
-    // A request needs room in both halves: idle engines of one role say nothing of the other.
-    double reading = 0;
-    double writing = 0;
-    int readers = 0;
-    int writers = 0;
+    // A request needs both prefill and decode capacity, so the scarcer of the two counts.
+    double prefill = 0;
+    double decode = 0;
+    int prefillEngines = 0;
+    int decodeEngines = 0;
     for (const SlotIndex index : members) {
         const EndpointSlot &slot = state_->table_.at(index);
-        const bool open = slot.open() && slot.backoff_.open(now);
+        const bool available = slot.available() && slot.backoff_.allowsDispatch(now);
         const fleet::EngineRole role = slot.role();
         if (role != fleet::EngineRole::Decode) {
-            ++readers;
-            reading += open ? state_->readingRoom(slot, now) : 0;
+            ++prefillEngines;
+            prefill += available ? state_->prefillHeadroom(slot, now) : 0;
         }
         if (role != fleet::EngineRole::Prefill) {
-            ++writers;
-            writing += open ? state_->writingRoom(slot, now) : 0;
+            ++decodeEngines;
+            decode += available ? state_->decodeHeadroom(slot, now) : 0;
         }
     }
-    return std::min(reading / std::max(readers, 1), writing / std::max(writers, 1));
+    return std::min(prefill / std::max(prefillEngines, 1), decode / std::max(decodeEngines, 1));
 }
 
 Router::Router(std::unique_ptr<State> state) noexcept
--- a/libs/routing/tests/affinitytest.cpp
+++ b/libs/routing/tests/affinitytest.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-constexpr std::size_t Shared = 100;
-constexpr std::size_t Own = 10;
-constexpr std::int64_t Tokens = 1'760;
+constexpr std::size_t SharedBlocks = 100;
+constexpr std::size_t OwnBlocks = 10;
+constexpr std::int64_t PromptTokens = 1'760;
 
-RouteQuery packedPrompt(std::uint64_t pack)
+RouteQuery sharedPrefixPrompt(std::uint64_t prefixId)
 {
-    return prompt(Tokens, packed(pack, Shared, Own));
+    return prompt(PromptTokens, promptHashes(prefixId, SharedBlocks, OwnBlocks));
 }
 
-/** The least estimate of a prompt of the pack, which shows what is believed to be cached. */
-std::int64_t estimateMillis(const Router &router, int number, std::uint64_t pack, TimePoint now)
+/** The estimated time to first token, which shows how much of the prefix counts as cached. */
+std::int64_t estimateMillis(const Router &router, int number, std::uint64_t prefixId, TimePoint now)
 {
-    return toMillis(router.estimateFirstToken(engine(number), packedPrompt(pack), now) - now);
+    return toMillis(router.estimateFirstToken(engine(number), sharedPrefixPrompt(prefixId), now)
+                    - now);
 }
 
-/** Tells of all blocks of the pack. */
-void tellPack(Router &router, int number, std::uint64_t pack, bool cached, TimePoint stamp,
-              TimePoint now)
+/** Sends one cache event for each block of the shared prefix. */
+void sendCacheEvents(Router &router, int number, std::uint64_t prefixId, bool cached,
+                     TimePoint stamp, TimePoint now)
 {
-    for (const std::uint64_t hash : packed(pack, Shared, 0)) {
+    for (const std::uint64_t hash : promptHashes(prefixId, SharedBlocks, 0)) {
         router.onCacheEvent({engine(number), hash, cached, stamp}, now);
     }
 }
@@ -35,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(Affinity)
 
-BOOST_AUTO_TEST_CASE(prefixHashesFollowTheProtocol)
+BOOST_AUTO_TEST_CASE(prefixHashesMatchTheProtocol)
 {
     std::string text = "w0";
     for (int word = 1; word < 40; ++word) {
@@ -55,119 +56,116 @@
     BOOST_TEST(estimateTokens(" \n") == 0);
 }
 
-BOOST_AUTO_TEST_CASE(promptsOfOnePackStayOnTheEngineThatHoldsIt)
+BOOST_AUTO_TEST_CASE(promptsWithASharedPrefixGoToTheEngineThatHoldsIt)
 {
     Router router = TestFleet().engines(20).router();
-    answered(router, engine(7), packedPrompt(1), at(0), at(180), 0);
-    BOOST_TEST(choicesOf(router, engine(7), packedPrompt(1), at(500)) == 50);
-    const RouteChoice choice = router.choose(packedPrompt(1), at(500)).value();
+    completeAttempt(router, engine(7), sharedPrefixPrompt(1), at(0), at(180), 0);
+    BOOST_TEST(countChoices(router, engine(7), sharedPrefixPrompt(1), at(500)) == 50);
+    const RouteChoice choice = router.choose(sharedPrefixPrompt(1), at(500)).value();
     BOOST_TEST(choice.reason_.find("rule=prefix-holder") != std::string::npos);
     BOOST_TEST(choice.reason_.find("alternatives=") != std::string::npos);
 }
 
-/** Story: a glossary is read anew by every engine, since each entry sent it to another one. */
-BOOST_AUTO_TEST_CASE(entriesThatKnowNothingYetAgreeWhereAPackGoes)
+/** A shared prefix must not be prefilled on many engines because each instance chose another. */
+BOOST_AUTO_TEST_CASE(instancesWithoutHistoryChooseTheSameEngineForAPrefix)
 {
     const TestFleet fleet = TestFleet().engines(20);
     Router first = fleet.router();
-    const EndpointId chosen = first.choose(packedPrompt(3), at(0)).value().endpoint_;
-    for (int entry = 0; entry < 8; ++entry) {
+    const EndpointId chosen = first.choose(sharedPrefixPrompt(3), at(0)).value().endpoint_;
+    for (int instance = 0; instance < 8; ++instance) {
         Router other = fleet.router();
-        BOOST_TEST(other.choose(packedPrompt(3), at(0)).value().endpoint_ == chosen);
+        BOOST_TEST(other.choose(sharedPrefixPrompt(3), at(0)).value().endpoint_ == chosen);
     }
 }
 
 /**
- * Story: everyone asks about the same file at nine, and only one engine in twenty works: it holds
- * the file, so all requests queue for it.
+ * Many requests for one shared prefix must not all queue on its holder while the other engines are
+ * idle.
  */
-BOOST_AUTO_TEST_CASE(anOverloadedHolderIsLeft)
+BOOST_AUTO_TEST_CASE(anOverloadedHolderIsAvoided)
 {
     Router router = TestFleet().engines(20).router();
-    answered(router, engine(7), packedPrompt(1), at(0), at(180), 0);
+    completeAttempt(router, engine(7), sharedPrefixPrompt(1), at(0), at(180), 0);
     for (int request = 0; request < 30; ++request) {
-        dispatch(router, engine(7), packedPrompt(1), at(500));
+        dispatch(router, engine(7), sharedPrefixPrompt(1), at(500));
         dispatch(router, engine(7), prompt(1'000), at(500));
     }
-    BOOST_TEST(choicesOf(router, engine(7), packedPrompt(1), at(510)) == 0);
+    BOOST_TEST(countChoices(router, engine(7), sharedPrefixPrompt(1), at(510)) == 0);
 }
 
 /**
- * Story: a short system prompt begins every request of an account. Its holder must not draw long
- * prompts that share nothing else.
+ * Long prompts that share only a short system prompt must not queue on the engine that holds it.
  */
-BOOST_AUTO_TEST_CASE(aSmallSharedPartIsNoReasonToQueue)
+BOOST_AUTO_TEST_CASE(aShortSharedPrefixGivesNoAffinity)
 {
     Router router = TestFleet().engines(4).router();
-    answered(router, engine(2), prompt(1'600, packed(1, 4, 96)), at(0), at(200), 0);
+    completeAttempt(router, engine(2), prompt(1'600, promptHashes(1, 4, 96)), at(0), at(200), 0);
     dispatch(router, engine(2), prompt(300), at(400));
-    BOOST_TEST(choicesOf(router, engine(2), prompt(1'600, packed(1, 4, 96)), at(410)) == 0);
+    BOOST_TEST(countChoices(router, engine(2), prompt(1'600, promptHashes(1, 4, 96)), at(410))
+               == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aCacheEventIsBelievedForAWhile)
+BOOST_AUTO_TEST_CASE(aCacheEventExpires)
 {
     Router router = TestFleet().engines(4).router();
-    tellPack(router, 1, 5, true, at(0), at(500));
-    BOOST_TEST(choicesOf(router, engine(1), packedPrompt(5), at(600)) == 50);
-    // The event that took it out again was lost; the hint ends by itself.
-    const std::int64_t believed = estimateMillis(router, 1, 5, at(600));
-    BOOST_TEST(estimateMillis(router, 1, 5, at(31'000)) > believed * 2);
+    sendCacheEvents(router, 1, 5, true, at(0), at(500));
+    BOOST_TEST(countChoices(router, engine(1), sharedPrefixPrompt(5), at(600)) == 50);
+    // Simulates a lost eviction event.
+    const std::int64_t withPrefix = estimateMillis(router, 1, 5, at(600));
+    BOOST_TEST(estimateMillis(router, 1, 5, at(31'000)) > withPrefix * 2);
 }
 
-BOOST_AUTO_TEST_CASE(aCacheEventThatComesTooLateIsIgnored)
+BOOST_AUTO_TEST_CASE(aCacheEventThatArrivesTooLateIsIgnored)
 {
     Router router = TestFleet().engines(4).router();
     const std::int64_t before = estimateMillis(router, 1, 5, at(40'000));
-    tellPack(router, 1, 5, true, at(0), at(40'000));
+    sendCacheEvents(router, 1, 5, true, at(0), at(40'000));
     BOOST_TEST(estimateMillis(router, 1, 5, at(40'000)) == before);
 }
 
-/**
- * Story: an engine publishes "cached" and, later, "gone"; the two arrive in the wrong order. The
- * older "cached" must not bring the prefix back.
- */
-BOOST_AUTO_TEST_CASE(anOlderEventDoesNotOverruleANewerOne)
+/** Events may be reordered: a late "cached" event must not undo a newer eviction. */
+BOOST_AUTO_TEST_CASE(anOlderCacheEventDoesNotOverrideANewerOne)
 {
     Router router = TestFleet().engines(4).router();
-    tellPack(router, 1, 5, true, at(0), at(100));
-    tellPack(router, 1, 5, false, at(2'000), at(2'100));
-    const std::int64_t gone = estimateMillis(router, 1, 5, at(2'200));
-    tellPack(router, 1, 5, true, at(1'000), at(2'150));
-    BOOST_TEST(estimateMillis(router, 1, 5, at(2'200)) == gone);
+    sendCacheEvents(router, 1, 5, true, at(0), at(100));
+    sendCacheEvents(router, 1, 5, false, at(2'000), at(2'100));
+    const std::int64_t evicted = estimateMillis(router, 1, 5, at(2'200));
+    sendCacheEvents(router, 1, 5, true, at(1'000), at(2'150));
+    BOOST_TEST(estimateMillis(router, 1, 5, at(2'200)) == evicted);
 }
 
-/** Story: a late "gone" speaks of a time before this entry's own prompt was read. */
-BOOST_AUTO_TEST_CASE(aLateGoneDoesNotOverruleANewerAnswer)
+/** A late eviction event may be older than the last prefill of the prompt on that engine. */
+BOOST_AUTO_TEST_CASE(aLateEvictionEventDoesNotOverrideANewerResponse)
 {
     Router router = TestFleet().engines(4).router();
-    answered(router, engine(1), packedPrompt(5), at(2'000), at(2'180), 0);
-    const std::int64_t held = estimateMillis(router, 1, 5, at(2'500));
-    tellPack(router, 1, 5, false, at(1'000), at(2'400));
-    BOOST_TEST(estimateMillis(router, 1, 5, at(2'500)) == held);
+    completeAttempt(router, engine(1), sharedPrefixPrompt(5), at(2'000), at(2'180), 0);
+    const std::int64_t withPrefix = estimateMillis(router, 1, 5, at(2'500));
+    sendCacheEvents(router, 1, 5, false, at(1'000), at(2'400));
+    BOOST_TEST(estimateMillis(router, 1, 5, at(2'500)) == withPrefix);
 }
 
 /**
- * Story: an engine's cache is small and forgets prompts within seconds, and the events that would
- * say so are lost. Its answers tell "0 cached tokens" each time, and those are believed first.
+ * An engine with a small cache evicts prompts within seconds, and its eviction events are lost. Its
+ * responses report 0 cached tokens, which must lower the predicted cache hits.
  */
-BOOST_AUTO_TEST_CASE(answersWithoutCachedTokensWeakenTheBelief)
+BOOST_AUTO_TEST_CASE(responsesWithoutCachedTokensLowerThePrediction)
 {
     Router router = TestFleet().engines(4).router();
-    answered(router, engine(1), packedPrompt(5), at(0), at(180), 0);
-    const std::int64_t believed = estimateMillis(router, 1, 5, at(500));
+    completeAttempt(router, engine(1), sharedPrefixPrompt(5), at(0), at(180), 0);
+    const std::int64_t withPrefix = estimateMillis(router, 1, 5, at(500));
     for (int round = 1; round <= 5; ++round) {
         router.onReport(report(engine(1), at(round * 1'000LL), 0), at(round * 1'000LL));
-        answered(router, engine(1), packedPrompt(5), at(round * 1'000LL), at(round * 1'000LL + 180),
-                 0);
+        completeAttempt(router, engine(1), sharedPrefixPrompt(5), at(round * 1'000LL),
+                        at(round * 1'000LL + 180), 0);
     }
-    BOOST_TEST(estimateMillis(router, 1, 5, at(5'500)) > believed * 2);
+    BOOST_TEST(estimateMillis(router, 1, 5, at(5'500)) > withPrefix * 2);
 }
 
-BOOST_AUTO_TEST_CASE(aFailedAttemptLeavesNoBeliefBehind)
+BOOST_AUTO_TEST_CASE(aFailedAttemptLeavesNoCachePrediction)
 {
     Router router = TestFleet().engines(4).router();
     const std::int64_t before = estimateMillis(router, 1, 5, at(0));
-    const AttemptId attempt = dispatch(router, engine(1), packedPrompt(5), at(0));
+    const AttemptId attempt = dispatch(router, engine(1), sharedPrefixPrompt(5), at(0));
     router.onFinished(attempt, false, at(10));
     BOOST_TEST(estimateMillis(router, 1, 5, at(20)) == before);
 }
--- a/libs/routing/tests/availabilitytest.cpp
+++ b/libs/routing/tests/availabilitytest.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/** Fails one attempt that was sent a moment before. */
+/** Records a failed attempt that was dispatched 1 ms before now. */
 void failOnce(Router &router, const EndpointId &endpoint, TimePoint now)
 {
     const AttemptId attempt = dispatch(router, endpoint, prompt(10), now - millis(1));
     router.onFinished(attempt, false, now);
 }
 
-/** A busy local engine and an idle one in another domain. */
-Router busyHomeIdleAway()
+/** Returns a router with a busy local engine and an idle one in another domain. */
+Router busyLocalIdleRemote()
 {
     Router router = TestFleet().engines(1).engines(1, "d2").router();
     router.onReport(report(engine(0), at(0), 0), at(0));
@@ -31,8 +31,8 @@
 
 BOOST_AUTO_TEST_SUITE(Availability)
 
-/** Story: an engine is being replaced and drained, and new requests still arrive on it. */
-BOOST_AUTO_TEST_CASE(anEndpointThatMayNotGetWorkGetsNone)
+/** A draining, withheld or removed engine must get no new requests. */
+BOOST_AUTO_TEST_CASE(unavailableEndpointsGetNoRequests)
 {
     TestFleet fleet = TestFleet().engines(6);
     fleet.at(engine(0)).leaving_ = true;
@@ -43,7 +43,7 @@
     LoadReport draining = report(engine(3), at(0), 0);
     draining.admits_ = false;
     router.onReport(draining, at(0));
-    BOOST_TEST(choicesOf(router, engine(5), prompt(100), at(10)) == 50);
+    BOOST_TEST(countChoices(router, engine(5), prompt(100), at(10)) == 50);
 
     RouteQuery excluded = prompt(100);
     excluded.excluded_ = {engine(5)};
@@ -53,7 +53,7 @@
     BOOST_TEST(router.choose(excluded, at(20)).value().endpoint_ == engine(1));
 }
 
-BOOST_AUTO_TEST_CASE(aQueryForSomethingUnknownHasNoChoice)
+BOOST_AUTO_TEST_CASE(anUnknownModelHasNoChoice)
 {
     Router router = TestFleet().engines(1).router();
     RouteQuery query = prompt(10);
@@ -62,8 +62,11 @@
     BOOST_TEST((router.estimateFirstToken(EndpointId("x"), query, at(0)) == TimePoint::max()));
 }
 
-/** Story: an attempt's first token comes after its engine was taken out of the file. */
-BOOST_AUTO_TEST_CASE(eventsOfARemovedEndpointDoNotReachItsSuccessor)
+/**
+ * A first token or failure may arrive after its engine was removed. It must not count for a new
+ * endpoint in the same slot.
+ */
+BOOST_AUTO_TEST_CASE(eventsOfARemovedEndpointDoNotAffectItsSuccessor)
 {
     Router router = TestFleet().engines(1).router();
     const AttemptId attempt = dispatch(router, engine(0), prompt(50'000), at(0));
@@ -79,21 +82,21 @@
 }
 
 /**
- * Story: an engine refuses every connection. It looks idle, so without a back-off each request's
- * first attempt is spent on it.
+ * An engine that refuses every connection looks idle. Without a back-off, the first attempt of each
+ * request would go there.
  */
-BOOST_AUTO_TEST_CASE(aFailedEndpointIsLeftUntilItsBackoffEnds)
+BOOST_AUTO_TEST_CASE(aFailedEndpointIsAvoidedUntilItsBackoffEnds)
 {
     Router router = TestFleet().engines(2).router();
     dispatch(router, engine(1), prompt(1'000), at(0));
     failOnce(router, engine(0), at(10));
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(500)) == 0);
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(511)) == 50);
-    // One probe at a time: while it is under way the engine is closed again.
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(500)) == 0);
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(511)) == 50);
+    // Half-open: while one probe is in progress, no other request is sent.
     const AttemptId probe = dispatch(router, engine(0), prompt(10), at(511));
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(512)) == 0);
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(512)) == 0);
     router.onFirstToken(probe, -1, at(520));
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(521)) == 50);
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(521)) == 50);
 }
 
 BOOST_AUTO_TEST_CASE(theBackoffDoublesWithEachFailedProbe)
@@ -102,12 +105,11 @@
     dispatch(router, engine(1), prompt(1'000), at(0));
     failOnce(router, engine(0), at(10));
     failOnce(router, engine(0), at(600));
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(1'500)) == 0);
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(1'601)) == 50);
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(1'500)) == 0);
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(1'601)) == 50);
 }
 
-/** Story: an engine crashes with thirty streams, restarts at once, and is shunned for half a
- * minute. */
+/** An engine that crashes with many streams and restarts must not get the maximum back-off. */
 BOOST_AUTO_TEST_CASE(aCrashThatFailsManyAttemptsCountsOnce)
 {
     Router router = TestFleet().engines(2).router();
@@ -120,14 +122,14 @@
     for (const AttemptId &attempt : attempts) {
         router.onFinished(attempt, false, at(10));
     }
-    BOOST_TEST(choicesOf(router, engine(0), prompt(100), at(511)) == 50);
+    BOOST_TEST(countChoices(router, engine(0), prompt(100), at(511)) == 50);
 }
 
 /**
- * Story: one caller's request crashes every engine it reaches. If back-offs alone decided, the
- * whole domain would refuse everyone else meanwhile.
+ * A query of death may put every engine into back-off. Other clients must still be served
+ * meanwhile.
  */
-BOOST_AUTO_TEST_CASE(whenAllAreInBackoffOneIsTriedAllTheSame)
+BOOST_AUTO_TEST_CASE(whenAllAreInBackoffOneIsStillTried)
 {
     Router router = TestFleet().engines(2).router();
     failOnce(router, engine(0), at(0));
@@ -136,35 +138,35 @@
     BOOST_TEST(choice.reason_.find("rule=last-resort") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(anotherDomainIsTakenOnlyWhenItHasSaidThatItHasRoom)
+BOOST_AUTO_TEST_CASE(anotherDomainIsUsedOnlyIfItReportsSpareCapacity)
 {
-    Router router = busyHomeIdleAway();
+    Router router = busyLocalIdleRemote();
     BOOST_TEST(!router.choose(prompt(100), at(10)).value().otherDomain_);
     router.onDomainCapacity(DomainId("d2"), 0.8, at(1'000));
-    const RouteChoice away = router.choose(prompt(100), at(20)).value();
-    BOOST_TEST(away.otherDomain_);
-    BOOST_TEST(away.endpoint_ == engine(1, "d2"));
+    const RouteChoice remote = router.choose(prompt(100), at(20)).value();
+    BOOST_TEST(remote.otherDomain_);
+    BOOST_TEST(remote.endpoint_ == engine(1, "d2"));
     BOOST_TEST(!router.choose(prompt(100), at(1'000)).value().otherDomain_);
     router.onDomainCapacity(DomainId("d2"), 0.01, at(5'000));
     BOOST_TEST(!router.choose(prompt(100), at(1'001)).value().otherDomain_);
 }
 
-BOOST_AUTO_TEST_CASE(anotherDomainIsTakenOnlyWhenItIsClearlyBetter)
+BOOST_AUTO_TEST_CASE(anotherDomainIsUsedOnlyIfItIsMuchFaster)
 {
-    Router router = busyHomeIdleAway();
+    Router router = busyLocalIdleRemote();
     router.onDomainCapacity(DomainId("d2"), 0.8, at(1'000));
     for (int request = 0; request < 6; ++request) {
         dispatch(router, engine(1, "d2"), prompt(1'000), at(0));
     }
     BOOST_TEST(!router.choose(prompt(100), at(20)).value().otherDomain_);
 
-    Router calm = TestFleet().engines(1).engines(1, "d2").router();
-    calm.onDomainCapacity(DomainId("d2"), 1.0, at(1'000));
-    dispatch(calm, engine(0), prompt(1'000), at(0));
-    BOOST_TEST(!calm.choose(prompt(100), at(20)).value().otherDomain_);
+    Router lightlyLoaded = TestFleet().engines(1).engines(1, "d2").router();
+    lightlyLoaded.onDomainCapacity(DomainId("d2"), 1.0, at(1'000));
+    dispatch(lightlyLoaded, engine(0), prompt(1'000), at(0));
+    BOOST_TEST(!lightlyLoaded.choose(prompt(100), at(20)).value().otherDomain_);
 }
 
-BOOST_AUTO_TEST_CASE(aDomainWithoutOpenEnginesUsesAnotherWithRoom)
+BOOST_AUTO_TEST_CASE(aDomainWithoutAvailableEnginesUsesAnotherDomain)
 {
     Router router = TestFleet().engines(1).engines(1, "d2").router();
     router.onReachability(engine(0), Reachability::Withheld, at(0));
@@ -174,7 +176,7 @@
     BOOST_TEST(router.spareShare(ModelId("m"), at(0)) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(aLongPromptIsReadByAPrefillEngineAndHandedOver)
+BOOST_AUTO_TEST_CASE(aLongPromptIsSplitIntoPrefillAndDecode)
 {
     Router router = TestFleet()
                         .engines(1, "d1", EngineRole::Prefill)
@@ -202,8 +204,8 @@
     BOOST_TEST(!router.choose(prompt(4'000), at(20)).value().prefill_.has_value());
 }
 
-/** Story: all decode engines of a small fleet are away at once; a slow answer beats a refusal. */
-BOOST_AUTO_TEST_CASE(anEngineOfTheWrongRoleIsBetterThanNone)
+/** If no engine of the right role is available, a slow response is better than a refusal. */
+BOOST_AUTO_TEST_CASE(anEngineOfAnotherRoleIsUsedIfThereIsNoOther)
 {
     Router prefillOnly = TestFleet().engines(1, "d1", EngineRole::Prefill).router();
     BOOST_TEST(prefillOnly.choose(prompt(4'000), at(0)).value().endpoint_ == engine(0));
@@ -211,7 +213,7 @@
     BOOST_TEST(decodeOnly.choose(prompt(4'000), at(0)).value().endpoint_ == engine(0));
 }
 
-BOOST_AUTO_TEST_CASE(aServiceCallGoesToTheLessBusyOfTwo)
+BOOST_AUTO_TEST_CASE(aServiceCallGoesToTheLessLoadedEndpoint)
 {
     Router router = TestFleet().services(2).router();
     RouteQuery call;
@@ -225,14 +227,14 @@
     idle.running_ = 1;
     router.onReport(busy, at(0));
     router.onReport(idle, at(0));
-    BOOST_TEST(choicesOf(router, EndpointId("s1"), call, at(100)) == 50);
+    BOOST_TEST(countChoices(router, EndpointId("s1"), call, at(100)) == 50);
     for (int sent = 0; sent < 3; ++sent) {
         dispatch(router, EndpointId("s1"), call, at(100));
     }
-    BOOST_TEST(choicesOf(router, EndpointId("s0"), call, at(110)) == 50);
+    BOOST_TEST(countChoices(router, EndpointId("s0"), call, at(110)) == 50);
 }
 
-BOOST_AUTO_TEST_CASE(aModelThatLeftTheFileHasNoChoiceAndNothingToSpare)
+BOOST_AUTO_TEST_CASE(aRemovedModelHasNoChoiceAndNoSpareShare)
 {
     Router router = TestFleet().engines(1).router();
     router.setFleet(std::make_shared<fleet::Fleet>());
@@ -240,7 +242,7 @@
     BOOST_TEST(router.spareShare(ModelId("m"), at(0)) == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(theSpareShareFallsWithTheLoad)
+BOOST_AUTO_TEST_CASE(theSpareShareDecreasesWithLoad)
 {
     Router router = TestFleet().engines(2).router();
     router.onReport(report(engine(0), at(0), 0), at(0));
--- a/libs/routing/tests/staleloadtest.cpp
+++ b/libs/routing/tests/staleloadtest.cpp
@@ -9,11 +9,10 @@
 BOOST_AUTO_TEST_SUITE(StaleLoad)
 
 /**
- * Story: callers of one engine wait for seconds while others are free. The engine told that it was
- * idle, this entry then sent it a burst, and the next report is still on its way. The busiest
- * engine looks idle, and a router that reads only reports goes on sending to it.
+ * An engine reported that it was idle and then got a burst from this instance. Until the next
+ * report arrives, a router that uses reports alone keeps sending to this busy engine.
  */
-BOOST_AUTO_TEST_CASE(anEngineWithABurstSinceItsReportIsNotIdle)
+BOOST_AUTO_TEST_CASE(dispatchesSinceTheLastReportCountAsLoad)
 {
     Router router = TestFleet().engines(2).router();
     router.onReport(report(engine(0), at(0), 0), at(0));
@@ -21,14 +20,14 @@
     for (int burst = 0; burst < 10; ++burst) {
         dispatch(router, engine(0), prompt(1'000), at(100));
     }
-    BOOST_TEST(choicesOf(router, engine(1), prompt(100), at(200)) == 50);
+    BOOST_TEST(countChoices(router, engine(1), prompt(100), at(200)) == 50);
 }
 
 /**
- * Story: an engine's burst is over, yet it gets no work until its next report. This entry has seen
- * all the first tokens of the burst, which the lagging report still counts as waiting.
+ * A late report still counts requests as waiting whose first tokens this instance has already seen.
+ * Counting them would keep work from an idle engine until its next report.
  */
-BOOST_AUTO_TEST_CASE(ownRequestsThatWereAnsweredNoLongerCountAsWaiting)
+BOOST_AUTO_TEST_CASE(requestsWithAFirstTokenNoLongerCountAsWaiting)
 {
     Router router = TestFleet().engines(1).router();
     const AttemptId attempt = dispatch(router, engine(0), prompt(4'000), at(0));
@@ -41,23 +40,23 @@
 }
 
 /**
- * Story: an engine's reports stop while it works through a long queue; its last one said "idle".
- * A router that keeps believing it sends everyone there. Unknown must count as middling, not idle.
+ * An engine's reports stop after one that said "idle". Using it forever would send every request
+ * there; an engine with unknown load must count as typically loaded, not as idle.
  */
-BOOST_AUTO_TEST_CASE(aReportPastItsDeadlineIsUnknownAndNotIdle)
+BOOST_AUTO_TEST_CASE(aStaleReportCountsAsTypicalLoadAndNotAsIdle)
 {
     Router router = TestFleet().engines(4).router();
     router.onReport(report(engine(0), at(0), 0), at(0));
     router.onReport(report(engine(1), at(6'000), 100), at(6'000));
     router.onReport(report(engine(2), at(6'000), 9'000), at(6'000));
     router.onReport(report(engine(3), at(6'000), 9'000), at(6'000));
-    BOOST_TEST(choicesOf(router, engine(1), prompt(100), at(6'001)) == 50);
+    BOOST_TEST(countChoices(router, engine(1), prompt(100), at(6'001)) == 50);
     const RouteChoice choice = router.choose(prompt(100), at(6'001)).value();
     BOOST_TEST(choice.reason_.find("report=fresh") != std::string::npos);
 }
 
-/** Story: no engine has told anything yet, or none any more: callers are served all the same. */
-BOOST_AUTO_TEST_CASE(withoutAnyReportOwnDispatchesSpreadTheLoad)
+/** Requests must be spread evenly even if no engine reports its load. */
+BOOST_AUTO_TEST_CASE(withoutReportsLoadIsSpreadByOwnDispatches)
 {
     Router router = TestFleet().engines(5).router();
     std::map<EndpointId, int> sent;
@@ -72,10 +71,7 @@
     }
 }
 
-/**
- * Story: load jumps back and forth on a status page and choices with it: two reports of an engine
- * arrived in the wrong order and the older one won.
- */
+/** Two reports of an engine may arrive in the wrong order; the older one must not win. */
 BOOST_AUTO_TEST_CASE(anOlderReportThatArrivesLaterIsIgnored)
 {
     Router router = TestFleet().engines(2).router();
@@ -87,10 +83,10 @@
 }
 
 /**
- * Story: after a clock step on one engine its load never changes again. One report was stamped an
- * hour ahead, so that every later honest one looked old.
+ * A clock step on an engine may stamp one report an hour ahead. Later reports with correct stamps
+ * must not be ignored as older.
  */
-BOOST_AUTO_TEST_CASE(aReportFromTheFutureDoesNotSilenceLaterOnes)
+BOOST_AUTO_TEST_CASE(aReportFromTheFutureDoesNotBlockLaterOnes)
 {
     Router router = TestFleet().engines(2).router();
     router.onReport(report(engine(0), at(3'600'000), 20'000), at(0));
@@ -101,31 +97,32 @@
 }
 
 /**
- * Story: one engine in five answers ten times slower than the others, and its reports say that it
- * is idle and fast. Only this entry's own first tokens show it.
+ * One engine is ten times slower than the others although it reports to be idle and fast. Only the
+ * observed first-token times show it.
  */
-BOOST_AUTO_TEST_CASE(anEngineThatReportsIdleButIsSlowIsLeft)
+BOOST_AUTO_TEST_CASE(aSlowEngineThatReportsIdleIsAvoided)
 {
     Router router = TestFleet().engines(5).router();
     for (int round = 0; round < 10; ++round) {
         const std::int64_t start = round * 1'000LL;
         for (int number = 0; number < 5; ++number) {
             router.onReport(report(engine(number), at(start), 0), at(start));
-            answered(router, engine(number), prompt(1'000), at(start + 1),
-                     at(start + (number == 0 ? 900 : 100)));
+            completeAttempt(router, engine(number), prompt(1'000), at(start + 1),
+                            at(start + (number == 0 ? 900 : 100)));
         }
     }
-    BOOST_TEST(choicesOf(router, engine(0), prompt(1'000), at(9'950)) == 0);
+    BOOST_TEST(countChoices(router, engine(0), prompt(1'000), at(9'950)) == 0);
     const TimePoint slow = router.estimateFirstToken(engine(0), prompt(1'000), at(9'950));
     BOOST_TEST(toMillis(slow - at(9'950)) > 500);
 }
 
-/** Story: that slow engine is mended, but gets no work any more since nobody tries it. */
-BOOST_AUTO_TEST_CASE(whatWasObservedFadesWithTime)
+/** An engine that was slow must get work again after its recovery, without new observations. */
+BOOST_AUTO_TEST_CASE(observationsDecayWithTime)
 {
     Router router = TestFleet().engines(1).router();
     for (int round = 0; round < 10; ++round) {
-        answered(router, engine(0), prompt(1'000), at(round * 1'000LL), at(round * 1'000LL + 900));
+        completeAttempt(router, engine(0), prompt(1'000), at(round * 1'000LL),
+                        at(round * 1'000LL + 900));
     }
     router.onReport(report(engine(0), at(9'000), 0), at(9'000));
     const TimePoint soon = router.estimateFirstToken(engine(0), prompt(1'000), at(9'500));
@@ -135,27 +132,27 @@
 }
 
 /**
- * Story: an engine falls silent and requests sent to it hang. Its last report is fresh and says
- * "idle", and no first token comes that could contradict it.
+ * Requests hang on an engine whose last report is fresh and says "idle". No first token arrives
+ * that could show the delay, so the overdue request itself must raise the estimate.
  */
-BOOST_AUTO_TEST_CASE(anEngineThatOwesAFirstTokenForLongIsLeft)
+BOOST_AUTO_TEST_CASE(anEngineWithAnOverdueFirstTokenIsAvoided)
 {
     Router router = TestFleet().engines(2).router();
     dispatch(router, engine(0), prompt(200), at(0));
     router.onReport(report(engine(0), at(1'900), 0), at(1'950));
     router.onReport(report(engine(1), at(1'900), 1'000), at(1'950));
-    BOOST_TEST(choicesOf(router, engine(1), prompt(200), at(2'000)) == 50);
+    BOOST_TEST(countChoices(router, engine(1), prompt(200), at(2'000)) == 50);
 }
 
 /**
- * Story: one engine comes back idle, and a second later it is the slowest of all. Every entry read
- * the same report and sent its next requests to the same engine.
+ * Herd effect: all instances read the same report of an idle engine, and each sends its next
+ * requests there.
  */
-BOOST_AUTO_TEST_CASE(nineEntriesDoNotHerdOnOneIdleEngine)
+BOOST_AUTO_TEST_CASE(instancesDoNotHerdOnOneIdleEngine)
 {
     std::map<EndpointId, int> sent;
     std::uint64_t random = 0;
-    for (int entry = 0; entry < 9; ++entry) {
+    for (int instance = 0; instance < 9; ++instance) {
         Router router = TestFleet().engines(20).router();
         for (int number = 0; number < 20; ++number) {
             const std::int64_t waiting = number == 0 ? 0 : 3'000;
@@ -169,16 +166,16 @@
             ++sent[endpoint];
         }
     }
-    // Its 3,000 tokens of room are worth three requests more than another engine gets.
+    // Its 3,000 tokens of spare capacity justify three more requests than another engine gets.
     BOOST_TEST(sent[engine(0)] <= 18);
     BOOST_TEST(sent.size() >= 15U);
 }
 
 /**
- * Story: a configuration is applied every few seconds, and after each one choices are poor for a
- * while: what was learnt about reports was thrown away with the old file.
+ * Applying a configuration must not discard the learned report reliability; otherwise choices are
+ * poor for a while after each change.
  */
-BOOST_AUTO_TEST_CASE(aNewFileKeepsWhatWasLearnt)
+BOOST_AUTO_TEST_CASE(aNewConfigurationKeepsTheReportReliability)
 {
     const TestFleet fleet = TestFleet().engines(2);
     Router router = fleet.router();
@@ -187,15 +184,15 @@
         router.onReport(report(engine(0), at(start), 5'000), at(start));
         router.onReport(report(engine(1), at(start), 0), at(start));
         router.choose(prompt(100), at(start));
-        answered(router, engine(0), prompt(100), at(start), at(start + 190));
+        completeAttempt(router, engine(0), prompt(100), at(start), at(start + 190));
     }
     const TimePoint before = router.estimateFirstToken(engine(0), prompt(100), at(6'000));
     router.setFleet(fleet.get());
     BOOST_TEST((router.estimateFirstToken(engine(0), prompt(100), at(6'000)) == before));
 }
 
-/** Story: long answers stall on an engine whose KV cache is full although its queue is short. */
-BOOST_AUTO_TEST_CASE(anEngineWithoutKvRoomIsLeft)
+/** Requests stall on an engine whose KV cache is full although its queue is short. */
+BOOST_AUTO_TEST_CASE(anEngineWithAFullKvCacheIsAvoided)
 {
     Router router = TestFleet().engines(2).router();
     LoadReport full = report(engine(0), at(0), 0);
@@ -204,11 +201,11 @@
     full.kvCapacityTokens_ = 100'000;
     router.onReport(full, at(0));
     router.onReport(report(engine(1), at(0), 2'000), at(0));
-    BOOST_TEST(choicesOf(router, engine(1), prompt(30'000), at(10)) == 50);
+    BOOST_TEST(countChoices(router, engine(1), prompt(30'000), at(10)) == 50);
 }
 
-/** Story: a router that runs for weeks must not remember attempts whose end nobody told. */
-BOOST_AUTO_TEST_CASE(attemptsWithoutAnEndAreForgotten)
+/** Attempts whose end is never reported must not accumulate over weeks, or count as load. */
+BOOST_AUTO_TEST_CASE(attemptsWithoutAnEndExpire)
 {
     Router router = TestFleet().engines(1).router();
     RouteQuery lost = prompt(50'000);
--- a/libs/routing/tests/testfleet.h
+++ b/libs/routing/tests/testfleet.h
@@ -1,4 +1,4 @@
-/** A small fleet and short ways to drive one router. */
+/** Test helpers: builds a small fleet and drives one router. */
 #pragma once
 
 #include "almondridge/routing/router.h"
@@ -9,7 +9,7 @@
 
 inline TimePoint at(std::int64_t milliseconds)
 {
-    // Away from the clock's epoch, which stands for "no point" in some messages.
+    // Offset from the epoch, since TimePoint {} means "none" in some messages.
     return TimePoint {} + millis(1'000'000 + milliseconds);
 }
 
@@ -18,6 +18,7 @@
     return EndpointId(domain + "-e" + std::to_string(number));
 }
 
+/** Builds a fleet of model "m" and service "booking"; the router is in domain d1. */
 class TestFleet
 {
 public:
@@ -86,14 +87,15 @@
     return query;
 }
 
-/** Hashes of a prompt whose first blocks are those of pack and whose others are its own. */
-inline std::vector<std::uint64_t> packed(std::uint64_t pack, std::size_t shared, std::size_t own)
+/** Block hashes of a new prompt: a prefix shared by prefixId, then blocks unique to the prompt. */
+inline std::vector<std::uint64_t> promptHashes(std::uint64_t prefixId, std::size_t shared,
+                                               std::size_t own)
 {
     static std::uint64_t prompts = 0;
     ++prompts;
     std::vector<std::uint64_t> hashes;
     for (std::size_t block = 0; block < shared; ++block) {
-        hashes.push_back((pack << 32U) + block);
+        hashes.push_back((prefixId << 32U) + block);
     }
     for (std::size_t block = 0; block < own; ++block) {
         hashes.push_back((prompts << 44U) + block);
@@ -101,7 +103,7 @@
     return hashes;
 }
 
-/** Sends one attempt and names it. */
+/** Records the dispatch of one attempt and returns its id. */
 inline AttemptId dispatch(Router &router, const EndpointId &endpoint, const RouteQuery &query,
                           TimePoint now)
 {
@@ -111,18 +113,18 @@
     return attempt;
 }
 
-/** An attempt that is answered whole after some time, all at once. */
-inline void answered(Router &router, const EndpointId &endpoint, const RouteQuery &query,
-                     TimePoint sent, TimePoint firstToken, std::int64_t cachedTokens = -1)
+/** Records an attempt that finishes with its first token. */
+inline void completeAttempt(Router &router, const EndpointId &endpoint, const RouteQuery &query,
+                            TimePoint sent, TimePoint firstToken, std::int64_t cachedTokens = -1)
 {
     const AttemptId attempt = dispatch(router, endpoint, query, sent);
     router.onFirstToken(attempt, cachedTokens, firstToken);
     router.onFinished(attempt, true, firstToken);
 }
 
-/** How many of so many choices fall on endpoint; none of them is sent. */
-inline int choicesOf(Router &router, const EndpointId &endpoint, const RouteQuery &query,
-                     TimePoint now, int choices = 50)
+/** How many of the choices select endpoint; nothing is dispatched. */
+inline int countChoices(Router &router, const EndpointId &endpoint, const RouteQuery &query,
+                        TimePoint now, int choices = 50)
 {
     int count = 0;
     RouteQuery each = query;
