--- a/libs/admission/src/admission.cpp
+++ b/libs/admission/src/admission.cpp
@@ -12,29 +12,29 @@
 namespace almondridge::admission {
 namespace {
 
-/** How much later than the aim a first token counts as a sign of overload. */
-constexpr int LateFactor = 2;
-/** Bounds of the time after which a refused caller is asked to come back. */
-constexpr Duration LeastComeBack = millis(50);
-constexpr Duration LongestComeBack = millis(60'000);
-/** When nothing is known of the rate, or the refusal has nothing to do with it. */
-constexpr Duration UsualComeBack = millis(1'000);
-/** A step of priority doubles an account's weight; beyond some steps it would starve others. */
-constexpr int MostPrioritySteps = 3;
-constexpr double LeastShare = 1e-3;
-
-TimePoint latestPoint()
+/** A first token later than this multiple of the target indicates overload. */
+constexpr int LateFirstTokenFactor = 2;
+/** Bounds of the delay after which a refused client should retry. */
+constexpr Duration MinRetryDelay = millis(50);
+constexpr Duration MaxRetryDelay = millis(60'000);
+/** Used if the token rate is unknown or not the reason of the refusal. */
+constexpr Duration DefaultRetryDelay = millis(1'000);
+/** Each priority step doubles the account's weight; more steps would starve other accounts. */
+constexpr int MaxPrioritySteps = 3;
+constexpr double MinShare = 1e-3;
+
+TimePoint noDeadline()
 {
     return TimePoint::max();
 }
 
-TimePoint orNever(TimePoint deadline)
+TimePoint orNoDeadline(TimePoint deadline)
 {
-    return deadline == TimePoint {} ? latestPoint() : deadline;
+    return deadline == TimePoint {} ? noDeadline() : deadline;
 }
 
-/** A request between its offer and its end. */
-struct Admitted
+/** A queued or running request. */
+struct TrackedRequest
 {
     ModelId model_;
     AccountId account_;
@@ -42,7 +42,7 @@
     std::int64_t tokens_ = 0;
     bool queued_ = false;
     bool firstTokenSeen_ = false;
-    TimePoint admittedAt_ {}; ///< Offered, while it is queued.
+    TimePoint admittedAt_ {}; ///< While queued: when it was offered.
 };
 
 } // namespace
@@ -51,34 +51,35 @@
 {
     std::shared_ptr<const fleet::Fleet> fleet_;
     std::map<ModelId, ModelQueue> models_;
-    std::unordered_map<Ticket, Admitted> tickets_;
+    std::unordered_map<Ticket, TrackedRequest> requests_;
     RetryBudget retries_;
-    std::vector<Release> pushedOut_; ///< Made way for an account below its share; told by poll().
+    std::vector<Release> evicted_; ///< In favour of accounts below their share; returned by poll().
     std::size_t maxQueued_ = 0;
     std::size_t maxRunning_ = 0;
     std::size_t queued_ = 0;
     std::size_t running_ = 0;
     Ticket lastTicket_ = 0;
-    Duration lateAfter_ = millis(640);
+    Duration lateThreshold_ = millis(640);
     bool stopping_ = false;
 
-    /** Services have no model; their calls share one queue. */
+    /** Whether the model is configured. Service calls have no model and share one queue. */
     bool serves(const ModelId &model) const
     {
         return model.empty() || fleet_ == nullptr || fleet_->models_.contains(model);
     }
     double weightOf(const Offer &offer) const;
-    bool mayRun(const ModelQueue &model, std::int64_t tokens) const;
+    bool canStart(const ModelQueue &model, std::int64_t tokens) const;
     Decision admit(const Offer &offer, ModelQueue &model, TimePoint now);
-    Decision enqueue(const Offer &offer, ModelQueue &model, TimePoint latest, TimePoint now);
+    Decision enqueue(const Offer &offer, ModelQueue &model, TimePoint latestFirstToken,
+                     TimePoint now);
     Decision refuse(RefusalReason reason, Duration wait, TimePoint now, std::string why) const;
-    Decision refuseLate(const ModelQueue &model, Duration wait, TimePoint latest,
+    Decision refuseLate(const ModelQueue &model, Duration wait, TimePoint latestFirstToken,
                         TimePoint now) const;
-    std::optional<Decision> refuseForRoom(const Offer &offer, ModelQueue &model, TimePoint now);
+    std::optional<Decision> makeQueueSpace(const Offer &offer, ModelQueue &model, TimePoint now);
     Ticket addTicket(const Offer &offer, bool queued, TimePoint now);
     void startQueued(ModelQueue &model, std::vector<Release> &releases, TimePoint now);
-    void refuseOverdue(ModelQueue &model, std::vector<Release> &releases, TimePoint now);
-    void dropQueued(ModelQueue &model, Ticket ticket);
+    void refuseExpired(ModelQueue &model, std::vector<Release> &releases, TimePoint now);
+    void removeQueued(ModelQueue &model, Ticket ticket);
 };
 
 double Admission::State::weightOf(const Offer &offer) const
@@ -88,70 +89,71 @@
         const auto account = fleet_->accounts_.find(offer.account_);
         share = account == fleet_->accounts_.end() ? 1.0 : account->second.share_;
     }
-    const int steps = std::clamp(offer.priority_, -MostPrioritySteps, MostPrioritySteps);
-    return std::max(share, LeastShare) * std::exp2(steps);
+    const int steps = std::clamp(offer.priority_, -MaxPrioritySteps, MaxPrioritySteps);
+    return std::max(share, MinShare) * std::exp2(steps);
 }
 
-bool Admission::State::mayRun(const ModelQueue &model, std::int64_t tokens) const
+bool Admission::State::canStart(const ModelQueue &model, std::int64_t tokens) const
 {
-    return running_ < maxRunning_ && model.window_.hasRoom(tokens);
+    return running_ < maxRunning_ && model.window_.fits(tokens);
 }
 
 Decision Admission::State::refuse(RefusalReason reason, Duration wait, TimePoint now,
                                   std::string why) const
 {
-    const Duration span = wait == Duration {} ? UsualComeBack : wait;
-    const TimePoint comeBack = now + std::clamp(span, LeastComeBack, LongestComeBack);
-    return {Answer::Refuse, 0, reason, comeBack,
+    const Duration delay = wait == Duration {} ? DefaultRetryDelay : wait;
+    const TimePoint retryAt = now + std::clamp(delay, MinRetryDelay, MaxRetryDelay);
+    return {Answer::Refuse, 0, reason, retryAt,
             fmt::format("rule={} come_back_ms={} {}", nameOf(RefusalReasonNames, reason),
-                        toMillis(comeBack - now), why)};
+                        toMillis(retryAt - now), why)};
 }
 
-/** The request would be served too late: it is worth a new try once the excess has drained. */
-Decision Admission::State::refuseLate(const ModelQueue &model, Duration wait, TimePoint latest,
-                                      TimePoint now) const
+/** Refuses a request that would be served too late, with a retry after the excess wait. */
+Decision Admission::State::refuseLate(const ModelQueue &model, Duration wait,
+                                      TimePoint latestFirstToken, TimePoint now) const
 {
-    const Duration excess = std::max(now + wait - std::max(latest, now), LeastComeBack);
+    const Duration excess = std::max(now + wait - std::max(latestFirstToken, now), MinRetryDelay);
     return refuse(RefusalReason::DeadlineCannotBeMet, excess, now,
                   fmt::format("estimate_ms={} budget_ms={} queued_tokens={} outstanding_tokens={}",
-                              toMillis(wait), millisUntil(latest, now), model.queue_.tokens(),
-                              model.window_.outstanding()));
+                              toMillis(wait), millisUntil(latestFirstToken, now),
+                              model.queue_.tokens(), model.window_.outstanding()));
 }
 
-/** Makes room in a full queue or says why there is none for this account. */
-std::optional<Decision> Admission::State::refuseForRoom(const Offer &offer, ModelQueue &model,
-                                                        TimePoint now)
+/** Evicts a request if the queue is full. Returns a refusal if the account may not queue more. */
+std::optional<Decision> Admission::State::makeQueueSpace(const Offer &offer, ModelQueue &model,
+                                                         TimePoint now)
 {
     const double weight = weightOf(offer);
     const double share = model.queue_.shareOf(offer.account_, weight);
-    const auto own = static_cast<double>(model.queue_.sizeOf(offer.account_));
-    const bool beyondShare = own >= std::max(share * static_cast<double>(maxQueued_), 1.0);
-    if (beyondShare && model.queue_.othersWait(offer.account_)) {
-        const Duration drain = model.timeFor(model.queue_.tokensAhead(offer.account_, weight), now);
-        return refuse(RefusalReason::ShareExhausted, drain, now,
-                      fmt::format("share={:.3f} queued={}", share, own));
+    const auto ownQueued = static_cast<double>(model.queue_.sizeOf(offer.account_));
+    const bool exceedsShare = ownQueued >= std::max(share * static_cast<double>(maxQueued_), 1.0);
+    if (exceedsShare && model.queue_.hasOtherAccounts(offer.account_)) {
+        const Duration drainTime =
+            model.timeFor(model.queue_.tokensAhead(offer.account_, weight), now);
+        return refuse(RefusalReason::ShareExhausted, drainTime, now,
+                      fmt::format("share={:.3f} queued={}", share, ownQueued));
     }
     if (queued_ < maxQueued_) {
         return std::nullopt;
     }
-    if (beyondShare || model.queue_.empty()) {
+    if (exceedsShare || model.queue_.empty()) {
         return refuse(RefusalReason::QueueFull,
                       model.timeFor(static_cast<double>(model.queue_.tokens()), now), now,
                       fmt::format("queued={}", queued_));
     }
-    const Ticket pushedOut = model.queue_.newestOfGreediest();
-    const Duration drain = model.timeFor(static_cast<double>(model.queue_.tokens()), now);
-    dropQueued(model, pushedOut);
-    pushedOut_.push_back({pushedOut, refuse(RefusalReason::ShareExhausted, drain, now,
-                                            "made_way_for=" + offer.account_.value())});
+    const Ticket evicted = model.queue_.evictionCandidate();
+    const Duration drainTime = model.timeFor(static_cast<double>(model.queue_.tokens()), now);
+    removeQueued(model, evicted);
+    evicted_.push_back({evicted, refuse(RefusalReason::ShareExhausted, drainTime, now,
+                                        "made_way_for=" + offer.account_.value())});
     return std::nullopt;
 }
 
 Ticket Admission::State::addTicket(const Offer &offer, bool queued, TimePoint now)
 {
     const Ticket ticket = ++lastTicket_;
-    tickets_[ticket] = {offer.model_, offer.account_, weightOf(offer), offer.tokens_, queued, false,
-                        now};
+    requests_[ticket] = {
+        offer.model_, offer.account_, weightOf(offer), offer.tokens_, queued, false, now};
     return ticket;
 }
 
@@ -169,11 +171,11 @@
                         model.window_.outstanding(), model.window_.limit())};
 }
 
-Decision Admission::State::enqueue(const Offer &offer, ModelQueue &model, TimePoint latest,
-                                   TimePoint now)
+Decision Admission::State::enqueue(const Offer &offer, ModelQueue &model,
+                                   TimePoint latestFirstToken, TimePoint now)
 {
     const Ticket ticket = addTicket(offer, true, now);
-    model.queue_.push({ticket, offer.account_, weightOf(offer), offer.tokens_, latest});
+    model.queue_.push({ticket, offer.account_, weightOf(offer), offer.tokens_, latestFirstToken});
     ++queued_;
     return {
         Answer::Queue,
@@ -183,14 +185,14 @@
         fmt::format("rule=fair-queue queued={} queued_tokens={}", queued_, model.queue_.tokens())};
 }
 
-void Admission::State::dropQueued(ModelQueue &model, Ticket ticket)
+void Admission::State::removeQueued(ModelQueue &model, Ticket ticket)
 {
     model.queue_.remove(ticket);
-    tickets_.erase(ticket);
+    requests_.erase(ticket);
     --queued_;
 }
 
-void Admission::State::refuseOverdue(ModelQueue &model, std::vector<Release> &releases,
+void Admission::State::refuseExpired(ModelQueue &model, std::vector<Release> &releases,
                                      TimePoint now)
 {
     const Duration wait = model.firstTokenWait(now);
@@ -199,22 +201,22 @@
          next = model.queue_.mostUrgent()) {
         const Ticket ticket = next->ticket_;
         releases.push_back({ticket, refuseLate(model, wait, next->latestFirstToken_, now)});
-        dropQueued(model, ticket);
+        removeQueued(model, ticket);
     }
 }
 
 void Admission::State::startQueued(ModelQueue &model, std::vector<Release> &releases, TimePoint now)
 {
     for (const QueuedRequest *next = model.queue_.head();
-         next != nullptr && mayRun(model, next->tokens_); next = model.queue_.head()) {
+         next != nullptr && canStart(model, next->tokens_); next = model.queue_.head()) {
         const QueuedRequest request = model.queue_.popHead();
         --queued_;
         ++running_;
         model.window_.onAdmitted(request.tokens_);
-        Admitted &admitted = tickets_[request.ticket_];
-        const std::int64_t waited = toMillis(now - admitted.admittedAt_);
-        admitted.queued_ = false;
-        admitted.admittedAt_ = now;
+        TrackedRequest &tracked = requests_[request.ticket_];
+        const std::int64_t waited = toMillis(now - tracked.admittedAt_);
+        tracked.queued_ = false;
+        tracked.admittedAt_ = now;
         releases.push_back({request.ticket_,
                             {Answer::Admit,
                              request.ticket_,
@@ -227,7 +229,7 @@
 void Admission::setFleet(std::shared_ptr<const fleet::Fleet> fleet)
 {
     state_->retries_.setShare(fleet->policy_.retryBudget_);
-    state_->lateAfter_ = millis(fleet->policy_.firstTokenMillis_ * LateFactor);
+    state_->lateThreshold_ = millis(fleet->policy_.firstTokenMillis_ * LateFirstTokenFactor);
     state_->fleet_ = std::move(fleet);
     std::erase_if(state_->models_, [&](const auto &entry) {
         const ModelQueue &model = entry.second;
@@ -245,76 +247,77 @@
 Decision Admission::offer(const Offer &offer, TimePoint now)
 {
     if (state_->stopping_) {
-        return state_->refuse(RefusalReason::Stopping, UsualComeBack, now, "");
+        return state_->refuse(RefusalReason::Stopping, DefaultRetryDelay, now, "");
     }
     if (!state_->serves(offer.model_)) {
-        return state_->refuse(RefusalReason::NoCapacity, UsualComeBack, now, "model=unknown");
+        return state_->refuse(RefusalReason::NoCapacity, DefaultRetryDelay, now, "model=unknown");
     }
     ModelQueue &model = state_->models_[offer.model_];
-    if (model.nothingServes(now)) {
-        return state_->refuse(RefusalReason::NoCapacity, UsualComeBack, now, "");
+    if (model.hasNoCapacity(now)) {
+        return state_->refuse(RefusalReason::NoCapacity, DefaultRetryDelay, now, "");
     }
     const Duration wait = model.firstTokenWait(now);
     const auto tokens = static_cast<double>(offer.tokens_);
-    const TimePoint deadline = orNever(offer.deadline_);
-    const TimePoint latest =
-        std::min(orNever(offer.firstTokenDeadline_),
-                 deadline == latestPoint() ? deadline : deadline - model.timeFor(tokens, now));
-    if (latest < now + wait) {
-        return state_->refuseLate(model, wait, latest, now);
+    const TimePoint deadline = orNoDeadline(offer.deadline_);
+    const TimePoint latestFirstToken =
+        std::min(orNoDeadline(offer.firstTokenDeadline_),
+                 deadline == noDeadline() ? deadline : deadline - model.timeFor(tokens, now));
+    if (latestFirstToken < now + wait) {
+        return state_->refuseLate(model, wait, latestFirstToken, now);
     }
-    if (model.queue_.empty() && state_->mayRun(model, offer.tokens_)) {
+    if (model.queue_.empty() && state_->canStart(model, offer.tokens_)) {
         return state_->admit(offer, model, now);
     }
     const double ahead = model.queue_.tokensAhead(offer.account_, state_->weightOf(offer));
     const Duration queueWait = wait + model.timeFor(ahead, now);
-    if (latest < now + queueWait) {
-        return state_->refuseLate(model, queueWait, latest, now);
+    if (latestFirstToken < now + queueWait) {
+        return state_->refuseLate(model, queueWait, latestFirstToken, now);
     }
-    if (std::optional<Decision> refusal = state_->refuseForRoom(offer, model, now)) {
+    if (std::optional<Decision> refusal = state_->makeQueueSpace(offer, model, now)) {
         return *refusal;
     }
-    return state_->enqueue(offer, model, latest, now);
+    return state_->enqueue(offer, model, latestFirstToken, now);
 }
 
 void Admission::onFirstToken(Ticket ticket, TimePoint now)
 {
-    const auto found = state_->tickets_.find(ticket);
-    if (found == state_->tickets_.end() || found->second.queued_ || found->second.firstTokenSeen_) {
+    const auto found = state_->requests_.find(ticket);
+    if (found == state_->requests_.end() || found->second.queued_
+        || found->second.firstTokenSeen_) {
         return;
     }
-    Admitted &admitted = found->second;
-    admitted.firstTokenSeen_ = true;
-    const bool late = now - admitted.admittedAt_ > state_->lateAfter_;
-    state_->models_[admitted.model_].window_.onFirstToken(admitted.tokens_, late,
-                                                          admitted.admittedAt_, now);
+    TrackedRequest &tracked = found->second;
+    tracked.firstTokenSeen_ = true;
+    const bool late = now - tracked.admittedAt_ > state_->lateThreshold_;
+    state_->models_[tracked.model_].window_.onFirstToken(tracked.tokens_, late, tracked.admittedAt_,
+                                                         now);
 }
 
 void Admission::onFinished(Ticket ticket, std::int64_t tokens, TimePoint now)
 {
-    const auto found = state_->tickets_.find(ticket);
-    if (found == state_->tickets_.end()) {
+    const auto found = state_->requests_.find(ticket);
+    if (found == state_->requests_.end()) {
         return;
     }
-    const Admitted admitted = found->second;
-    ModelQueue &model = state_->models_[admitted.model_];
-    if (admitted.queued_) {
-        state_->dropQueued(model, ticket);
+    const TrackedRequest tracked = found->second;
+    ModelQueue &model = state_->models_[tracked.model_];
+    if (tracked.queued_) {
+        state_->removeQueued(model, ticket);
         return;
     }
-    state_->tickets_.erase(found);
+    state_->requests_.erase(found);
     --state_->running_;
-    model.window_.onFinished(admitted.tokens_);
-    model.queue_.correct(admitted.account_, admitted.weight_, tokens - admitted.tokens_);
+    model.window_.onFinished(tracked.tokens_);
+    model.queue_.adjust(tracked.account_, tracked.weight_, tokens - tracked.tokens_);
     model.onFinished(tokens, now);
 }
 
 std::vector<Release> Admission::poll(TimePoint now)
 {
-    std::vector<Release> releases = std::move(state_->pushedOut_);
-    state_->pushedOut_.clear();
+    std::vector<Release> releases = std::move(state_->evicted_);
+    state_->evicted_.clear();
     for (auto &[id, model] : state_->models_) {
-        state_->refuseOverdue(model, releases, now);
+        state_->refuseExpired(model, releases, now);
         state_->startQueued(model, releases, now);
     }
     return releases;
@@ -322,7 +325,7 @@
 
 std::optional<TimePoint> Admission::nextPoll() const
 {
-    if (!state_->pushedOut_.empty()) {
+    if (!state_->evicted_.empty()) {
         return TimePoint {};
     }
     std::optional<TimePoint> next;
@@ -331,10 +334,10 @@
         if (urgent == nullptr) {
             continue;
         }
-        if (state_->mayRun(model, model.queue_.head()->tokens_)) {
+        if (state_->canStart(model, model.queue_.head()->tokens_)) {
             return TimePoint {};
         }
-        if (const auto due = model.refusalDue(urgent->latestFirstToken_)) {
+        if (const auto due = model.refusalTime(urgent->latestFirstToken_)) {
             next = next ? std::min(*next, *due) : due;
         }
     }
@@ -343,7 +346,7 @@
 
 bool Admission::takeRetry(TimePoint now)
 {
-    return state_->retries_.take(now);
+    return state_->retries_.tryTake(now);
 }
 
 void Admission::onFirstAttempt(TimePoint now)
--- a/libs/admission/src/fairqueue.cpp
+++ b/libs/admission/src/fairqueue.cpp
@@ -5,19 +5,19 @@
 namespace almondridge::admission {
 namespace {
 
-/** Idle accounts are remembered up to this number, then those that owe nothing are forgotten. */
-constexpr std::size_t RememberedFlows = 8'192;
+/** From this number on, idle accounts whose tags are not ahead of virtual time are dropped. */
+constexpr std::size_t MaxFlows = 8'192;
 
 } // namespace
 
 void FairQueue::charge(const AccountId &account, double weight, std::int64_t tokens)
 {
-    forgetIdleFlows();
-    const double startTag = book(flows_[account], weight, tokens);
+    dropIdleFlows();
+    const double startTag = assignTags(flows_[account], weight, tokens);
     virtualTime_ = std::max(virtualTime_, startTag);
 }
 
-void FairQueue::correct(const AccountId &account, double weight, std::int64_t tokens)
+void FairQueue::adjust(const AccountId &account, double weight, std::int64_t tokens)
 {
     const auto flow = flows_.find(account);
     if (flow != flows_.end()) {
@@ -27,9 +27,9 @@
 
 void FairQueue::push(const QueuedRequest &request)
 {
-    forgetIdleFlows();
+    dropIdleFlows();
     Flow &flow = flows_[request.account_];
-    const double startTag = book(flow, request.weight_, request.tokens_);
+    const double startTag = assignTags(flow, request.weight_, request.tokens_);
     if (flow.tickets_.empty()) {
         flow.weight_ = request.weight_;
         activeWeight_ += flow.weight_;
@@ -51,13 +51,13 @@
 {
     const auto [startTag, ticket] = *heads_.begin();
     virtualTime_ = std::max(virtualTime_, startTag);
-    return take(ticket);
+    return extract(ticket);
 }
 
 QueuedRequest FairQueue::remove(Ticket ticket)
 {
-    QueuedRequest request = take(ticket);
-    correct(request.account_, request.weight_, -request.tokens_);
+    QueuedRequest request = extract(ticket);
+    adjust(request.account_, request.weight_, -request.tokens_);
     return request;
 }
 
@@ -66,14 +66,14 @@
     return byUrgency_.empty() ? nullptr : &requests_.at(byUrgency_.begin()->second).request_;
 }
 
-Ticket FairQueue::newestOfGreediest() const
+Ticket FairQueue::evictionCandidate() const
 {
-    const auto greediest =
+    const auto mostOverShare =
         std::max_element(flows_.begin(), flows_.end(), [](const auto &left, const auto &right) {
             return static_cast<double>(left.second.tickets_.size()) / left.second.weight_
                    < static_cast<double>(right.second.tickets_.size()) / right.second.weight_;
         });
-    return greediest->second.tickets_.back();
+    return mostOverShare->second.tickets_.back();
 }
 
 std::size_t FairQueue::sizeOf(const AccountId &account) const
@@ -94,19 +94,19 @@
     if (flow == flows_.end()) {
         return 0;
     }
-    // What the account has booked beyond the present has to wait for the others' shares too.
+    // While the account's tokens ahead of virtual time are served, other accounts get their shares.
     const double lead = std::max(flow->second.finishTag_ - virtualTime_, 0.0) * weight;
     return std::min(lead / shareOf(account, weight), static_cast<double>(tokens_));
 }
 
-double FairQueue::book(Flow &flow, double weight, std::int64_t tokens)
+double FairQueue::assignTags(Flow &flow, double weight, std::int64_t tokens)
 {
     const double startTag = std::max(virtualTime_, flow.finishTag_);
     flow.finishTag_ = startTag + static_cast<double>(tokens) / weight;
     return startTag;
 }
 
-QueuedRequest FairQueue::take(Ticket ticket)
+QueuedRequest FairQueue::extract(Ticket ticket)
 {
     const Entry entry = requests_.at(ticket);
     requests_.erase(ticket);
@@ -127,9 +127,9 @@
     return entry.request_;
 }
 
-void FairQueue::forgetIdleFlows()
+void FairQueue::dropIdleFlows()
 {
-    if (flows_.size() < RememberedFlows) {
+    if (flows_.size() < MaxFlows) {
         return;
     }
     std::erase_if(flows_, [&](const auto &entry) {
--- a/libs/admission/src/modelqueue.h
+++ b/libs/admission/src/modelqueue.h
@@ -1,5 +1,5 @@
 /**
- * One model's part of admission: the capacity told, the cap learnt and the requests that wait.
+ * Admission state of one model: reported capacity, limit on outstanding tokens and the queue.
  */
 #pragma once
 
@@ -8,37 +8,41 @@
 
 namespace almondridge::admission {
 
-/** The router's estimate for the model, believed for a while. */
+/** The router's estimate for a model; expires. */
 struct Capacity
 {
     Duration firstTokenWait_ {};
     double tokensPerSecond_ = 0;
     double spareShare_ = 0;
-    TimePoint toldAt_ {};
-    TimePoint validUntil_ {}; ///< Unknown from then on.
+    TimePoint reportedAt_ {};
+    TimePoint validUntil_ {}; ///< From then on the capacity is unknown.
 };
 
+/** The queue of one model, with estimates of its capacity. */
 class ModelQueue
 {
 public:
     void onCapacity(Duration firstTokenWait, double tokensPerSecond, double spareShare,
                     TimePoint now);
-    /** A request has finished: its tokens tell the rate when no capacity is told. */
+    /** Counts the tokens of a finished request, to estimate the rate if none is reported. */
     void onFinished(std::int64_t tokens, TimePoint now);
 
     bool capacityKnown(TimePoint now) const { return now < capacity_.validUntil_; }
-    /** Told lately that nothing can serve the model. */
-    bool nothingServes(TimePoint now) const
+    /** Whether the last report, not yet expired, says that no engine can serve the model. */
+    bool hasNoCapacity(TimePoint now) const
     {
         return capacityKnown(now) && capacity_.tokensPerSecond_ <= 0;
     }
-    /** Tokens a second as told, else as finished lately; 0 when neither is known. */
+    /** Tokens per second as reported, else as recently finished; 0 if both are unknown. */
     double tokensPerSecond(TimePoint now) const;
-    /** The wait in the endpoints; none when unknown: the cap alone rules then. */
+    /**
+     * Expected time to first token at the endpoints. Zero if unknown; admission then depends only
+     * on the limit on outstanding tokens.
+     */
     Duration firstTokenWait(TimePoint now) const;
-    /** When a waiting request can no longer have its first token in time; nothing: never. */
-    std::optional<TimePoint> refusalDue(TimePoint latestFirstToken) const;
-    /** The time that so many tokens take; zero when the rate is unknown. */
+    /** When a queued request will miss its first-token deadline; nullopt: never. */
+    std::optional<TimePoint> refusalTime(TimePoint latestFirstToken) const;
+    /** Time to serve the tokens; zero if the rate is unknown. */
     Duration timeFor(double tokens, TimePoint now) const;
 
     FairQueue queue_;
@@ -46,9 +50,9 @@
 
 private:
     Capacity capacity_;
-    double finishedPerSecond_ = 0; ///< Smoothed.
-    std::int64_t finishedNow_ = 0; ///< Since countedFrom_.
-    TimePoint countedFrom_ {};
+    double finishedTokensPerSecond_ = 0; ///< Exponentially smoothed.
+    std::int64_t finishedTokens_ = 0;    ///< Since intervalStart_.
+    TimePoint intervalStart_ {};
 };
 
 } // namespace almondridge::admission
--- a/libs/admission/src/retrybudget.cpp
+++ b/libs/admission/src/retrybudget.cpp
@@ -3,8 +3,8 @@
 namespace almondridge::admission {
 namespace {
 
-/** So that a single failure on a quiet day is retried; a storm is far beyond it. */
-constexpr double AlwaysAllowed = 3;
+/** Allows retries at low traffic, where the share alone permits none; far below a storm. */
+constexpr double MinRetries = 3;
 
 std::int64_t secondOf(TimePoint now)
 {
@@ -18,7 +18,7 @@
     ++bucketAt(now).firstAttempts_;
 }
 
-bool RetryBudget::take(TimePoint now)
+bool RetryBudget::tryTake(TimePoint now)
 {
     Bucket &current = bucketAt(now);
     double firstAttempts = 0;
@@ -29,7 +29,7 @@
             retries += static_cast<double>(bucket.retries_);
         }
     }
-    if (retries + 1 > firstAttempts * share_ + AlwaysAllowed) {
+    if (retries + 1 > firstAttempts * share_ + MinRetries) {
         return false;
     }
     ++current.retries_;
--- a/libs/admission/src/retrybudget.h
+++ b/libs/admission/src/retrybudget.h
@@ -1,6 +1,6 @@
 /**
- * Retries as a share of first attempts over the last ten seconds. Guards against retry storms: an
- * overload that makes requests fail would otherwise be fed by their own retries.
+ * Limits retries to a share of the first attempts of the last ten seconds. Prevents retry storms,
+ * in which an overload makes requests fail and their retries add to the overload.
  */
 #pragma once
 
@@ -11,18 +11,21 @@
 
 namespace almondridge::admission {
 
+/** A sliding-window retry budget. */
 class RetryBudget
 {
 public:
+    /** share: allowed retries per first attempt. */
     void setShare(double share) { share_ = share; }
     void onFirstAttempt(TimePoint now);
-    /** Whether one more fits; counts it when it does. */
-    bool take(TimePoint now);
+    /** Counts one more retry and returns true, or returns false if it exceeds the budget. */
+    bool tryTake(TimePoint now);
 
 private:
+    /** Counts of one second. */
     struct Bucket
     {
-        std::int64_t second_ = -1; ///< Since the clock's epoch; another one: the bucket is empty.
+        std::int64_t second_ = -1; ///< Since the clock's epoch; -1: unused.
         std::int64_t firstAttempts_ = 0;
         std::int64_t retries_ = 0;
     };
--- a/libs/admission/src/tokenwindow.h
+++ b/libs/admission/src/tokenwindow.h
@@ -1,7 +1,7 @@
 /**
- * The cap on admitted tokens that have not finished, learnt from first-token times: additive
- * growth while they are in time, multiplicative cut when many are late. It needs no load report, so
- * it holds when all reports are old.
+ * Limit on outstanding tokens, the tokens of admitted, unfinished requests. Adapts to first-token
+ * times by additive increase and multiplicative decrease (AIMD), like a congestion window. It needs
+ * no load reports and so works while all of them are stale.
  */
 #pragma once
 
@@ -11,12 +11,14 @@
 
 namespace almondridge::admission {
 
+/** Adaptive limit on outstanding tokens. */
 class TokenWindow
 {
 public:
-    bool hasRoom(std::int64_t tokens) const;
+    /** Whether a request of this many tokens may be admitted now. */
+    bool fits(std::int64_t tokens) const;
     void onAdmitted(std::int64_t tokens) { outstanding_ += tokens; }
-    /** late: the first token came later than it should. */
+    /** late: the first token arrived after the threshold for overload. */
     void onFirstToken(std::int64_t tokens, bool late, TimePoint admittedAt, TimePoint now);
     void onFinished(std::int64_t tokens) { outstanding_ -= tokens; }
 
@@ -24,11 +26,11 @@
     std::int64_t limit() const { return limit_; }
 
 private:
-    static constexpr std::int64_t FirstLimit = 1'000'000;
+    static constexpr std::int64_t InitialLimit = 1'000'000;
 
     std::int64_t outstanding_ = 0;
-    std::int64_t limit_ = FirstLimit;
-    double lateShare_ = 0; ///< Of the last first tokens.
+    std::int64_t limit_ = InitialLimit;
+    double lateShare_ = 0; ///< Decayed share of late first tokens.
     TimePoint lastCut_ {};
 };
 
