--- a/libs/planner/src/mixphase.cpp
+++ b/libs/planner/src/demandphase.cpp
@@ -1,4 +1,4 @@
-#include "mixphase.h"
+#include "demandphase.h"
 
 #include <algorithm>
 #include <cmath>
--- a/libs/planner/src/modelplan.h
+++ b/libs/planner/src/modelplan.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "capacity.h"
-#include "mixphase.h"
+#include "demandphase.h"
 #include "rolesearch.h"
 
 #include <optional>
