--- a/libs/planner/include/almondridge/planner/planner.h
+++ b/libs/planner/include/almondridge/planner/planner.h
@@ -1,6 +1,6 @@
 /**
- * Which engine holds which role, from the mix of prompt and output tokens that is seen.
- * Pure: time is passed in.
+ * Plans which engine has which role, from the observed mix of prompt and output tokens. Performs no
+ * I/O and reads no clock: the current time is passed in.
  */
 #pragma once
 
@@ -14,68 +14,73 @@
 
 namespace almondridge::planner {
 
-/** Demand of one model in one failure domain since the last observation. */
+/** Demand for one model in one failure domain since the last observation. */
 struct Demand
 {
     ModelId model_;
-    double prefillTokens_ = 0; ///< Uncached prompt tokens asked for, admitted or refused.
-    double decodeTokens_ = 0;  ///< Output tokens asked for.
+    double prefillTokens_ = 0; ///< Uncached prompt tokens of all requests, also refused ones.
+    double decodeTokens_ = 0;  ///< Output tokens of the same requests.
 };
 
-/** An engine as the planner sees it. */
+/** State of an engine as input to the planner. */
 struct EngineView
 {
     EndpointId engine_;
     ModelId model_;
     fleet::EngineRole role_ = fleet::EngineRole::Mixed;
-    bool available_ = true; ///< False: draining, changing, unclear or gone.
-    TimePoint lastChange_ {};
+    bool available_ = true;   ///< False: draining, changing its role, gone, or in unknown state.
+    TimePoint lastChange_ {}; ///< When its last role change was started.
 };
 
-/** Tokens a second that an engine of a role prefills and decodes when kept busy. */
+/** Tokens per second that a fully loaded engine of a role prefills and decodes. */
 struct RoleRates
 {
     double prefill_ = 0;
     double decode_ = 0;
 };
 
+/** A planned change of one engine's role. */
 struct RoleChange
 {
     EndpointId engine_;
     fleet::EngineRole from_ = fleet::EngineRole::Mixed;
     fleet::EngineRole to_ = fleet::EngineRole::Mixed;
-    std::string reason_; ///< Gain, cost, windows and the rule, as key=value pairs.
+    std::string reason_; ///< Rule, gain, cost and demand as key=value pairs.
 };
 
+/** The result of one planning round. */
 struct Plan
 {
     std::vector<RoleChange> changes_;
-    std::string declined_; ///< Why the best change was not made, when none was.
+    std::string declined_; ///< Why models get no change, as key=value pairs joined by "; ".
 };
 
-/** How cautious the planner is. docs/PLANNING.md has the figure that each default rests on. */
+/** How cautiously roles are changed. docs/PLANNING.md gives the reasons for the defaults. */
 struct Tuning
 {
-    /** Gain, in seconds of the whole demand, that every change must bring beyond its cost. */
+    /** Minimum gain of a change beyond its cost, in seconds of the whole demand. */
     double hysteresisSeconds_ = 1;
-    /** Least share of all work by which the last seconds must differ to begin a new phase. */
+    /** Minimum difference of the fast window, as a share of all work, that starts a new phase. */
     double shiftThreshold_ = 0.12;
-    /** And how often the difference that noise makes. */
+    /** Minimum of the same difference as a multiple of the noise level. */
     double noiseFactor_ = 4.5;
     /** Share of the measured rates that can be used before queues grow. */
     double usableShare_ = 0.95;
 };
 
+/** Plans the roles of the engines in one failure domain. Not thread-safe. */
 class Planner
 {
 public:
     class Builder;
 
+    /** Takes over policy and role bounds of the configuration. */
     void setFleet(std::shared_ptr<const fleet::Fleet> fleet);
-    /** Rates per role as measured; a role that was never seen keeps its default ratio. */
+    /** Measured rates of a role; 0: not measured. Rates of other roles are estimated from them. */
     void onRates(const ModelId &model, fleet::EngineRole role, RoleRates rates);
+    /** Adds demand since the last call for the same model. */
     void onDemand(const Demand &demand, TimePoint now);
-    /** Changes to start now. Empty while information is missing. */
+    /** Returns the role changes to start now; none while information is missing or stale. */
     Plan plan(const std::vector<EngineView> &engines, TimePoint now);
 
     Planner(Planner &&) noexcept;
@@ -88,14 +93,18 @@
     std::unique_ptr<State> state_;
 };
 
+/** Configures and creates a Planner. */
 class Planner::Builder
 {
 public:
+    /** The failure domain whose engines are planned. */
     Builder &domain(DomainId domain);
+    /** Averaging window for detecting shifts of the mix. */
     Builder &fastWindow(Duration window);
+    /** Averaging window for the demand of a phase. */
     Builder &slowWindow(Duration window);
-    /** How long a change takes an engine away. */
-    Builder &roleChangeDuration(Duration away);
+    /** How long an engine is unavailable during a role change. */
+    Builder &roleChangeDuration(Duration duration);
     Builder &tuning(const Tuning &tuning);
     Planner build();
 
@@ -103,7 +112,7 @@
     DomainId domain_;
     Duration fastWindow_ = millis(15'000);
     Duration slowWindow_ = millis(120'000);
-    Duration away_ = millis(5'000);
+    Duration roleChangeDuration_ = millis(5'000);
     Tuning tuning_;
 };
 
--- a/libs/planner/src/capacity.cpp
+++ b/libs/planner/src/capacity.cpp
@@ -8,14 +8,14 @@
 
 using fleet::EngineRole;
 
-/** Tokens a second of an engine that does nothing else; a guess until one was measured. */
+/** Tokens per second of a dedicated engine; assumed until a rate has been measured. */
 constexpr RoleRates DefaultRates {20'000, 2'400};
 
 /**
- * What a role keeps of these. A mixed engine does both at once: each decode step waits for the
- * prefill chunk that shares its batch, and chunks are kept short for the sake of the steps.
+ * Rates of each role relative to a dedicated engine. A mixed engine has less of both: each decode
+ * step waits for the prefill chunk in its batch, and chunks are kept short to bound that wait.
  */
-constexpr std::array<RoleRates, RoleTotal> DefaultRatios {{
+constexpr std::array<RoleRates, NumRoles> DefaultRatios {{
     {1.0, 0.03}, // Prefill
     {0.1, 1.0},  // Decode
     {0.35, 0.4}, // Mixed
@@ -33,17 +33,17 @@
 double RoleRateTable::scale(double RoleRates::*rate) const
 {
     double sum = 0;
-    int seen = 0;
-    for (std::size_t index = 0; index < RoleTotal; ++index) {
+    int measuredRoles = 0;
+    for (std::size_t index = 0; index < NumRoles; ++index) {
         if (measured_[index].*rate > 0) {
             sum += measured_[index].*rate / DefaultRatios[index].*rate;
-            ++seen;
+            ++measuredRoles;
         }
     }
-    return seen > 0 ? sum / seen : DefaultRates.*rate;
+    return measuredRoles > 0 ? sum / measuredRoles : DefaultRates.*rate;
 }
 
-RoleRates RoleRateTable::of(fleet::EngineRole role) const
+RoleRates RoleRateTable::ratesFor(fleet::EngineRole role) const
 {
     const RoleRates &known = measured_[indexOf(role)];
     const RoleRates &ratio = DefaultRatios[indexOf(role)];
@@ -53,28 +53,28 @@
     };
 }
 
-double RoleRateTable::margin(const RoleCounts &counts, const TokenRates &demand) const
+double RoleRateTable::capacityRatio(const RoleCounts &counts, const TokenRates &demand) const
 {
     TokenRates capacity;
-    for (std::size_t index = 0; index < RoleTotal; ++index) {
-        const RoleRates rates = of(static_cast<EngineRole>(index));
+    for (std::size_t index = 0; index < NumRoles; ++index) {
+        const RoleRates rates = ratesFor(static_cast<EngineRole>(index));
         capacity.prefill_ += counts[index] * rates.prefill_ * tuning_.usableShare_;
         capacity.decode_ += counts[index] * rates.decode_ * tuning_.usableShare_;
     }
-    double share = std::numeric_limits<double>::max();
+    double smallestRatio = std::numeric_limits<double>::max();
     if (demand.prefill_ > 0) {
-        share = std::min(share, capacity.prefill_ / demand.prefill_);
+        smallestRatio = std::min(smallestRatio, capacity.prefill_ / demand.prefill_);
     }
     if (demand.decode_ > 0) {
-        share = std::min(share, capacity.decode_ / demand.decode_);
+        smallestRatio = std::min(smallestRatio, capacity.decode_ / demand.decode_);
     }
-    return share;
+    return smallestRatio;
 }
 
-TokenRates RoleRateTable::work(const TokenRates &demand) const
+TokenRates RoleRateTable::engineDemand(const TokenRates &demand) const
 {
-    return {demand.prefill_ / of(EngineRole::Prefill).prefill_,
-            demand.decode_ / of(EngineRole::Decode).decode_};
+    return {demand.prefill_ / ratesFor(EngineRole::Prefill).prefill_,
+            demand.decode_ / ratesFor(EngineRole::Decode).decode_};
 }
 
 } // namespace almondridge::planner
--- a/libs/planner/src/capacity.h
+++ b/libs/planner/src/capacity.h
@@ -1,5 +1,5 @@
 /**
- * What a set of engines can carry in each of its possible role assignments.
+ * Capacity of a set of engines for a given assignment of roles.
  */
 #pragma once
 
@@ -9,24 +9,24 @@
 
 namespace almondridge::planner {
 
-inline constexpr std::size_t RoleTotal = 3;
+inline constexpr std::size_t NumRoles = 3;
 
 constexpr std::size_t indexOf(fleet::EngineRole role) noexcept
 {
     return static_cast<std::size_t>(role);
 }
 
-/** How many engines hold each role. */
-using RoleCounts = std::array<int, RoleTotal>;
+/** The number of engines of each role, by indexOf(). */
+using RoleCounts = std::array<int, NumRoles>;
 
-/** Prefill and decode tokens a second asked for. */
+/** Demand in prefill and decode tokens per second. */
 struct TokenRates
 {
     double prefill_ = 0;
     double decode_ = 0;
 };
 
-/** Rates of one model's engines by role: measured ones, and guesses for roles never seen. */
+/** Rates of one model's engines by role: measured, or estimated for roles not measured yet. */
 class RoleRateTable
 {
 public:
@@ -34,18 +34,20 @@
         : tuning_(tuning)
     { }
 
+    /** Rates of 0 keep the previous value. */
     void set(fleet::EngineRole role, RoleRates rates);
-    RoleRates of(fleet::EngineRole role) const;
-    /** What engines with these roles can carry, as a multiple of the demand; none: unlimited. */
-    double margin(const RoleCounts &counts, const TokenRates &demand) const;
-    /** Engine-seconds per second that the demand is worth at the rates of dedicated roles. */
-    TokenRates work(const TokenRates &demand) const;
+    /** The measured rates, else the default ratios scaled by the measured rates of other roles. */
+    RoleRates ratesFor(fleet::EngineRole role) const;
+    /** Usable capacity as a multiple of the demand; the maximum double if there is no demand. */
+    double capacityRatio(const RoleCounts &counts, const TokenRates &demand) const;
+    /** Number of busy dedicated prefill and decode engines that the demand needs. */
+    TokenRates engineDemand(const TokenRates &demand) const;
 
 private:
     double scale(double RoleRates::*rate) const;
 
     Tuning tuning_;
-    std::array<RoleRates, RoleTotal> measured_ {};
+    std::array<RoleRates, NumRoles> measured_ {};
 };
 
 } // namespace almondridge::planner
--- a/libs/planner/src/demandphase.cpp
+++ b/libs/planner/src/demandphase.cpp
@@ -9,20 +9,20 @@
 /** Weight of the newest phase in the mean length. */
 constexpr double LengthWeight = 0.4;
 
-/** No phase is expected to go on for longer than so many slow windows. */
-constexpr double LongestInSlowWindows = 2;
+/** Upper bound of expectedRemaining(), in slow windows. */
+constexpr double MaxRemainingSlowWindows = 2;
 
-/** The noise that is assumed before any was seen: the threshold by this. */
-constexpr double FirstNoiseDivisor = 2.5;
+/** Initial noise level: the shift threshold divided by this. */
+constexpr double InitialNoiseDivisor = 2.5;
 
-/** The share of all work on the right by which one kind differs on the left. */
-double difference(const TokenRates &left, const TokenRates &right)
+/** The larger difference of the two kinds of work, as a share of all work on the right. */
+double relativeDifference(const TokenRates &left, const TokenRates &right)
 {
     const double before = right.prefill_ + right.decode_;
     const double total = before > 0 ? before : left.prefill_ + left.decode_;
-    const double most =
+    const double largest =
         std::max(std::abs(left.prefill_ - right.prefill_), std::abs(left.decode_ - right.decode_));
-    return total > 0 ? most / total : 0;
+    return total > 0 ? largest / total : 0;
 }
 
 } // namespace
@@ -38,72 +38,73 @@
     return prefill_.started() ? now - *prefill_.started() : Duration {};
 }
 
-MixPhase::MixPhase(const MixWindows &windows)
-    : windows_(windows)
-    , fast_(windows.fast_)
-    , present_ {{}, DemandWindow(windows.slow_)}
-    , meanLengthSeconds_(toSeconds(windows.slow_))
-    , noise_(windows.tuning_.shiftThreshold_ / FirstNoiseDivisor)
-    , noiseSeconds_(toSeconds(windows.fast_))
+DemandPhaseDetector::DemandPhaseDetector(const PhaseSettings &settings)
+    : settings_(settings)
+    , fast_(settings.fast_)
+    , current_ {{}, DemandWindow(settings.slow_)}
+    , meanLengthSeconds_(toSeconds(settings.slow_))
+    , noise_(settings.tuning_.shiftThreshold_ / InitialNoiseDivisor)
+    , noiseWindowSeconds_(toSeconds(settings.fast_))
 { }
 
-void MixPhase::observe(const TokenRates &tokens, const RoleRateTable &rates, TimePoint now)
+void DemandPhaseDetector::observe(const TokenRates &tokens, const RoleRateTable &rates,
+                                  TimePoint now)
 {
     if (!started_) {
         started_ = true;
-        present_.began_ = now;
+        current_.startedAt_ = now;
     }
     fast_.add(tokens, now);
-    present_.demand_.add(tokens, now);
-    const double apart =
-        difference(rates.work(fast_.perSecond()), rates.work(present_.demand_.perSecond()));
-    if (fast_.age(now) < windows_.fast_) {
+    current_.demand_.add(tokens, now);
+    const double change = relativeDifference(rates.engineDemand(fast_.perSecond()),
+                                             rates.engineDemand(current_.demand_.perSecond()));
+    if (fast_.age(now) < settings_.fast_) {
         return;
     }
-    if (apart > threshold()) {
+    if (change > threshold()) {
         beginPhase(now);
     } else {
-        learnNoise(apart, now);
+        updateNoise(change, now);
     }
 }
 
-void MixPhase::beginPhase(TimePoint now)
+void DemandPhaseDetector::beginPhase(TimePoint now)
 {
-    learnLength(now - present_.began_);
-    first_ = false;
-    present_ = {now, DemandWindow(windows_.slow_)};
-    present_.demand_.add({}, now);
-    fast_ = DemandWindow(windows_.fast_);
+    updateMeanLength(now - current_.startedAt_);
+    firstPhase_ = false;
+    current_ = {now, DemandWindow(settings_.slow_)};
+    current_.demand_.add({}, now);
+    fast_ = DemandWindow(settings_.fast_);
     fast_.add({}, now);
 }
 
-void MixPhase::learnNoise(double difference, TimePoint now)
+void DemandPhaseDetector::updateNoise(double relativeDifference, TimePoint now)
 {
-    const double interval = std::min(1.0, toSeconds(now - noiseAt_));
-    noiseAt_ = now;
-    noiseSeconds_ = std::min(noiseSeconds_ + interval, toSeconds(windows_.slow_));
-    noise_ += interval / noiseSeconds_ * (difference - noise_);
+    const double interval = std::min(1.0, toSeconds(now - noiseUpdatedAt_));
+    noiseUpdatedAt_ = now;
+    noiseWindowSeconds_ = std::min(noiseWindowSeconds_ + interval, toSeconds(settings_.slow_));
+    noise_ += interval / noiseWindowSeconds_ * (relativeDifference - noise_);
 }
 
-double MixPhase::threshold() const
+double DemandPhaseDetector::threshold() const
 {
-    return std::max(windows_.tuning_.shiftThreshold_, windows_.tuning_.noiseFactor_ * noise_);
+    return std::max(settings_.tuning_.shiftThreshold_, settings_.tuning_.noiseFactor_ * noise_);
 }
 
-void MixPhase::learnLength(Duration length)
+void DemandPhaseDetector::updateMeanLength(Duration length)
 {
     meanLengthSeconds_ += LengthWeight * (toSeconds(length) - meanLengthSeconds_);
 }
 
-Duration MixPhase::likelyToLast(TimePoint now) const
+Duration DemandPhaseDetector::expectedRemaining(TimePoint now) const
 {
-    // What has lasted for a while is likely to last about as long again, or to the length that
-    // its predecessors had. Where the first phase began is not known, so it has no length.
-    const double age = toSeconds(now - present_.began_);
-    const double expected = first_ ? 0 : meanLengthSeconds_ - age;
-    // However long it has lasted, demand swings within minutes: without this bound the last
-    // thousandth of goodput would be worth a change after some hours of the same mix.
-    const double longest = toSeconds(windows_.slow_) * LongestInSlowWindows;
+    // A phase is expected to last as long again as it has lasted, or until the mean length of
+    // earlier phases. The start of the first phase is unknown, so the mean does not apply to it.
+    const double age = toSeconds(now - current_.startedAt_);
+    const double expected = firstPhase_ ? 0 : meanLengthSeconds_ - age;
+    // Demand can shift within minutes, however long a phase has lasted. Without this bound, a gain
+    // of 0.1 % of goodput would justify a change after some hours of the same mix.
+    const double longest = toSeconds(settings_.slow_) * MaxRemainingSlowWindows;
     const double seconds = std::min(std::max(age, expected), longest);
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
--- a/libs/planner/src/demandphase.h
+++ b/libs/planner/src/demandphase.h
@@ -1,6 +1,7 @@
 /**
- * Divides the demand into phases of one mix each. A phase ends when the last seconds differ from
- * what it has been so far; the demand of the present phase is what roles are planned for.
+ * Detects shifts in the mix of prefill and decode demand and divides time into phases of a stable
+ * mix. A phase ends when the demand in the fast window differs from that of the phase so far. Roles
+ * are planned for the demand of the current phase.
  */
 #pragma once
 
@@ -11,7 +12,7 @@
 
 namespace almondridge::planner {
 
-/** Demand over a window that can be started anew. */
+/** Average demand over a window. */
 class DemandWindow
 {
 public:
@@ -22,7 +23,7 @@
 
     void add(const TokenRates &tokens, TimePoint now);
     TokenRates perSecond() const { return {prefill_.perSecond(), decode_.perSecond()}; }
-    /** How long it has been filling. */
+    /** Time since the first add(). */
     Duration age(TimePoint now) const;
 
 private:
@@ -30,49 +31,52 @@
     DecayingRate decode_;
 };
 
-struct MixWindows
+/** Windows and thresholds of phase detection. */
+struct PhaseSettings
 {
-    Duration fast_ {};
-    Duration slow_ {};
+    Duration fast_ {}; ///< Window of the demand that is compared with the phase.
+    Duration slow_ {}; ///< Window of the demand of a phase.
     Tuning tuning_;
 };
 
-class MixPhase
+/** Change-point detection on the demand of one model. */
+class DemandPhaseDetector
 {
 public:
-    explicit MixPhase(const MixWindows &windows);
+    explicit DemandPhaseDetector(const PhaseSettings &settings);
 
-    /** Tokens asked for since the last call. */
+    /** Adds the tokens requested since the last call. */
     void observe(const TokenRates &tokens, const RoleRateTable &rates, TimePoint now);
 
-    /** Tokens a second of the present phase. */
-    TokenRates demand() const { return present_.demand_.perSecond(); }
-    TokenRates lastSeconds() const { return fast_.perSecond(); }
-    TimePoint began() const noexcept { return present_.began_; }
-    /** How much longer the present phase is likely to last. */
-    Duration likelyToLast(TimePoint now) const;
+    /** Tokens per second in the current phase. */
+    TokenRates demand() const { return current_.demand_.perSecond(); }
+    /** Tokens per second in the fast window. */
+    TokenRates fastDemand() const { return fast_.perSecond(); }
+    TimePoint startedAt() const noexcept { return current_.startedAt_; }
+    /** How much longer the current phase is expected to last. */
+    Duration expectedRemaining(TimePoint now) const;
 
 private:
     struct Phase
     {
-        TimePoint began_ {};
+        TimePoint startedAt_ {};
         DemandWindow demand_;
     };
 
     void beginPhase(TimePoint now);
-    void learnLength(Duration length);
-    void learnNoise(double difference, TimePoint now);
+    void updateMeanLength(Duration length);
+    void updateNoise(double relativeDifference, TimePoint now);
     double threshold() const;
 
-    MixWindows windows_;
+    PhaseSettings settings_;
     DemandWindow fast_;
-    Phase present_;
+    Phase current_;
     double meanLengthSeconds_;
-    double noise_ = 0;    ///< Mean difference of the fast window while no shift is seen.
-    double noiseSeconds_; ///< Time that the mean covers, the first guess included.
-    TimePoint noiseAt_ {};
+    double noise_ = 0;          ///< Mean difference of the fast window without a shift.
+    double noiseWindowSeconds_; ///< Averaging time of noise_, the initial guess included.
+    TimePoint noiseUpdatedAt_ {};
     bool started_ = false;
-    bool first_ = true; ///< No shift was seen yet.
+    bool firstPhase_ = true; ///< No shift has been detected yet.
 };
 
 } // namespace almondridge::planner
--- a/libs/planner/src/modelplan.cpp
+++ b/libs/planner/src/modelplan.cpp
@@ -9,29 +9,30 @@
 
 using fleet::EngineRole;
 
-/** Demand is judged after so many fast windows: the first one is as noisy as any. */
-constexpr int WarmFastWindows = 2;
+/** Fast windows before planning starts, since a single window is too noisy. */
+constexpr int WarmupFastWindows = 2;
 
-bool movable(const EngineView &engine, const PlanTerms &terms)
+bool movable(const EngineView &engine, const PlanConstraints &constraints)
 {
-    return engine.available_ && engine.lastChange_ <= terms.settledBefore_;
+    return engine.available_ && engine.lastChange_ <= constraints.lastChangeBefore_;
 }
 
-/** Movable engines of a role, the one longest unchanged last. */
-std::vector<EndpointId> enginesToMove(const std::vector<EngineView> &engines, EngineRole role,
-                                      const PlanTerms &terms)
+/** Movable engines of a role, sorted so that the one unchanged for longest is last. */
+std::vector<EndpointId> movableEngines(const std::vector<EngineView> &engines, EngineRole role,
+                                       const PlanConstraints &constraints)
 {
-    std::vector<EngineView> fitting;
-    std::copy_if(
-        engines.begin(), engines.end(), std::back_inserter(fitting),
-        [&](const EngineView &engine) { return engine.role_ == role && movable(engine, terms); });
-    std::stable_sort(fitting.begin(), fitting.end(),
+    std::vector<EngineView> candidates;
+    std::copy_if(engines.begin(), engines.end(), std::back_inserter(candidates),
+                 [&](const EngineView &engine) {
+                     return engine.role_ == role && movable(engine, constraints);
+                 });
+    std::stable_sort(candidates.begin(), candidates.end(),
                      [](const EngineView &left, const EngineView &right) {
                          return left.lastChange_ > right.lastChange_;
                      });
     std::vector<EndpointId> ids;
-    ids.reserve(fitting.size());
-    for (const EngineView &engine : fitting) {
+    ids.reserve(candidates.size());
+    for (const EngineView &engine : candidates) {
         ids.push_back(engine.engine_);
     }
     return ids;
@@ -53,50 +54,51 @@
     lastDemand_ = now;
 }
 
-bool ModelPlan::warm(TimePoint now) const
+bool ModelPlan::warmedUp(TimePoint now) const
 {
-    return firstDemand_ && now - *firstDemand_ >= WarmFastWindows * fastWindow_;
+    return firstDemand_ && now - *firstDemand_ >= WarmupFastWindows * fastWindow_;
 }
 
-SearchTerms ModelPlan::searchTerms(const std::vector<EngineView> &engines,
-                                   const PlanTerms &terms) const
+SearchProblem ModelPlan::searchProblem(const std::vector<EngineView> &engines,
+                                       const PlanConstraints &constraints) const
 {
-    SearchTerms search;
+    SearchProblem problem;
     int total = 0;
     for (const EngineView &engine : engines) {
-        search.counts_[indexOf(engine.role_)] += engine.available_ ? 1 : 0;
-        search.movable_[indexOf(engine.role_)] += movable(engine, terms) ? 1 : 0;
+        problem.counts_[indexOf(engine.role_)] += engine.available_ ? 1 : 0;
+        problem.movable_[indexOf(engine.role_)] += movable(engine, constraints) ? 1 : 0;
         total += engine.available_ ? 1 : 0;
     }
-    const double lost = toSeconds(terms.away_) / std::max(total, 1);
-    search.bounds_ = terms.bounds_;
-    search.demand_ = phase_.demand();
-    search.horizonSeconds_ = toSeconds(phase_.likelyToLast(terms.now_));
-    search.changeCost_ = terms.weight_ * lost + hysteresisSeconds_;
-    return search;
+    const double lostSeconds = toSeconds(constraints.roleChangeDuration_) / std::max(total, 1);
+    problem.bounds_ = constraints.bounds_;
+    problem.demand_ = phase_.demand();
+    problem.horizonSeconds_ = toSeconds(phase_.expectedRemaining(constraints.now_));
+    problem.changeCost_ = constraints.roleChangeWeight_ * lostSeconds + hysteresisSeconds_;
+    return problem;
 }
 
-Proposal ModelPlan::propose(const std::vector<EngineView> &engines, const PlanTerms &terms) const
+Proposal ModelPlan::propose(const std::vector<EngineView> &engines,
+                            const PlanConstraints &constraints) const
 {
-    const SearchTerms search = searchTerms(engines, terms);
-    const Assignment present = presentAssignment(rates_, search);
-    const Assignment target = bestAssignment(rates_, search);
-    const std::string reason = reasonOf(present, target, search);
+    const SearchProblem problem = searchProblem(engines, constraints);
+    const Assignment current = currentAssignment(rates_, problem);
+    const Assignment target = bestAssignment(rates_, problem);
+    const std::string reason = formatReason(current, target, problem);
     Proposal proposal;
-    proposal.forBounds_ = target.outOfBounds_ < present.outOfBounds_;
+    proposal.fixesBounds_ = target.boundViolations_ < current.boundViolations_;
     proposal.net_ = target.net();
-    if (target.moved_ == 0) {
+    if (target.movedEngines_ == 0) {
         proposal.declined_ = "rule=gain-below-cost " + reason;
         return proposal;
     }
-    const char *rule = proposal.forBounds_ ? "rule=bounds " : "rule=goodput ";
-    std::array<std::vector<EndpointId>, RoleTotal> movableByRole;
+    const char *rule = proposal.fixesBounds_ ? "rule=bounds " : "rule=goodput ";
+    std::array<std::vector<EndpointId>, NumRoles> movableByRole;
     for (const EngineRole role : {EngineRole::Prefill, EngineRole::Decode, EngineRole::Mixed}) {
-        movableByRole[indexOf(role)] = enginesToMove(engines, role, terms);
+        movableByRole[indexOf(role)] = movableEngines(engines, role, constraints);
     }
-    for (const RoleMove &move : movesBetween(search.counts_, target.counts_)) {
+    for (const RoleMove &move : movesBetween(problem.counts_, target.counts_)) {
         for (int index = 0; index < move.engines_; ++index) {
-            // Each engine is taken off its list: one that two moves named would get two orders.
+            // Each engine is removed from the list, so that no engine is in two moves.
             std::vector<EndpointId> &movable = movableByRole[indexOf(move.from_)];
             proposal.changes_.push_back({movable.back(), move.from_, move.to_, rule + reason});
             movable.pop_back();
@@ -105,17 +107,17 @@
     return proposal;
 }
 
-std::string ModelPlan::reasonOf(const Assignment &present, const Assignment &target,
-                                const SearchTerms &search) const
+std::string ModelPlan::formatReason(const Assignment &current, const Assignment &target,
+                                    const SearchProblem &problem) const
 {
     return fmt::format("gain_s={:.2f} cost_s={:.2f} served={:.2f} then={:.2f} horizon_s={:.0f} "
                        "engines={}/{}/{} target={}/{}/{} prefill_phase={:.0f} decode_phase={:.0f} "
                        "prefill_fast={:.0f} decode_fast={:.0f}",
-                       target.gain_, target.cost_, present.served(), target.served(),
-                       search.horizonSeconds_, present.counts_[0], present.counts_[1],
-                       present.counts_[2], target.counts_[0], target.counts_[1], target.counts_[2],
-                       search.demand_.prefill_, search.demand_.decode_,
-                       phase_.lastSeconds().prefill_, phase_.lastSeconds().decode_);
+                       target.gain_, target.cost_, current.servedShare(), target.servedShare(),
+                       problem.horizonSeconds_, current.counts_[0], current.counts_[1],
+                       current.counts_[2], target.counts_[0], target.counts_[1], target.counts_[2],
+                       problem.demand_.prefill_, problem.demand_.decode_,
+                       phase_.fastDemand().prefill_, phase_.fastDemand().decode_);
 }
 
 } // namespace almondridge::planner
--- a/libs/planner/src/modelplan.h
+++ b/libs/planner/src/modelplan.h
@@ -1,5 +1,5 @@
 /**
- * The plan of one model's engines in one failure domain: demand, windows and the best change.
+ * Plans the roles of one model's engines in one failure domain.
  */
 #pragma once
 
@@ -13,25 +13,26 @@
 
 namespace almondridge::planner {
 
-/** Changes that are worth starting, the most pressing first, or why there are none. */
+/** Role changes for one model, or the reason why there are none. */
 struct Proposal
 {
     std::vector<RoleChange> changes_;
     std::string declined_;
-    bool forBounds_ = false; ///< The roles break the bounds of the fleet file.
-    double net_ = 0;         ///< Worth less cost, in seconds of the whole demand.
+    bool fixesBounds_ = false; ///< The changes reduce violations of the configured bounds.
+    double net_ = 0;           ///< Gain minus cost, in seconds of the whole demand.
 };
 
-/** What plan() is asked under. */
-struct PlanTerms
+/** Time, policy and bounds of one planning round. */
+struct PlanConstraints
 {
     TimePoint now_ {};
-    Duration away_ {};
-    TimePoint settledBefore_ {}; ///< Engines changed after this must stay as they are.
-    double weight_ = 1;
+    Duration roleChangeDuration_ {};
+    TimePoint lastChangeBefore_ {}; ///< Engines changed after this must keep their roles.
+    double roleChangeWeight_ = 1;
     fleet::RoleBounds bounds_;
 };
 
+/** Demand, rates and planning for one model. */
 class ModelPlan
 {
 public:
@@ -40,20 +41,23 @@
     void onDemand(const Demand &demand, TimePoint now);
     RoleRateTable &rates() noexcept { return rates_; }
     TimePoint lastDemand() const noexcept { return lastDemand_; }
-    /** Whether demand has been seen for long enough to judge it. */
-    bool warm(TimePoint now) const;
+    /** Whether demand has been observed for long enough to plan for it. */
+    bool warmedUp(TimePoint now) const;
 
-    Proposal propose(const std::vector<EngineView> &engines, const PlanTerms &terms) const;
+    /** Proposes the most valuable role changes. */
+    Proposal propose(const std::vector<EngineView> &engines,
+                     const PlanConstraints &constraints) const;
 
 private:
-    SearchTerms searchTerms(const std::vector<EngineView> &engines, const PlanTerms &terms) const;
-    std::string reasonOf(const Assignment &present, const Assignment &target,
-                         const SearchTerms &search) const;
+    SearchProblem searchProblem(const std::vector<EngineView> &engines,
+                                const PlanConstraints &constraints) const;
+    std::string formatReason(const Assignment &current, const Assignment &target,
+                             const SearchProblem &problem) const;
 
     Duration fastWindow_;
     double hysteresisSeconds_;
     RoleRateTable rates_;
-    MixPhase phase_;
+    DemandPhaseDetector phase_;
     std::optional<TimePoint> firstDemand_;
     TimePoint lastDemand_ {};
 };
--- a/libs/planner/src/planner.cpp
+++ b/libs/planner/src/planner.cpp
@@ -10,14 +10,14 @@
 namespace almondridge::planner {
 namespace {
 
-/** Demand older than this says nothing about now. */
+/** Without demand for longer than this, roles are kept. */
 constexpr Duration DemandStaleAfter = millis(10'000);
 
-/** With fewer engines in service than this share, something other than the mix is wrong. */
-constexpr double LeastAvailableShare = 0.5;
+/** If a smaller share of engines is available, an outage is assumed and roles are kept. */
+constexpr double MinAvailableShare = 0.5;
 
-/** A change that has not been seen done after so many times its usual length is given up. */
-constexpr int GiveUpAfter = 4;
+/** A change not completed within this multiple of its usual duration is no longer waited for. */
+constexpr int PendingTimeoutFactor = 4;
 
 fleet::RoleBounds unbounded()
 {
@@ -27,11 +27,11 @@
 
 } // namespace
 
-/** An engine whose change was asked for and has not been seen done. */
+/** A planned role change whose completion has not been observed. */
 struct PendingChange
 {
     fleet::EngineRole to_ = fleet::EngineRole::Mixed;
-    TimePoint givenUpAt_ {};
+    TimePoint expiresAt_ {};
 };
 
 using ViewsByModel = std::map<ModelId, std::vector<EngineView>>;
@@ -41,7 +41,7 @@
     DomainId domain_;
     Duration fastWindow_ {};
     Duration slowWindow_ {};
-    Duration away_ {};
+    Duration roleChangeDuration_ {};
     Tuning tuning_;
     std::shared_ptr<const fleet::Fleet> fleet_;
     std::map<ModelId, ModelPlan> models_;
@@ -49,14 +49,14 @@
 
     ModelPlan &model(const ModelId &id);
     fleet::RoleBounds bounds(const ModelId &model) const;
-    PlanTerms terms(const ModelId &model, TimePoint now) const;
-    std::string frozen(const ModelId &id, const std::vector<EngineView> &engines,
-                       TimePoint now) const;
-    void settlePending(const std::vector<EngineView> &engines, TimePoint now);
-    int away(const std::vector<EngineView> &engines, TimePoint now) const;
-    ViewsByModel byModel(const std::vector<EngineView> &engines, TimePoint now) const;
+    PlanConstraints constraints(const ModelId &model, TimePoint now) const;
+    std::string declineReason(const ModelId &id, const std::vector<EngineView> &engines,
+                              TimePoint now) const;
+    void removeFinishedChanges(const std::vector<EngineView> &engines, TimePoint now);
+    int countChanging(const std::vector<EngineView> &engines, TimePoint now) const;
+    ViewsByModel groupByModel(const std::vector<EngineView> &engines, TimePoint now) const;
     Proposal propose(const ModelId &id, const std::vector<EngineView> &engines, TimePoint now);
-    Plan take(std::vector<Proposal> proposals, int room, TimePoint now);
+    Plan selectChanges(std::vector<Proposal> proposals, int maxChanges, TimePoint now);
 };
 
 ModelPlan &Planner::State::model(const ModelId &id)
@@ -74,18 +74,18 @@
     return unbounded();
 }
 
-PlanTerms Planner::State::terms(const ModelId &model, TimePoint now) const
+PlanConstraints Planner::State::constraints(const ModelId &model, TimePoint now) const
 {
     const fleet::Policy &policy = fleet_->policy_;
-    return {now, away_, now - millis(policy.minimumDwellMillis_), policy.roleChangeWeight_,
-            bounds(model)};
+    return {now, roleChangeDuration_, now - millis(policy.minimumDwellMillis_),
+            policy.roleChangeWeight_, bounds(model)};
 }
 
-std::string Planner::State::frozen(const ModelId &id, const std::vector<EngineView> &engines,
-                                   TimePoint now) const
+std::string Planner::State::declineReason(const ModelId &id, const std::vector<EngineView> &engines,
+                                          TimePoint now) const
 {
     const auto known = models_.find(id);
-    if (known == models_.end() || !known->second.warm(now)) {
+    if (known == models_.end() || !known->second.warmedUp(now)) {
         return "rule=warming";
     }
     if (now - known->second.lastDemand() > DemandStaleAfter) {
@@ -93,15 +93,14 @@
     }
     const auto available = std::count_if(engines.begin(), engines.end(),
                                          [](const EngineView &view) { return view.available_; });
-    if (static_cast<double>(available)
-        < LeastAvailableShare * static_cast<double>(engines.size())) {
+    if (static_cast<double>(available) < MinAvailableShare * static_cast<double>(engines.size())) {
         return fmt::format("rule=engines-unavailable available={} engines={}", available,
                            engines.size());
     }
     return {};
 }
 
-void Planner::State::settlePending(const std::vector<EngineView> &engines, TimePoint now)
+void Planner::State::removeFinishedChanges(const std::vector<EngineView> &engines, TimePoint now)
 {
     for (const EngineView &engine : engines) {
         const auto found = pending_.find(engine.engine_);
@@ -109,29 +108,32 @@
             pending_.erase(found);
         }
     }
-    std::erase_if(pending_, [&](const auto &entry) { return entry.second.givenUpAt_ <= now; });
+    std::erase_if(pending_, [&](const auto &entry) { return entry.second.expiresAt_ <= now; });
 }
 
-int Planner::State::away(const std::vector<EngineView> &engines, TimePoint now) const
+int Planner::State::countChanging(const std::vector<EngineView> &engines, TimePoint now) const
 {
     auto away = static_cast<int>(pending_.size());
     for (const EngineView &engine : engines) {
-        // A change that the holder of the lease before this one began: the engine is away, and
-        // this planner has never heard of it.
-        const bool changing = !engine.available_ && now - engine.lastChange_ < GiveUpAfter * away_;
+        // The previous holder of the lease may have started this change, which is therefore not in
+        // pending_.
+        const bool changing =
+            !engine.available_
+            && now - engine.lastChange_ < PendingTimeoutFactor * roleChangeDuration_;
         away += changing && !pending_.contains(engine.engine_) ? 1 : 0;
     }
     return away;
 }
 
-ViewsByModel Planner::State::byModel(const std::vector<EngineView> &engines, TimePoint now) const
+ViewsByModel Planner::State::groupByModel(const std::vector<EngineView> &engines,
+                                          TimePoint now) const
 {
     ViewsByModel views;
     for (EngineView engine : engines) {
         const auto found = pending_.find(engine.engine_);
         if (found != pending_.end()) {
-            // It counts as what it will be: else its being away would look like a loss of capacity
-            // that more changes have to make good.
+            // Counts with its new role. Otherwise its absence would look like a loss of capacity
+            // that needs further changes.
             engine.role_ = found->second.to_;
             engine.available_ = true;
             engine.lastChange_ = now;
@@ -145,9 +147,9 @@
                                  TimePoint now)
 {
     Proposal proposal;
-    proposal.declined_ = frozen(id, engines, now);
+    proposal.declined_ = declineReason(id, engines, now);
     if (proposal.declined_.empty()) {
-        proposal = model(id).propose(engines, terms(id, now));
+        proposal = model(id).propose(engines, constraints(id, now));
     }
     if (!proposal.declined_.empty()) {
         proposal.declined_ = "model=" + id.value() + " " + proposal.declined_;
@@ -155,20 +157,22 @@
     return proposal;
 }
 
-Plan Planner::State::take(std::vector<Proposal> proposals, int room, TimePoint now)
+Plan Planner::State::selectChanges(std::vector<Proposal> proposals, int maxChanges, TimePoint now)
 {
-    std::stable_sort(
-        proposals.begin(), proposals.end(), [](const Proposal &left, const Proposal &right) {
-            return std::pair(left.forBounds_, left.net_) > std::pair(right.forBounds_, right.net_);
-        });
+    std::stable_sort(proposals.begin(), proposals.end(),
+                     [](const Proposal &left, const Proposal &right) {
+                         return std::pair(left.fixesBounds_, left.net_)
+                                > std::pair(right.fixesBounds_, right.net_);
+                     });
     Plan plan;
     for (Proposal &proposal : proposals) {
         if (!proposal.declined_.empty()) {
             plan.declined_ += (plan.declined_.empty() ? "" : "; ") + proposal.declined_;
         }
         for (RoleChange &change : proposal.changes_) {
-            if (static_cast<int>(plan.changes_.size()) < room) {
-                pending_[change.engine_] = {change.to_, now + GiveUpAfter * away_};
+            if (static_cast<int>(plan.changes_.size()) < maxChanges) {
+                pending_[change.engine_] = {change.to_,
+                                            now + PendingTimeoutFactor * roleChangeDuration_};
                 plan.changes_.push_back(std::move(change));
             }
         }
@@ -193,23 +197,23 @@
 
 Plan Planner::plan(const std::vector<EngineView> &engines, TimePoint now)
 {
-    Plan whole;
+    Plan result;
     if (!state_->fleet_) {
-        whole.declined_ = "rule=no-fleet";
-        return whole;
+        result.declined_ = "rule=no-fleet";
+        return result;
     }
-    state_->settlePending(engines, now);
-    const int most = state_->fleet_->policy_.maxAwayPerDomain_;
-    const int away = state_->away(engines, now);
-    if (away >= most) {
-        whole.declined_ = fmt::format("rule=max-away away={} most={}", away, most);
-        return whole;
+    state_->removeFinishedChanges(engines, now);
+    const int maxAway = state_->fleet_->policy_.maxAwayPerDomain_;
+    const int away = state_->countChanging(engines, now);
+    if (away >= maxAway) {
+        result.declined_ = fmt::format("rule=max-away away={} most={}", away, maxAway);
+        return result;
     }
     std::vector<Proposal> proposals;
-    for (const auto &[id, views] : state_->byModel(engines, now)) {
+    for (const auto &[id, views] : state_->groupByModel(engines, now)) {
         proposals.push_back(state_->propose(id, views, now));
     }
-    return state_->take(std::move(proposals), most - away, now);
+    return state_->selectChanges(std::move(proposals), maxAway - away, now);
 }
 
 Planner::Planner(std::unique_ptr<State> state) noexcept
@@ -238,9 +242,9 @@
     return *this;
 }
 
-Planner::Builder &Planner::Builder::roleChangeDuration(Duration away)
+Planner::Builder &Planner::Builder::roleChangeDuration(Duration duration)
 {
-    away_ = away;
+    roleChangeDuration_ = duration;
     return *this;
 }
 
@@ -256,7 +260,7 @@
     state->domain_ = std::move(domain_);
     state->fastWindow_ = fastWindow_;
     state->slowWindow_ = slowWindow_;
-    state->away_ = away_;
+    state->roleChangeDuration_ = roleChangeDuration_;
     state->tuning_ = tuning_;
     return Planner(std::move(state));
 }
--- a/libs/planner/src/rolesearch.cpp
+++ b/libs/planner/src/rolesearch.cpp
@@ -7,20 +7,20 @@
 
 using fleet::EngineRole;
 
-constexpr std::array<EngineRole, RoleTotal> Roles {EngineRole::Prefill, EngineRole::Decode,
-                                                   EngineRole::Mixed};
+constexpr std::array<EngineRole, NumRoles> Roles {EngineRole::Prefill, EngineRole::Decode,
+                                                  EngineRole::Mixed};
 
-bool reachable(const RoleCounts &to, const SearchTerms &terms)
+bool reachable(const RoleCounts &to, const SearchProblem &problem)
 {
-    for (std::size_t index = 0; index < RoleTotal; ++index) {
-        if (terms.counts_[index] - to[index] > terms.movable_[index]) {
+    for (std::size_t index = 0; index < NumRoles; ++index) {
+        if (problem.counts_[index] - to[index] > problem.movable_[index]) {
             return false;
         }
     }
     return true;
 }
 
-int outOfBounds(const RoleCounts &counts, const fleet::RoleBounds &bounds)
+int boundViolations(const RoleCounts &counts, const fleet::RoleBounds &bounds)
 {
     const int prefill = counts[indexOf(EngineRole::Prefill)];
     const int decode = counts[indexOf(EngineRole::Decode)];
@@ -28,30 +28,30 @@
            + std::max({0, bounds.minDecode_ - decode, decode - bounds.maxDecode_});
 }
 
-int engineTotal(const RoleCounts &counts)
+int totalEngines(const RoleCounts &counts)
 {
     return counts[0] + counts[1] + counts[2];
 }
 
-int movedBetween(const RoleCounts &from, const RoleCounts &to)
+int countMoved(const RoleCounts &from, const RoleCounts &to)
 {
     int moved = 0;
-    for (std::size_t index = 0; index < RoleTotal; ++index) {
+    for (std::size_t index = 0; index < NumRoles; ++index) {
         moved += std::max(0, from[index] - to[index]);
     }
     return moved;
 }
 
-bool better(const Assignment &left, const Assignment &right)
+bool isBetter(const Assignment &left, const Assignment &right)
 {
-    // Where several assignments suffice for all of the demand, the one with most room to spare
-    // does not need another change when the demand grows. The present one needs none at all.
-    const auto room = [](const Assignment &assignment) {
-        return assignment.moved_ == 0 ? std::numeric_limits<double>::infinity()
-                                      : assignment.margin_;
+    // If several assignments cover the demand, the one with the most spare capacity is least likely
+    // to need another change when demand grows. The current assignment wins ties, as it needs none.
+    const auto tieBreaker = [](const Assignment &assignment) {
+        return assignment.movedEngines_ == 0 ? std::numeric_limits<double>::infinity()
+                                             : assignment.capacityRatio_;
     };
-    return std::tuple(-left.outOfBounds_, left.net(), room(left))
-           > std::tuple(-right.outOfBounds_, right.net(), room(right));
+    return std::tuple(-left.boundViolations_, left.net(), tieBreaker(left))
+           > std::tuple(-right.boundViolations_, right.net(), tieBreaker(right));
 }
 
 } // namespace
@@ -60,51 +60,52 @@
 {
     std::vector<RoleMove> moves;
     RoleCounts surplus {};
-    for (std::size_t index = 0; index < RoleTotal; ++index) {
+    for (std::size_t index = 0; index < NumRoles; ++index) {
         surplus[index] = from[index] - to[index];
     }
     for (const EngineRole source : Roles) {
         for (const EngineRole target : Roles) {
-            int &give = surplus[indexOf(source)];
-            int &take = surplus[indexOf(target)];
-            const int engines = std::min(std::max(give, 0), std::max(-take, 0));
+            int &sourceSurplus = surplus[indexOf(source)];
+            int &targetSurplus = surplus[indexOf(target)];
+            const int engines = std::min(std::max(sourceSurplus, 0), std::max(-targetSurplus, 0));
             if (engines > 0) {
                 moves.push_back({source, target, engines});
-                give -= engines;
-                take += engines;
+                sourceSurplus -= engines;
+                targetSurplus += engines;
             }
         }
     }
     return moves;
 }
 
-Assignment presentAssignment(const RoleRateTable &rates, const SearchTerms &terms)
+Assignment currentAssignment(const RoleRateTable &rates, const SearchProblem &problem)
 {
-    return {terms.counts_,
-            outOfBounds(terms.counts_, terms.bounds_),
+    return {problem.counts_,
+            boundViolations(problem.counts_, problem.bounds_),
             0,
-            rates.margin(terms.counts_, terms.demand_),
+            rates.capacityRatio(problem.counts_, problem.demand_),
             0,
             0};
 }
 
-Assignment bestAssignment(const RoleRateTable &rates, const SearchTerms &terms)
+Assignment bestAssignment(const RoleRateTable &rates, const SearchProblem &problem)
 {
-    const int total = engineTotal(terms.counts_);
-    const Assignment present = presentAssignment(rates, terms);
-    Assignment best = present;
+    const int total = totalEngines(problem.counts_);
+    const Assignment current = currentAssignment(rates, problem);
+    Assignment best = current;
     for (int prefill = 0; prefill <= total; ++prefill) {
         for (int decode = 0; prefill + decode <= total; ++decode) {
             const RoleCounts counts {prefill, decode, total - prefill - decode};
-            if (!reachable(counts, terms)) {
+            if (!reachable(counts, problem)) {
                 continue;
             }
-            Assignment assignment {counts, outOfBounds(counts, terms.bounds_),
-                                   movedBetween(terms.counts_, counts),
-                                   rates.margin(counts, terms.demand_)};
-            assignment.gain_ = (assignment.served() - present.served()) * terms.horizonSeconds_;
-            assignment.cost_ = assignment.moved_ * terms.changeCost_;
-            if (better(assignment, best)) {
+            Assignment assignment {counts, boundViolations(counts, problem.bounds_),
+                                   countMoved(problem.counts_, counts),
+                                   rates.capacityRatio(counts, problem.demand_)};
+            assignment.gain_ =
+                (assignment.servedShare() - current.servedShare()) * problem.horizonSeconds_;
+            assignment.cost_ = assignment.movedEngines_ * problem.changeCost_;
+            if (isBetter(assignment, best)) {
                 best = assignment;
             }
         }
--- a/libs/planner/src/rolesearch.h
+++ b/libs/planner/src/rolesearch.h
@@ -1,5 +1,5 @@
 /**
- * Searches the role assignments that a set of engines can take on.
+ * Searches for the best assignment of roles to a set of engines.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace almondridge::planner {
 
-/** So many engines go from one role to another. */
+/** A number of engines that change from one role to another. */
 struct RoleMove
 {
     fleet::EngineRole from_ = fleet::EngineRole::Mixed;
@@ -18,42 +18,42 @@
     int engines_ = 0;
 };
 
-/** What a search may do and what it weighs. */
-struct SearchTerms
+/** Input of a search. */
+struct SearchProblem
 {
-    RoleCounts counts_ {};  ///< Engines that hold each role.
-    RoleCounts movable_ {}; ///< Of these, the ones that may change now.
+    RoleCounts counts_ {};  ///< Available engines by role.
+    RoleCounts movable_ {}; ///< Those of them that may change now.
     fleet::RoleBounds bounds_;
     TokenRates demand_;
     double horizonSeconds_ = 0; ///< How long the gain of a change lasts.
-    double changeCost_ = 0;     ///< Of each change, in seconds of the whole demand.
+    double changeCost_ = 0;     ///< Per engine, in seconds of the whole demand.
 };
 
-/** An assignment and what it is worth. Gain and cost in seconds of the whole demand. */
+/** An assignment and its value; gain and cost are in seconds of the whole demand. */
 struct Assignment
 {
     RoleCounts counts_ {};
-    int outOfBounds_ = 0; ///< Engines by which the roles break their bounds.
-    int moved_ = 0;       ///< Engines that must change.
-    double margin_ = 0;   ///< Capacity as a multiple of the demand.
+    int boundViolations_ = 0;  ///< Number of engines below a minimum or above a maximum.
+    int movedEngines_ = 0;     ///< Number of engines that have to change.
+    double capacityRatio_ = 0; ///< Capacity as a multiple of the demand.
     double gain_ = 0;
     double cost_ = 0;
 
-    /** The share of the demand that gets its whole answer. */
-    double served() const noexcept { return std::min(1.0, margin_); }
+    /** The share of the demand, 0 to 1, that the capacity covers. */
+    double servedShare() const noexcept { return std::min(1.0, capacityRatio_); }
     double net() const noexcept { return gain_ - cost_; }
 };
 
-/** The present assignment. */
-Assignment presentAssignment(const RoleRateTable &rates, const SearchTerms &terms);
+/** The current assignment, with no gain and no cost. */
+Assignment currentAssignment(const RoleRateTable &rates, const SearchProblem &problem);
 
 /**
- * The assignment that keeps the bounds best; of these the one of greatest net worth, and of equals
- * the one with the greatest margin. The present one when no change is worth its cost.
+ * The assignment with the fewest bound violations, then the highest net gain, then the highest
+ * capacity ratio. The current assignment if no change is worth its cost.
  */
-Assignment bestAssignment(const RoleRateTable &rates, const SearchTerms &terms);
+Assignment bestAssignment(const RoleRateTable &rates, const SearchProblem &problem);
 
-/** The fewest moves that lead from one assignment to the other. */
+/** The moves that lead from one assignment to the other with the fewest engines changed. */
 std::vector<RoleMove> movesBetween(const RoleCounts &from, const RoleCounts &to);
 
 } // namespace almondridge::planner
