--- a/libs/admission/src/admission.cpp
+++ b/libs/admission/src/admission.cpp
@@ -53,7 +53,7 @@
     std::map<ModelId, ModelQueue> models_;
     std::unordered_map<Ticket, TrackedRequest> requests_;
     RetryBudget retries_;
-    std::vector<Release> evicted_; ///< In favour of accounts below their share; returned by poll().
+    std::vector<Release> evicted_; ///< Evicted for accounts below their share; returned by poll().
     std::size_t maxQueued_ = 0;
     std::size_t maxRunning_ = 0;
     std::size_t queued_ = 0;
--- a/libs/admission/src/tokenwindow.cpp
+++ b/libs/admission/src/tokenwindow.cpp
@@ -11,7 +11,7 @@
 /** Single late first tokens are due to long prompts; in an overload most are late. */
 constexpr double LateShareThreshold = 0.25;
 constexpr double LateDecay = 0.95;
-/** Growth per token in time: a whole window of them grows the window by this factor. */
+/** A window's worth of tokens whose first tokens were in time grows the limit by this part. */
 constexpr double GrowthFactor = 0.05;
 /** The window grows only if at least this part is used; otherwise the limit was not tested. */
 constexpr double MinUtilization = 0.7;
--- a/libs/routing/include/almondridge/routing/router.h
+++ b/libs/routing/include/almondridge/routing/router.h
@@ -23,8 +23,8 @@
 {
     EndpointId endpoint_;
     TimePoint stamp_ {}; ///< When the values were taken, on this machine's clock.
-    int running_ = 0;    ///< Requests.
-    int waiting_ = 0;    ///< Requests.
+    int running_ = 0;    ///< Requests in progress.
+    int waiting_ = 0;    ///< Queued requests.
     std::int64_t prefillTokensWaiting_ = 0; ///< Prompt tokens queued for prefill.
     std::int64_t kvUsedTokens_ = 0;
     std::int64_t kvCapacityTokens_ = 0;
@@ -53,7 +53,7 @@
     ServiceId service_;                       ///< Empty for a call to an engine.
     std::vector<std::uint64_t> prefixHashes_; ///< From prefixHashes(), shortest prefix first.
     std::int64_t promptTokens_ = 0;
-    std::int64_t outputTokens_ = 0; ///< Expected number.
+    std::int64_t outputTokens_ = 0; ///< Expected number of output tokens.
     TimePoint deadline_ {};
     std::vector<EndpointId> excluded_ {}; ///< Endpoints that already failed this request.
     /** Set if the request came from another failure domain or its KV cache is in this one. */
@@ -123,7 +123,7 @@
 public:
     /** The failure domain of this instance. */
     Builder &domain(DomainId domain);
-    /** Age from which a load report is ignored. */
+    /** Age beyond which a load report is ignored. */
     Builder &reportStaleAfter(Duration age);
     /** How many randomly drawn endpoints compete for each request; at least 1. */
     Builder &randomCandidates(int count);
--- a/libs/routing/src/endpointtable.h
+++ b/libs/routing/src/endpointtable.h
@@ -57,8 +57,8 @@
 
     DomainId domain_;
     std::vector<SlotIndex> members_;
-    std::array<std::vector<AvailableEndpoint>, Roles>
-        availableByRole_;       ///< Services are under Mixed.
+    /** Services are under Mixed. */
+    std::array<std::vector<AvailableEndpoint>, Roles> availableByRole_;
     bool listsOutdated_ = true; ///< availableByRole_ must be rebuilt before use.
     ReportReliability reportReliability_;
     TypicalLoad typical_;
--- a/libs/routing/src/prefixcachetracker.h
+++ b/libs/routing/src/prefixcachetracker.h
@@ -48,8 +48,8 @@
 /** The tracked prefixes of one prompt, kept with an attempt until its first token. */
 struct SampledPrefixes
 {
-    std::vector<std::uint64_t>
-        hashes_;             ///< Shortest first, at the positions that sampledBlocks() returns.
+    /** Shortest first, at the positions that sampledBlocks() returns. */
+    std::vector<std::uint64_t> hashes_;
     std::size_t blocks_ = 0; ///< Number of blocks in the whole prompt.
 };
 
@@ -66,7 +66,7 @@
     void onDispatched(const SampledPrefixes &prefixes, SlotRef slot, TimePoint now);
     /** Call once for each prompt with the result of hitsFor(). */
     void onPrompt(const PrefixHits &hits, std::size_t blocks);
-    /** The engine had only cachedTokens of promptTokens: drops older event entries beyond. */
+    /** The engine had cachedTokens of promptTokens cached; drops event entries beyond them. */
     void onCached(const SampledPrefixes &prefixes, SlotRef slot, std::int64_t cachedTokens,
                   std::int64_t promptTokens, TimePoint now);
     /** The attempt failed before its first token, so the prompt may not have been prefilled. */
