--- a/libs/gateway/include/almondridge/gateway/crashgossip.h
+++ b/libs/gateway/include/almondridge/gateway/crashgossip.h
@@ -40,7 +40,8 @@
     /** What is to be sent now; to be called as often as the caller likes. */
     std::vector<MeshDatagram> tick(TimePoint now);
     /** What is to be sent in answer goes to out. */
-    Reception onDatagram(std::string_view datagram, TimePoint now, std::vector<MeshDatagram> &out);
+    ReceiveResult onDatagram(std::string_view datagram, TimePoint now,
+                             std::vector<MeshDatagram> &out);
 
 private:
     std::vector<InstanceId> drawPeers(std::size_t most);
--- a/libs/gateway/include/almondridge/gateway/demandmeter.h
+++ b/libs/gateway/include/almondridge/gateway/demandmeter.h
@@ -10,11 +10,11 @@
 /** What a service's requests ask of its engines, counted in engines kept busy. */
 struct StageDemand
 {
-    double readers_ = 0;
-    double generators_ = 0;
+    double prefill_ = 0;
+    double decode_ = 0;
 
     StageDemand &operator+=(const StageDemand &other);
-    double all() const noexcept { return readers_ + generators_; }
+    double all() const noexcept { return prefill_ + decode_; }
 };
 
 /** The demand of the requests that came lately; each fades with time. */
--- a/libs/gateway/include/almondridge/gateway/endpoints.h
+++ b/libs/gateway/include/almondridge/gateway/endpoints.h
@@ -79,10 +79,10 @@
     LoadSample load_;
     TimePoint loadAt_ {};
 
-    int failures_ = 0;           ///< In a row.
-    RecentCount recentSends_;    ///< Requests of ours.
-    RecentCount recentFailures_; ///< Of these, those that came to nothing.
-    double toldFailures_ = 0;    ///< The other instances' recent ones, as they told.
+    int failures_ = 0;             ///< In a row.
+    DecayingCount recentSends_;    ///< Requests of ours.
+    DecayingCount recentFailures_; ///< Of these, those that came to nothing.
+    double toldFailures_ = 0;      ///< The other instances' recent ones, as they told.
     TimePoint distrustedUntil_ {};
     TimePoint changingUntil_ {}; ///< It carries out an order until about then, and refuses work.
     /** Requests of ours without a whole answer, of this lifetime. */
--- a/libs/gateway/include/almondridge/gateway/failurerates.h
+++ b/libs/gateway/include/almondridge/gateway/failurerates.h
@@ -14,10 +14,10 @@
 namespace almondridge::gateway {
 
 /** Fewer failures are a broken connection or two, as any endpoint has them. */
-inline constexpr double LeastFailures = 4;
+inline constexpr double MinFailures = 4;
 
 /** A count that fades: about what happened in the last two seconds. */
-class RecentCount
+class DecayingCount
 {
 public:
     void add(double count, TimePoint now);
@@ -32,6 +32,6 @@
  * Positions of the endpoints to leave out, given each one's recent failures, those that fail most
  * first. expected: requests that each of them got in the same time.
  */
-std::vector<std::size_t> failingFarMore(const std::vector<double> &failures, double expected);
+std::vector<std::size_t> findFailureOutliers(const std::vector<double> &failures, double expected);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/loadexchange.h
+++ b/libs/gateway/include/almondridge/gateway/loadexchange.h
@@ -47,7 +47,7 @@
     /** The instances that relay load in their failure domains, as far as is known here. */
     std::set<InstanceId> relays() const { return mesh_.relaysOfAll(); }
     /** Datagrams that begin with this letter are told to the handler, and not taken for load. */
-    using Handler = std::function<Reception(std::string_view datagram, TimePoint now)>;
+    using Handler = std::function<ReceiveResult(std::string_view datagram, TimePoint now)>;
     void setHandler(char mark, Handler handler);
     /** Sends what a handler's owner has to tell. */
     void send(const std::vector<MeshDatagram> &datagrams);
@@ -57,10 +57,10 @@
 
     void waitForDatagrams();
     void receiveAll();
-    Reception onDatagram(std::string_view datagram, TimePoint now);
-    void onDropped(Reception reception);
+    ReceiveResult onDatagram(std::string_view datagram, TimePoint now);
+    void onDropped(ReceiveResult reception);
     void tick();
-    LoadNote currentNote(TimePoint now) const;
+    LoadReport currentNote(TimePoint now) const;
 
     Gateway &gateway_;
     Leadership leadership_;
--- a/libs/gateway/include/almondridge/gateway/loadmesh.h
+++ b/libs/gateway/include/almondridge/gateway/loadmesh.h
@@ -30,16 +30,16 @@
 };
 
 /** What a datagram was taken for. */
-enum class Reception {
-    Taken,
-    Unreadable, ///< It cannot be read, or tells what cannot be.
-    Unknown,    ///< Its sender is none of the fleet's instances.
+enum class ReceiveResult {
+    Accepted,
+    Malformed,     ///< It cannot be read, or tells what cannot be.
+    UnknownSender, ///< Its sender is none of the fleet's instances.
 };
 
-inline constexpr std::array<EnumName<Reception>, 3> ReceptionNames {{
-    {Reception::Taken, "taken"},
-    {Reception::Unreadable, "unreadable"},
-    {Reception::Unknown, "unknown-sender"},
+inline constexpr std::array<EnumName<ReceiveResult>, 3> ReceptionNames {{
+    {ReceiveResult::Accepted, "taken"},
+    {ReceiveResult::Malformed, "unreadable"},
+    {ReceiveResult::UnknownSender, "unknown-sender"},
 }};
 
 class LoadMesh
@@ -52,15 +52,15 @@
     void setMembers(const std::vector<MeshMember> &members);
     /** What is to be sent now. own: what this instance has to tell, without parts that were read.
      */
-    std::vector<MeshDatagram> tick(LoadNote own, EndpointTable &table, TimePoint now);
+    std::vector<MeshDatagram> tick(LoadReport own, EndpointTable &table, TimePoint now);
     /** The same at once, whatever has changed since: for an order that was given. */
-    std::vector<MeshDatagram> tellNow(LoadNote own, EndpointTable &table, TimePoint now);
+    std::vector<MeshDatagram> tellNow(LoadReport own, EndpointTable &table, TimePoint now);
     /** Shared parts that came to engines by this instance; they are told with the next note. */
     void addReadParts(const std::vector<PromptMemory::Key> &parts);
     /** When tick() has something to do next, at the latest. */
     TimePoint nextTick(TimePoint now) const;
 
-    Reception onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now);
+    ReceiveResult onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now);
     /** Shared parts that others told since the last call. */
     std::vector<PromptMemory::Key> takeToldParts();
 
@@ -99,21 +99,21 @@
     void chooseRelays(EndpointTable &table, TimePoint now);
     void useStreams(EndpointTable &table, TimePoint now);
     void chooseDomainStreams(EndpointTable &table, TimePoint now);
-    bool worthSending(const LoadNote &note, TimePoint now) const;
-    void sendNote(const LoadNote &own, TimePoint now, std::vector<MeshDatagram> &out);
-    void tellAsRelay(const LoadNote &own, const EndpointTable &table, TimePoint now,
+    bool worthSending(const LoadReport &note, TimePoint now) const;
+    void sendNote(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out);
+    void tellAsRelay(const LoadReport &own, const EndpointTable &table, TimePoint now,
                      std::vector<MeshDatagram> &out);
-    void tellDomains(const LoadNote &own, TimePoint now, std::vector<MeshDatagram> &out);
-    void tellFollowers(const LoadNote &own, const EndpointTable &table, TimePoint now,
+    void tellDomains(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out);
+    void tellFollowers(const LoadReport &own, const EndpointTable &table, TimePoint now,
                        std::vector<MeshDatagram> &out);
     LoadDigest emptyDigest(DigestScope scope) const;
-    LoadDigest heardDigest(DigestScope scope, const LoadNote &own) const;
-    void addLeaders(const LoadNote &note, LoadDigest &digest) const;
+    LoadDigest heardDigest(DigestScope scope, const LoadReport &own) const;
+    void addLeaders(const LoadReport &note, LoadDigest &digest) const;
     void addLeaders(const LoadDigest &other, LoadDigest &digest) const;
     std::vector<LoadDigest> digestsOf(LoadDigest first, std::vector<LoadTable> loads,
                                       const std::vector<PromptMemory::Key> &parts);
-    Reception onNote(const LoadNote &note, EndpointTable &table, TimePoint now);
-    Reception onDigest(const ReceivedDigest &received, EndpointTable &table, TimePoint now);
+    ReceiveResult onReport(const LoadReport &note, EndpointTable &table, TimePoint now);
+    ReceiveResult onDigest(const ReceivedDigest &received, EndpointTable &table, TimePoint now);
     const OwnNote *ownNote(std::uint64_t number) const;
     void forgetSilent(EndpointTable &table, TimePoint now);
 
@@ -139,7 +139,7 @@
     std::vector<EndpointId>
         foreignUnreached_; ///< Told by relays of other domains, to be passed on.
 
-    LoadNote last_;
+    LoadReport last_;
     TimePoint lastSentAt_ {};
     TimePoint relayTellsAt_ {};
     std::deque<OwnNote> ownNotes_; ///< Sent lately, oldest first.
--- a/libs/gateway/include/almondridge/gateway/peerload.h
+++ b/libs/gateway/include/almondridge/gateway/peerload.h
@@ -23,7 +23,7 @@
 
 namespace almondridge::gateway {
 
-struct LoadNote
+struct LoadReport
 {
     InstanceId sender_;
     std::uint64_t lifetime_ = 0; ///< Rises with each restart of the sender.
@@ -47,12 +47,12 @@
 };
 
 /** The note as a datagram. */
-std::string encodeNote(const LoadNote &note);
+std::string encodeLoadReport(const LoadReport &note);
 /** nullopt: it is no note. */
-std::optional<LoadNote> decodeNote(std::string_view bytes);
+std::optional<LoadReport> decodeLoadReport(std::string_view bytes);
 
 /** What a note says of each endpoint. */
-LoadTable loadsOf(const LoadNote &note);
+LoadTable loadsOf(const LoadReport &note);
 
 /** Any fixed order that all instances agree on: the first that may lead does. */
 std::uint64_t leaderRank(const InstanceId &id);
@@ -63,12 +63,12 @@
 public:
     struct Peer
     {
-        LoadNote note_;
+        LoadReport note_;
         TimePoint heardAt_ {};
     };
 
     /** False: it is older than what is known of its sender. */
-    bool onNote(const LoadNote &note, EndpointTable &table, TimePoint now);
+    bool onReport(const LoadReport &note, EndpointTable &table, TimePoint now);
     /** Forgets peers that have not been heard of lately. */
     void forgetSilent(EndpointTable &table, TimePoint now);
     /** Whether notes are counted; a relay's digest may have them already. */
@@ -85,8 +85,8 @@
 
 private:
     /** Adds what a note says to the endpoints, or takes it out again. */
-    static void add(const LoadNote &note, EndpointTable &table);
-    static void takeOut(const LoadNote &note, EndpointTable &table);
+    static void add(const LoadReport &note, EndpointTable &table);
+    static void takeOut(const LoadReport &note, EndpointTable &table);
 
     std::map<InstanceId, Peer> peers_;
     bool inUse_ = true;
--- a/libs/gateway/include/almondridge/gateway/sizekeeper.h
+++ b/libs/gateway/include/almondridge/gateway/sizecontroller.h
@@ -14,16 +14,16 @@
 
 /** What came of an order. */
 enum class OrderOutcome {
-    Taken,
-    NoneThere,  ///< None of the kind are to be had there at the moment.
-    Overtaken,  ///< A higher fencing number was seen.
+    Granted,
+    NoCapacity, ///< None of the kind are to be had there at the moment.
+    StaleFence, ///< A higher fencing number was seen.
     Unanswered, ///< It may be carried out all the same, later.
 };
 
 inline constexpr std::array<EnumName<OrderOutcome>, 4> OrderOutcomeNames {{
-    {OrderOutcome::Taken, "taken"},
-    {OrderOutcome::NoneThere, "none-there"},
-    {OrderOutcome::Overtaken, "overtaken"},
+    {OrderOutcome::Granted, "taken"},
+    {OrderOutcome::NoCapacity, "none-there"},
+    {OrderOutcome::StaleFence, "overtaken"},
     {OrderOutcome::Unanswered, "unanswered"},
 }};
 
@@ -36,16 +36,16 @@
                        std::function<void(OrderOutcome)> done) = 0;
 };
 
-class SizeKeeper
+class SizeController
 {
 public:
-    SizeKeeper(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority, SizeApi &api,
-               SizePlanSettings settings);
+    SizeController(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
+                   SizeApi &api, SizePlanSettings settings);
 
     void start() { planAll(); }
     void stop() { timer_.stop(); }
     /** Whether the endpoint may be given back in a moment. */
-    bool mayLeave(const Endpoint &endpoint) const;
+    bool mayBeReleased(const Endpoint &endpoint) const;
 
 private:
     void planAll();
--- a/libs/gateway/include/almondridge/gateway/stagekeeper.h
+++ b/libs/gateway/include/almondridge/gateway/stagecontroller.h
@@ -14,24 +14,24 @@
 
 namespace almondridge::gateway {
 
-struct StageKeeperSettings
+struct StageControllerSettings
 {
     /** Told of each order that an engine took, so that nobody sends it work meanwhile. */
-    std::function<void(const EndpointId &engine, TimePoint until)> onOrder_ {};
+    std::function<void(const EndpointId &engine, TimePoint until)> onOrderAccepted_ {};
     /** What all instances together are asked for. */
     std::function<StageDemand(const ServiceId &service)> demand_ {};
     /** Whether an engine may be given back in a moment: its stage is left as it is. */
-    std::function<bool(const Endpoint &engine)> mayLeave_ {};
+    std::function<bool(const Endpoint &engine)> mayBeReleased_ {};
     InstanceId instance_;
     StagePlanSettings plan_;
 };
 
-class StageKeeper
+class StageController
 {
 public:
-    StageKeeper(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
-                AuthorityKeeper &authority, StageKeeperSettings settings);
-    ~StageKeeper();
+    StageController(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
+                    AuthorityKeeper &authority, StageControllerSettings settings);
+    ~StageController();
 
     void start();
     void stop();
@@ -51,7 +51,7 @@
     Gateway &gateway_;
     const Dialect &dialect_;
     AuthorityKeeper &authority_;
-    StageKeeperSettings settings_;
+    StageControllerSettings settings_;
     std::map<ServiceId, StagePlan> plans_;
     async::HttpClient client_;
     async::Timer planning_;
--- a/libs/gateway/include/almondridge/gateway/stageplan.h
+++ b/libs/gateway/include/almondridge/gateway/stageplan.h
@@ -61,7 +61,7 @@
                TimePoint now);
     /** Orders to give now. Each engine has at most one on its way. */
     std::vector<StageChange> plan(const EndpointTable &table, const ServiceId &service,
-                                  TimePoint now, const EngineFilter &mayLeave = {});
+                                  TimePoint now, const EngineFilter &mayBeReleased = {});
     /** The peaks that the stages are planned for, in engines kept busy. */
     const StageDemand &peak() const noexcept { return peak_; }
     /** The engine refused: another order is in progress, or it took one since. */
--- a/libs/gateway/src/crashgossip.cpp
+++ b/libs/gateway/src/crashgossip.cpp
@@ -224,24 +224,24 @@
     return out;
 }
 
-Reception CrashGossip::onDatagram(std::string_view datagram, TimePoint now,
-                                  std::vector<MeshDatagram> &out)
+ReceiveResult CrashGossip::onDatagram(std::string_view datagram, TimePoint now,
+                                      std::vector<MeshDatagram> &out)
 {
     const auto message = decodeCrashMessage(datagram);
     if (!message) {
-        return Reception::Unreadable;
+        return ReceiveResult::Malformed;
     }
     if (std::find(peers_.begin(), peers_.end(), message->sender_) == peers_.end()) {
-        return Reception::Unknown;
+        return ReceiveResult::UnknownSender;
     }
     if (message->asks_) {
         // Also when there is nothing to tell: who asks need not ask again.
         tell({self_, false, evidence_.mostImportant(now)}, {message->sender_}, out);
-        return Reception::Taken;
+        return ReceiveResult::Accepted;
     }
     heard_ = true;
     evidence_.onNews(message->news_, now);
-    return Reception::Taken;
+    return ReceiveResult::Accepted;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/demandmeter.cpp
+++ b/libs/gateway/src/demandmeter.cpp
@@ -23,8 +23,8 @@
 
 StageDemand &StageDemand::operator+=(const StageDemand &other)
 {
-    readers_ += other.readers_;
-    generators_ += other.generators_;
+    prefill_ += other.prefill_;
+    decode_ += other.decode_;
     return *this;
 }
 
@@ -36,7 +36,7 @@
         sum_ = {};
     } else {
         const double share = kept(countedAt_, now);
-        sum_ = {share * sum_.readers_, share * sum_.generators_};
+        sum_ = {share * sum_.prefill_, share * sum_.decode_};
     }
     sum_ += {readSeconds, generateSeconds};
     countedAt_ = now;
@@ -51,7 +51,7 @@
     const double filled =
         WindowSeconds * (1 - std::exp(-toSeconds(now - begunAt_) / WindowSeconds));
     const double rate = kept(countedAt_, now) / std::max(LeastSeconds, filled);
-    return {rate * sum_.readers_, rate * sum_.generators_};
+    return {rate * sum_.prefill_, rate * sum_.decode_};
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -228,7 +228,7 @@
 {
     std::set<ServiceId> services;
     for (const auto &[id, endpoint] : active_) {
-        if (endpoint->failuresOfAll(now) >= LeastFailures) {
+        if (endpoint->failuresOfAll(now) >= MinFailures) {
             services.insert(endpoint->listed_.service_);
         }
     }
@@ -245,7 +245,7 @@
 {
     std::vector<const Endpoint *> found;
     const bool anyFails = std::any_of(active_.begin(), active_.end(), [&](const auto &entry) {
-        return entry.second->failuresOfAll(now) >= LeastFailures;
+        return entry.second->failuresOfAll(now) >= MinFailures;
     });
     if (!anyFails) {
         return found;
@@ -265,7 +265,7 @@
             continue;
         }
         const double expected = sends * instances_ / static_cast<double>(group.size());
-        for (const std::size_t index : failingFarMore(failures, expected)) {
+        for (const std::size_t index : findFailureOutliers(failures, expected)) {
             found.push_back(group[index]);
         }
     }
--- a/libs/gateway/src/failurerates.cpp
+++ b/libs/gateway/src/failurerates.cpp
@@ -27,24 +27,24 @@
 
 } // namespace
 
-void RecentCount::add(double count, TimePoint now)
+void DecayingCount::add(double count, TimePoint now)
 {
     count_ = at(now) + count;
     countedAt_ = now;
 }
 
-double RecentCount::at(TimePoint now) const
+double DecayingCount::at(TimePoint now) const
 {
     return count_ == 0 ? 0 : count_ * std::exp(-toSeconds(now - countedAt_) / FadeSeconds);
 }
 
-std::vector<std::size_t> failingFarMore(const std::vector<double> &failures, double expected)
+std::vector<std::size_t> findFailureOutliers(const std::vector<double> &failures, double expected)
 {
     if (failures.size() < LeastGroup) {
         return {};
     }
     const double threshold =
-        std::max({LeastFailures, FailingShare * expected, AgainstMedian * medianOf(failures)});
+        std::max({MinFailures, FailingShare * expected, AgainstMedian * medianOf(failures)});
     std::vector<std::size_t> order(failures.size());
     std::iota(order.begin(), order.end(), 0U);
     std::erase_if(order, [&](std::size_t index) { return failures[index] < threshold; });
--- a/libs/gateway/src/loaddigest.cpp
+++ b/libs/gateway/src/loaddigest.cpp
@@ -220,8 +220,8 @@
     }
     Json demand = Json::object();
     for (const auto &[service, busy] : digest.demand_) {
-        demand[service.value()] = {std::llround(busy.readers_ * DemandParts),
-                                   std::llround(busy.generators_ * DemandParts)};
+        demand[service.value()] = {std::llround(busy.prefill_ * DemandParts),
+                                   std::llround(busy.decode_ * DemandParts)};
     }
     Json changing = Json::object();
     for (const auto &[id, left] : digest.changingMillis_) {
--- a/libs/gateway/src/loadexchange.cpp
+++ b/libs/gateway/src/loadexchange.cpp
@@ -94,8 +94,8 @@
         if (failure) {
             break;
         }
-        const Reception reception = onDatagram({buffer.data(), got}, now);
-        if (reception != Reception::Taken) {
+        const ReceiveResult reception = onDatagram({buffer.data(), got}, now);
+        if (reception != ReceiveResult::Accepted) {
             onDropped(reception);
         }
     }
@@ -110,7 +110,7 @@
     handlers_[mark] = std::move(handler);
 }
 
-Reception LoadExchange::onDatagram(std::string_view datagram, TimePoint now)
+ReceiveResult LoadExchange::onDatagram(std::string_view datagram, TimePoint now)
 {
     const auto handler = datagram.empty() ? handlers_.end() : handlers_.find(datagram.front());
     if (handler != handlers_.end()) {
@@ -120,13 +120,13 @@
         return mesh_.onDatagram(datagram, gateway_.endpoints(), now);
     }
     std::vector<MeshDatagram> answers;
-    const Reception reception = crashes_.onDatagram(datagram, now, answers);
+    const ReceiveResult reception = crashes_.onDatagram(datagram, now, answers);
     send(answers);
     return reception;
 }
 
 /** Anybody may send datagrams here. */
-void LoadExchange::onDropped(Reception reception)
+void LoadExchange::onDropped(ReceiveResult reception)
 {
     const std::string_view cause = nameOf(ReceptionNames, reception);
     gateway_.metrics().count("load_datagrams_dropped_total", observe::metricLabel("cause", cause));
@@ -155,9 +155,9 @@
     return sum;
 }
 
-LoadNote LoadExchange::currentNote(TimePoint now) const
+LoadReport LoadExchange::currentNote(TimePoint now) const
 {
-    LoadNote note;
+    LoadReport note;
     note.mayLead_ = leadership_.mayLead_();
     note.leads_ = leadership_.leads_();
     for (const auto &[engine, until] : changing_) {
--- a/libs/gateway/src/loadmesh.cpp
+++ b/libs/gateway/src/loadmesh.cpp
@@ -136,7 +136,7 @@
     }
 }
 
-bool LoadMesh::worthSending(const LoadNote &note, TimePoint now) const
+bool LoadMesh::worthSending(const LoadReport &note, TimePoint now) const
 {
     return now >= lastSentAt_ + QuietInterval
            || isWorthANote(note, last_, isDirect() ? FleetSize::Few : FleetSize::Many);
@@ -147,9 +147,9 @@
     notedParts_.add(parts);
 }
 
-void LoadMesh::sendNote(const LoadNote &own, TimePoint now, std::vector<MeshDatagram> &out)
+void LoadMesh::sendNote(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out)
 {
-    LoadNote note = own;
+    LoadReport note = own;
     note.number_ = ++noteNumber_;
     const std::vector<PromptMemory::Key> parts = notedParts_.take(MostPartsInNote);
     note.readParts_ = parts;
@@ -157,7 +157,7 @@
         domainParts_.add(parts);
         allParts_.add(parts);
     }
-    const std::string bytes = encodeNote(note);
+    const std::string bytes = encodeLoadReport(note);
     if (isDirect()) {
         for (const auto &[id, member] : members_) {
             out.push_back({id, bytes});
@@ -166,7 +166,7 @@
     for (const InstanceId &relay : choice_.toldByUs()) {
         const bool tellsUs = choice_.isAsked(relay);
         note.follows_ = tellsUs ? relay : InstanceId {};
-        out.push_back({relay, tellsUs ? encodeNote(note) : bytes});
+        out.push_back({relay, tellsUs ? encodeLoadReport(note) : bytes});
     }
     ownNotes_.push_back({note.number_, loadsOf(note), note.demand_});
     if (ownNotes_.size() > RememberedNotes) {
@@ -176,7 +176,7 @@
     lastSentAt_ = now;
 }
 
-std::vector<MeshDatagram> LoadMesh::tick(LoadNote own, EndpointTable &table, TimePoint now)
+std::vector<MeshDatagram> LoadMesh::tick(LoadReport own, EndpointTable &table, TimePoint now)
 {
     own.sender_ = self_;
     own.lifetime_ = lifetime_;
@@ -190,7 +190,7 @@
     return out;
 }
 
-std::vector<MeshDatagram> LoadMesh::tellNow(LoadNote own, EndpointTable &table, TimePoint now)
+std::vector<MeshDatagram> LoadMesh::tellNow(LoadReport own, EndpointTable &table, TimePoint now)
 {
     lastSentAt_ = {};
     relayTellsAt_ = {};
@@ -202,30 +202,30 @@
     return now + (isRelay() ? RelayInterval : TellInterval);
 }
 
-Reception LoadMesh::onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now)
+ReceiveResult LoadMesh::onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now)
 {
     if (isDigest(bytes)) {
         const auto received = decodeDigest(bytes);
-        return received ? onDigest(*received, table, now) : Reception::Unreadable;
+        return received ? onDigest(*received, table, now) : ReceiveResult::Malformed;
     }
-    const auto note = decodeNote(bytes);
-    return note ? onNote(*note, table, now) : Reception::Unreadable;
+    const auto note = decodeLoadReport(bytes);
+    return note ? onReport(*note, table, now) : ReceiveResult::Malformed;
 }
 
-Reception LoadMesh::onNote(const LoadNote &note, EndpointTable &table, TimePoint now)
+ReceiveResult LoadMesh::onReport(const LoadReport &note, EndpointTable &table, TimePoint now)
 {
     const auto sender = members_.find(note.sender_);
     if (note.sender_ == self_ || sender == members_.end()) {
-        return Reception::Unknown;
+        return ReceiveResult::UnknownSender;
     }
     if (!isDirect() && sender->second.domain_ != domain_) {
-        return Reception::Taken; // It does not know yet how many we are.
+        return ReceiveResult::Accepted; // It does not know yet how many we are.
     }
     const auto before = heard_.peers().find(note.sender_);
     const bool isNew =
         before == heard_.peers().end() || before->second.note_.lifetime_ != note.lifetime_;
-    if (!heard_.onNote(note, table, now)) {
-        return Reception::Taken;
+    if (!heard_.onReport(note, table, now)) {
+        return ReceiveResult::Accepted;
     }
     if (note.follows_ != self_) {
         followers_.erase(note.sender_);
@@ -237,7 +237,7 @@
         domainParts_.add(note.readParts_);
         allParts_.add(note.readParts_);
     }
-    return Reception::Taken;
+    return ReceiveResult::Accepted;
 }
 
 const LoadMesh::OwnNote *LoadMesh::ownNote(std::uint64_t number) const
@@ -247,16 +247,17 @@
     return found != ownNotes_.end() ? &*found : nullptr;
 }
 
-Reception LoadMesh::onDigest(const ReceivedDigest &received, EndpointTable &table, TimePoint now)
+ReceiveResult LoadMesh::onDigest(const ReceivedDigest &received, EndpointTable &table,
+                                 TimePoint now)
 {
     const LoadDigest &digest = received.digest_;
     const auto sender = members_.find(digest.sender_);
     if (sender == members_.end() || sender->second.domain_ != digest.domain_) {
-        return Reception::Unknown;
+        return ReceiveResult::UnknownSender;
     }
     const bool ofThisDomain = digest.domain_ == domain_;
     if (ofThisDomain != (digest.scope_ == DigestScope::All)) {
-        return Reception::Unreadable;
+        return ReceiveResult::Malformed;
     }
     const OwnNote *counted = ofThisDomain ? ownNote(received.countedNote_) : nullptr;
     DigestStream &stream = (ofThisDomain ? all_ : domains_)[digest.sender_];
@@ -272,7 +273,7 @@
         allParts_.add(digest.readParts_);
         addAbsent(digest.unreached_, foreignUnreached_, MostUnreachedTold);
     }
-    return Reception::Taken;
+    return ReceiveResult::Accepted;
 }
 
 std::vector<PromptMemory::Key> LoadMesh::takeToldParts()
@@ -320,8 +321,8 @@
         // The sum of all has this instance's part as well.
         const auto own = ownNotes_.back().demand_.find(service);
         if (own != ownNotes_.back().demand_.end()) {
-            sum.readers_ = std::max(0.0, sum.readers_ - own->second.readers_);
-            sum.generators_ = std::max(0.0, sum.generators_ - own->second.generators_);
+            sum.prefill_ = std::max(0.0, sum.prefill_ - own->second.prefill_);
+            sum.decode_ = std::max(0.0, sum.decode_ - own->second.decode_);
         }
     }
     return sum;
--- a/libs/gateway/src/loadmeshrelay.cpp
+++ b/libs/gateway/src/loadmeshrelay.cpp
@@ -39,7 +39,7 @@
     return digest;
 }
 
-void LoadMesh::addLeaders(const LoadNote &note, LoadDigest &digest) const
+void LoadMesh::addLeaders(const LoadReport &note, LoadDigest &digest) const
 {
     if (note.leads_) {
         digest.leaders_.push_back(note.sender_);
@@ -62,7 +62,7 @@
 }
 
 /** Demand, leaders and unreached endpoints, of this instance and of those that it hears. */
-LoadDigest LoadMesh::heardDigest(DigestScope scope, const LoadNote &own) const
+LoadDigest LoadMesh::heardDigest(DigestScope scope, const LoadReport &own) const
 {
     LoadDigest digest = emptyDigest(scope);
     digest.demand_ = own.demand_;
@@ -135,7 +135,7 @@
 }
 
 /** The sum of this domain, to the relays of the others. */
-void LoadMesh::tellDomains(const LoadNote &own, TimePoint now, std::vector<MeshDatagram> &out)
+void LoadMesh::tellDomains(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out)
 {
     LoadDigest digest = heardDigest(DigestScope::Domain, own);
     LoadTable sums = loadsOf(own);
@@ -161,7 +161,7 @@
 }
 
 /** The sum of all, to those who follow this relay. */
-void LoadMesh::tellFollowers(const LoadNote &own, const EndpointTable &table, TimePoint now,
+void LoadMesh::tellFollowers(const LoadReport &own, const EndpointTable &table, TimePoint now,
                              std::vector<MeshDatagram> &out)
 {
     LoadDigest digest = heardDigest(DigestScope::All, own);
@@ -210,7 +210,7 @@
     relayTellsAt_ = now + std::clamp(pause, RelayInterval, LongestRelayInterval);
 }
 
-void LoadMesh::tellAsRelay(const LoadNote &own, const EndpointTable &table, TimePoint now,
+void LoadMesh::tellAsRelay(const LoadReport &own, const EndpointTable &table, TimePoint now,
                            std::vector<MeshDatagram> &out)
 {
     if (!isRelay() || now < relayTellsAt_) {
--- a/libs/gateway/src/noteworth.cpp
+++ b/libs/gateway/src/noteworth.cpp
@@ -53,7 +53,7 @@
 
 } // namespace
 
-bool isWorthANote(const LoadNote &note, const LoadNote &last, FleetSize size)
+bool isWorthANote(const LoadReport &note, const LoadReport &last, FleetSize size)
 {
     if (note.mayLead_ != last.mayLead_ || note.leads_ != last.leads_
         || note.unreached_ != last.unreached_ || anyFailureIsNew(note.failures_, last.failures_)) {
--- a/libs/gateway/src/noteworth.h
+++ b/libs/gateway/src/noteworth.h
@@ -13,6 +13,6 @@
     Many,
 };
 
-bool isWorthANote(const LoadNote &note, const LoadNote &last, FleetSize size);
+bool isWorthANote(const LoadReport &note, const LoadReport &last, FleetSize size);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/peerload.cpp
+++ b/libs/gateway/src/peerload.cpp
@@ -113,7 +113,7 @@
 
 } // namespace
 
-std::string encodeNote(const LoadNote &note)
+std::string encodeLoadReport(const LoadReport &note)
 {
     Json queued = Json::object();
     for (const auto &[endpoint, queue] : note.queued_) {
@@ -133,8 +133,8 @@
     }
     Json demand = Json::object();
     for (const auto &[service, busy] : note.demand_) {
-        demand[service.value()] = {std::llround(busy.readers_ * DemandParts),
-                                   std::llround(busy.generators_ * DemandParts)};
+        demand[service.value()] = {std::llround(busy.prefill_ * DemandParts),
+                                   std::llround(busy.decode_ * DemandParts)};
     }
     Json unreached = Json::array();
     for (const EndpointId &endpoint : note.unreached_) {
@@ -159,14 +159,14 @@
     return bytes;
 }
 
-std::optional<LoadNote> decodeNote(std::string_view bytes)
+std::optional<LoadReport> decodeLoadReport(std::string_view bytes)
 {
     const std::optional<Json> decoded = fromCbor(bytes);
     if (!decoded || !isShaped(*decoded)) {
         return std::nullopt;
     }
     const Json &json = *decoded;
-    LoadNote note;
+    LoadReport note;
     note.sender_ = InstanceId(json[at(Field::Sender)].get<std::string>());
     note.lifetime_ = json[at(Field::Lifetime)].get<std::uint64_t>();
     note.number_ = json[at(Field::Number)].get<std::uint64_t>();
@@ -220,7 +220,7 @@
     return note;
 }
 
-LoadTable loadsOf(const LoadNote &note)
+LoadTable loadsOf(const LoadReport &note)
 {
     LoadTable loads;
     for (const auto &[id, queue] : note.queued_) {
@@ -251,7 +251,7 @@
     }
 }
 
-void PeerLoads::add(const LoadNote &note, EndpointTable &table)
+void PeerLoads::add(const LoadReport &note, EndpointTable &table)
 {
     for (const auto &[id, queue] : note.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
@@ -270,7 +270,7 @@
     }
 }
 
-void PeerLoads::takeOut(const LoadNote &note, EndpointTable &table)
+void PeerLoads::takeOut(const LoadReport &note, EndpointTable &table)
 {
     for (const auto &[id, queue] : note.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
@@ -290,7 +290,7 @@
     }
 }
 
-bool PeerLoads::onNote(const LoadNote &note, EndpointTable &table, TimePoint now)
+bool PeerLoads::onReport(const LoadReport &note, EndpointTable &table, TimePoint now)
 {
     Peer &peer = peers_[note.sender_];
     const bool older =
@@ -328,7 +328,7 @@
 bool PeerLoads::leads(const InstanceId &self) const
 {
     return std::none_of(peers_.begin(), peers_.end(), [&](const auto &entry) {
-        const LoadNote &note = entry.second.note_;
+        const LoadReport &note = entry.second.note_;
         return note.leads_ || (note.mayLead_ && leaderRank(entry.first) > leaderRank(self));
     });
 }
--- a/libs/gateway/src/sizekeeper.cpp
+++ b/libs/gateway/src/sizecontroller.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/sizekeeper.h"
+#include "almondridge/gateway/sizecontroller.h"
 
 #include "almondridge/base/log.h"
 
@@ -10,8 +10,8 @@
 
 } // namespace
 
-SizeKeeper::SizeKeeper(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
-                       SizeApi &api, SizePlanSettings settings)
+SizeController::SizeController(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
+                               SizeApi &api, SizePlanSettings settings)
     : gateway_(gateway)
     , authority_(authority)
     , api_(api)
@@ -19,7 +19,7 @@
     , timer_(loop)
 { }
 
-void SizeKeeper::planAll()
+void SizeController::planAll()
 {
     const TimePoint now = BootClock::now();
     timer_.startAt(now + PlanInterval, [this] { planAll(); });
@@ -44,19 +44,20 @@
     }
 }
 
-SizePlan &SizeKeeper::planOf(const ServiceId &service)
+SizePlan &SizeController::planOf(const ServiceId &service)
 {
     return plans_.try_emplace(service, settings_).first->second;
 }
 
-bool SizeKeeper::mayLeave(const Endpoint &endpoint) const
+bool SizeController::mayBeReleased(const Endpoint &endpoint) const
 {
     const auto plan = plans_.find(endpoint.listed_.service_);
     return !endpoint.listed_.spot_ && plan != plans_.end()
            && plan->second.givesBack(endpoint.listed_.domain_);
 }
 
-void SizeKeeper::planService(const ServiceTraits &service, const OrderRight &right, TimePoint now)
+void SizeController::planService(const ServiceTraits &service, const OrderRight &right,
+                                 TimePoint now)
 {
     SizePlan &plan = planOf(service.id_);
     for (const SizeOrder &order : plan.plan(gateway_.endpoints(), service, now)) {
@@ -64,7 +65,7 @@
     }
 }
 
-void SizeKeeper::give(const OrderRight &right, const ServiceId &service, const SizeOrder &order)
+void SizeController::give(const OrderRight &right, const ServiceId &service, const SizeOrder &order)
 {
     api_.order(right, service, order, [this, service, order](OrderOutcome outcome) {
         logEvent(LogLevel::Info, "size_order",
@@ -74,10 +75,10 @@
                   {"count", order.count_},
                   {"fence", fence_},
                   {"outcome", nameOf(OrderOutcomeNames, outcome)}});
-        if (outcome == OrderOutcome::Overtaken) {
+        if (outcome == OrderOutcome::StaleFence) {
             authority_.onOvertaken();
         }
-        plans_.at(service).onAnswer(order, outcome == OrderOutcome::Taken, BootClock::now());
+        plans_.at(service).onAnswer(order, outcome == OrderOutcome::Granted, BootClock::now());
     });
 }
 
--- a/libs/gateway/src/stagekeeper.cpp
+++ b/libs/gateway/src/stagecontroller.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/stagekeeper.h"
+#include "almondridge/gateway/stagecontroller.h"
 
 #include "almondridge/base/log.h"
 
@@ -10,13 +10,13 @@
 /** An order's connection must not outlive the right to give it. */
 constexpr std::int64_t OrderConnectMillis = 300;
 constexpr int Accepted = 202;
-constexpr int Overtaken = 412;
+constexpr int StaleFence = 412;
 constexpr int Conflict = 409;
 
 } // namespace
 
-StageKeeper::StageKeeper(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
-                         AuthorityKeeper &authority, StageKeeperSettings settings)
+StageController::StageController(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
+                                 AuthorityKeeper &authority, StageControllerSettings settings)
     : gateway_(gateway)
     , dialect_(dialect)
     , authority_(authority)
@@ -25,26 +25,26 @@
     , planning_(loop)
 { }
 
-StageKeeper::~StageKeeper() = default;
+StageController::~StageController() = default;
 
-void StageKeeper::start()
+void StageController::start()
 {
     running_ = true;
     planAll();
 }
 
-void StageKeeper::stop()
+void StageController::stop()
 {
     running_ = false;
     planning_.stop();
 }
 
-StagePlan &StageKeeper::planOf(const ServiceId &service)
+StagePlan &StageController::planOf(const ServiceId &service)
 {
     return plans_.try_emplace(service, settings_.plan_).first->second;
 }
 
-void StageKeeper::planAll()
+void StageController::planAll()
 {
     const TimePoint now = BootClock::now();
     planning_.startAt(now + PlanInterval, [this] { planAll(); });
@@ -62,20 +62,20 @@
             continue;
         }
         for (const StageChange &change :
-             plan.plan(gateway_.endpoints(), service.id_, now, settings_.mayLeave_)) {
+             plan.plan(gateway_.endpoints(), service.id_, now, settings_.mayBeReleased_)) {
             logEvent(LogLevel::Info, "stage_change",
                      {{"engine", change.engine_.value()},
                       {"stage", nameOf(StageNames, change.stage_)},
-                      {"readers_busy", plan.peak().readers_},
-                      {"generators_busy", plan.peak().generators_}});
+                      {"readers_busy", plan.peak().prefill_},
+                      {"generators_busy", plan.peak().decode_}});
             readEngine(service.id_, change);
         }
     }
 }
 
 /** One call to an engine; status 0: no whole answer came. */
-void StageKeeper::ask(const EndpointId &engine, std::string text,
-                      const std::function<void(int, const std::string &)> &done)
+void StageController::ask(const EndpointId &engine, std::string text,
+                          const std::function<void(int, const std::string &)> &done)
 {
     async::ExchangeRequest request;
     request.peer_ = engine.value();
@@ -89,7 +89,7 @@
 }
 
 /** How many orders the engine took is only known from itself, and an order has to name it. */
-void StageKeeper::readEngine(const ServiceId &service, const StageChange &change)
+void StageController::readEngine(const ServiceId &service, const StageChange &change)
 {
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
     ask(change.engine_, dialect_.reportText(engine->listed_.address_),
@@ -111,7 +111,7 @@
 }
 
 /** The engine itself tells of a restart before its entry does. */
-void StageKeeper::learnStart(const EndpointId &id, const EngineReport &report)
+void StageController::learnStart(const EndpointId &id, const EngineReport &report)
 {
     const Endpoint *engine = gateway_.endpoints().find(id);
     if (engine != nullptr && engine->listedNow_
@@ -122,8 +122,8 @@
     }
 }
 
-void StageKeeper::give(const ServiceId &service, const StageChange &change,
-                       const EngineReport &report)
+void StageController::give(const ServiceId &service, const StageChange &change,
+                           const EngineReport &report)
 {
     // Asked again here: the right may have lapsed while the engine was read.
     const auto right = authority_.right();
@@ -147,23 +147,23 @@
         });
 }
 
-void StageKeeper::onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status)
+void StageController::onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status)
 {
     logEvent(LogLevel::Info, "order_answer", {{"engine", engine.value()}, {"status", status}});
     const TimePoint now = BootClock::now();
     if (status == Accepted) {
         onTaken(service, engine, now);
     }
-    if (status == Overtaken) {
+    if (status == StaleFence) {
         authority_.onOvertaken();
     }
-    if (status == Overtaken || status == Conflict) {
+    if (status == StaleFence || status == Conflict) {
         planOf(service).onRefused(engine, now);
     }
 }
 
 /** Until the engine is back, or its entry tells of its new stage, it refuses requests. */
-void StageKeeper::onTaken(const ServiceId &service, const EndpointId &engine, TimePoint now)
+void StageController::onTaken(const ServiceId &service, const EndpointId &engine, TimePoint now)
 {
     const ServiceTraits *traits = gateway_.config()->service(service);
     if (traits == nullptr || !traits->engine_) {
@@ -171,7 +171,7 @@
     }
     const TimePoint until = now + millis(traits->engine_->switchMillis_);
     gateway_.endpoints().onChanging(engine, until);
-    settings_.onOrder_(engine, until);
+    settings_.onOrderAccepted_(engine, until);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/stageplan.cpp
+++ b/libs/gateway/src/stageplan.cpp
@@ -60,7 +60,7 @@
     const auto use = [](double busy, int engines) {
         return engines > 0 ? busy / engines : std::numeric_limits<double>::infinity();
     };
-    return std::max(use(demand.readers_, prefill), use(demand.generators_, decode));
+    return std::max(use(demand.prefill_, prefill), use(demand.decode_, decode));
 }
 
 /**
@@ -192,8 +192,8 @@
     prefillWait_.add(meanReadWait(engines, load.millisPerToken_), weight);
     decodeWait_.add(meanSlotWait(engines, load.slotMillis_), weight);
     const double kept = std::exp(-passed / PeakSeconds);
-    peak_.readers_ = std::max(kept * peak_.readers_, load.demand_.readers_);
-    peak_.generators_ = std::max(kept * peak_.generators_, load.demand_.generators_);
+    peak_.prefill_ = std::max(kept * peak_.prefill_, load.demand_.prefill_);
+    peak_.decode_ = std::max(kept * peak_.decode_, load.demand_.decode_);
     idle_ = load.demand_.all() < LeastDemand;
     if (!idle_ && !sawDemand_) {
         sawDemand_ = true;
@@ -230,13 +230,14 @@
 }
 
 std::vector<StageChange> StagePlan::plan(const EndpointTable &table, const ServiceId &service,
-                                         TimePoint now, const EngineFilter &mayLeave)
+                                         TimePoint now, const EngineFilter &mayBeReleased)
 {
     std::vector<const Endpoint *> engines = table.listed(service);
     std::erase_if(engines,
                   [](const Endpoint *engine) { return engine->listed_.stage_ == Stage::None; });
     const std::size_t listed = engines.size();
-    std::erase_if(engines, [&](const Endpoint *engine) { return mayLeave && mayLeave(*engine); });
+    std::erase_if(engines,
+                  [&](const Endpoint *engine) { return mayBeReleased && mayBeReleased(*engine); });
     forgetOrders(table, now);
     const int count = static_cast<int>(engines.size());
     // Engines that take the place of others come one by one: before the first request each is made
--- a/libs/gateway/tests/crashgossiptest.cpp
+++ b/libs/gateway/tests/crashgossiptest.cpp
@@ -129,9 +129,9 @@
             onTheirWay_.erase(onTheirWay_.begin());
             if (!dead_.contains(datagram.to_)) {
                 std::vector<MeshDatagram> answers;
-                const Reception taken =
+                const ReceiveResult taken =
                     members_.at(datagram.to_).gossip_->onDatagram(datagram.bytes_, now_, answers);
-                BOOST_TEST((taken == Reception::Taken));
+                BOOST_TEST((taken == ReceiveResult::Accepted));
                 send(datagram.to_, answers);
             }
         }
--- a/libs/gateway/tests/endpointtest.cpp
+++ b/libs/gateway/tests/endpointtest.cpp
@@ -168,17 +168,17 @@
 {
     EndpointTable table = fleet(0, 3);
     PeerLoads loads;
-    LoadNote note {InstanceId("peer"), 1, 1};
+    LoadReport note {InstanceId("peer"), 1, 1};
     note.unreached_ = {EndpointId("engine-0"), EndpointId("engine-1"), EndpointId("unknown")};
     table.onEvidence(EndpointId("engine-1"), Evidence::Sound, at(900));
-    loads.onNote(*decodeNote(encodeNote(note)), table, at(1'000));
+    loads.onReport(*decodeLoadReport(encodeLoadReport(note)), table, at(1'000));
     BOOST_TEST(table.usable(Models, at(1'000)).size() == 2U);
     BOOST_TEST((table.takeTests(at(1'000)) == std::vector {EndpointId("engine-0")}));
     table.onTested(EndpointId("engine-0"), true, at(1'004));
     BOOST_TEST(table.usable(Models, at(1'004)).size() == 3U);
     BOOST_TEST(table.unreached(at(1'004)).empty()); // Hearsay is not passed on.
     note.number_ = 2;
-    loads.onNote(note, table, at(1'400)); // The same news again: it was tested.
+    loads.onReport(note, table, at(1'400)); // The same news again: it was tested.
     BOOST_TEST(!table.find(EndpointId("engine-0"))->awaitsTest_);
     table.onEvidence(EndpointId("engine-2"), Evidence::Silent, at(2'000));
     BOOST_TEST((table.unreached(at(2'500)) == std::vector {EndpointId("engine-2")}));
@@ -204,10 +204,10 @@
         }
     }
     for (int peer = 0; peer < 7; ++peer) {
-        LoadNote note {InstanceId("peer-" + std::to_string(peer)), 1, 1};
+        LoadReport note {InstanceId("peer-" + std::to_string(peer)), 1, 1};
         note.failures_[EndpointId("engine-1")] = 0.9; // 6 of some 16 requests.
         note.failures_[EndpointId("engine-2")] = 0.5; // 3.5: as any endpoint may have.
-        loads.onNote(*decodeNote(encodeNote(note)), table, at(10));
+        loads.onReport(*decodeLoadReport(encodeLoadReport(note)), table, at(10));
     }
     const auto usable = table.usable(Models, at(20));
     BOOST_TEST(usable.size() == 11U);
@@ -216,7 +216,7 @@
         return one->listed_.id_.value() == "engine-1";
     }));
     for (int peer = 0; peer < 7; ++peer) {
-        loads.onNote({InstanceId("peer-" + std::to_string(peer)), 1, 2}, table, at(3'000));
+        loads.onReport({InstanceId("peer-" + std::to_string(peer)), 1, 2}, table, at(3'000));
     }
     BOOST_TEST(table.usable(Models, at(3'000)).size() == 12U);
     BOOST_TEST(table.leftOut(at(3'000)).empty());
@@ -225,13 +225,13 @@
 /** Errors that all endpoints of a service have alike are its own: nobody is left out for them. */
 BOOST_AUTO_TEST_CASE(failuresThatAllHaveAlikeTakeNobodyOut)
 {
-    BOOST_TEST(failingFarMore({9, 8, 10, 9, 11, 9}, 20).empty());
-    BOOST_TEST((failingFarMore({9, 0, 1, 0, 1, 0}, 20) == std::vector<std::size_t> {0}));
-    BOOST_TEST(failingFarMore({9, 0, 1, 0, 1, 0}, 60).empty()); // A seventh of its requests.
-    BOOST_TEST(failingFarMore({9, 0}, 20).empty());
-    BOOST_TEST(failingFarMore({}, 20).empty());
+    BOOST_TEST(findFailureOutliers({9, 8, 10, 9, 11, 9}, 20).empty());
+    BOOST_TEST((findFailureOutliers({9, 0, 1, 0, 1, 0}, 20) == std::vector<std::size_t> {0}));
+    BOOST_TEST(findFailureOutliers({9, 0, 1, 0, 1, 0}, 60).empty()); // A seventh of its requests.
+    BOOST_TEST(findFailureOutliers({9, 0}, 20).empty());
+    BOOST_TEST(findFailureOutliers({}, 20).empty());
     // At most three in ten: the others have to carry the load.
-    BOOST_TEST(failingFarMore({9, 8, 7, 6, 0, 0, 0, 0, 0, 0}, 20).size() == 3U);
+    BOOST_TEST(findFailureOutliers({9, 8, 7, 6, 0, 0, 0, 0, 0, 0}, 20).size() == 3U);
 }
 
 BOOST_AUTO_TEST_CASE(errorsOfItsOwnTakeAnEndpointOutOnlyInARow)
--- a/libs/gateway/tests/loadmeshtest.cpp
+++ b/libs/gateway/tests/loadmeshtest.cpp
@@ -33,7 +33,7 @@
         bool lives_ = true;
         EndpointTable table_;
         std::unique_ptr<LoadMesh> mesh_;
-        LoadNote own_;
+        LoadReport own_;
         TimePoint tickAt_ {};
         int taken_ = 0; ///< Datagrams.
     };
@@ -455,12 +455,12 @@
 {
     Fleet fleet(40, 20);
     Fleet::Node &node = fleet.node(7);
-    LoadNote note {InstanceId("stranger"), 1, 1};
+    LoadReport note {InstanceId("stranger"), 1, 1};
     note.queued_[engineId(1)].add(0, 5'000);
+    BOOST_TEST((node.mesh_->onDatagram(encodeLoadReport(note), node.table_, fleet.now())
+                == ReceiveResult::UnknownSender));
     BOOST_TEST(
-        (node.mesh_->onDatagram(encodeNote(note), node.table_, fleet.now()) == Reception::Unknown));
-    BOOST_TEST(
-        (node.mesh_->onDatagram("neither", node.table_, fleet.now()) == Reception::Unreadable));
+        (node.mesh_->onDatagram("neither", node.table_, fleet.now()) == ReceiveResult::Malformed));
     BOOST_TEST(node.table_.find(engineId(1))->foreignQueued_.all() == 0);
 }
 
--- a/libs/gateway/tests/peerloadtest.cpp
+++ b/libs/gateway/tests/peerloadtest.cpp
@@ -26,11 +26,11 @@
     BOOST_TEST(first.partsUnknown_);
     BOOST_TEST(first.newTokens_ > prompt.ownTokens());
     reader.onPromptRead(table.find(*first.prefill_)->listed_, prompt, at(0));
-    LoadNote note {InstanceId("reader"), 1, 1};
+    LoadReport note {InstanceId("reader"), 1, 1};
     note.readParts_ = reader.takeReadParts();
     BOOST_TEST(note.readParts_.size() == 1U); // Nobody else asks with the prompt's own part.
     BOOST_TEST(reader.takeReadParts().empty());
-    other.onPartsTold(decodeNote(encodeNote(note))->readParts_, at(0));
+    other.onPartsTold(decodeLoadReport(encodeLoadReport(note))->readParts_, at(0));
     BOOST_TEST(other.takeReadParts().empty()); // Hearsay is not passed on.
     const PromptPlan second = *planFor(other, table, prompt);
     BOOST_TEST((second.prefill_ == first.prefill_));
@@ -45,9 +45,9 @@
     const Placement placement({DomainId("a")});
     const auto home = *planFor(placement, table, promptWith(1))->prefill_;
     PeerLoads loads;
-    LoadNote note {InstanceId("other"), 1, 1};
+    LoadReport note {InstanceId("other"), 1, 1};
     note.queued_[home].add(1, 50'000);
-    loads.onNote(*decodeNote(encodeNote(note)), table, at(0));
+    loads.onReport(*decodeLoadReport(encodeLoadReport(note)), table, at(0));
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != home));
     loads.forgetSilent(table, at(5'000));
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == home));
@@ -60,9 +60,9 @@
     const EndpointId id("engine-0");
     PeerLoads loads;
     const auto hear = [&](std::uint64_t lifetime, std::uint64_t number, std::int64_t tokens) {
-        LoadNote note {InstanceId("other"), lifetime, number};
+        LoadReport note {InstanceId("other"), lifetime, number};
         note.queued_[id].add(0, tokens);
-        loads.onNote(note, table, at(0));
+        loads.onReport(note, table, at(0));
         return table.find(id)->foreignQueued_.all();
     };
     BOOST_TEST(hear(1, 2, 500) == 500);
@@ -84,7 +84,7 @@
     const auto hear = [&](int sender, bool mayLead, std::uint64_t number, TimePoint now) {
         for (int self = 0; self < Count; ++self) {
             if (self != sender) {
-                views[self].onNote({name(sender), 1, number, {}, mayLead}, table, now);
+                views[self].onReport({name(sender), 1, number, {}, mayLead}, table, now);
             }
         }
     };
@@ -121,10 +121,10 @@
 {
     EndpointTable table;
     PeerLoads loads;
-    LoadNote note {InstanceId("holder"), 1, 1};
+    LoadReport note {InstanceId("holder"), 1, 1};
     note.mayLead_ = true;
     note.leads_ = true;
-    loads.onNote(note, table, at(0));
+    loads.onReport(note, table, at(0));
     for (int number = 0; number < 20; ++number) {
         BOOST_TEST(!loads.leads(InstanceId("instance-" + std::to_string(number))));
     }
@@ -140,12 +140,12 @@
 {
     EndpointTable table = fleet(0, 2);
     PeerLoads loads;
-    LoadNote note {InstanceId("leader"), 1, 1};
+    LoadReport note {InstanceId("leader"), 1, 1};
     note.changingMillis_[EndpointId("engine-0")] = 3'000;
-    loads.onNote(note, table, at(0));
+    loads.onReport(note, table, at(0));
     BOOST_TEST(table.usable(Models, at(2'900)).size() == 1U);
     BOOST_TEST(table.usable(Models, at(3'100)).size() == 2U);
-    loads.onNote({InstanceId("leader"), 1, 2, note.changingMillis_}, table, at(4'000));
+    loads.onReport({InstanceId("leader"), 1, 2, note.changingMillis_}, table, at(4'000));
     table.list(engine(0, Stage::Prefill), at(5'000));
     BOOST_TEST(table.usable(Models, at(5'000)).size() == 2U);
 }
@@ -156,16 +156,16 @@
  */
 BOOST_AUTO_TEST_CASE(countsThatNoInstanceCanHaveAreCutToTheMost)
 {
-    LoadNote note;
+    LoadReport note;
     note.sender_ = InstanceId("peer");
     note.number_ = 1;
     note.slotUse_[EndpointId("engine-0")] = {1, 1};
-    nlohmann::json json = nlohmann::json::from_cbor(encodeNote(note));
+    nlohmann::json json = nlohmann::json::from_cbor(encodeLoadReport(note));
     constexpr std::size_t SlotUseField = 11;
     json[SlotUseField]["engine-0"] = {3'000'000'000U, 18'446'744'073'709'551'615ULL};
     std::string bytes;
     nlohmann::json::to_cbor(json, bytes);
-    const auto read = decodeNote(bytes);
+    const auto read = decodeLoadReport(bytes);
     BOOST_REQUIRE(read.has_value());
     BOOST_TEST(read->slotUse_.at(EndpointId("engine-0")).inTime_ == 100'000);
     BOOST_TEST(read->slotUse_.at(EndpointId("engine-0")).late_ == 100'000);
@@ -173,16 +173,16 @@
 
 BOOST_AUTO_TEST_CASE(whatIsNoNoteIsIgnored)
 {
-    LoadNote note {InstanceId("other"), 1, 1};
+    LoadReport note {InstanceId("other"), 1, 1};
     note.queued_[EndpointId("e")].add(9, 3);
     note.changingMillis_[EndpointId("f")] = 2'900;
-    const std::string bytes = encodeNote(note);
-    BOOST_TEST((decodeNote(bytes)->queued_ == note.queued_));
-    BOOST_TEST((decodeNote(bytes)->changingMillis_ == note.changingMillis_));
+    const std::string bytes = encodeLoadReport(note);
+    BOOST_TEST((decodeLoadReport(bytes)->queued_ == note.queued_));
+    BOOST_TEST((decodeLoadReport(bytes)->changingMillis_ == note.changingMillis_));
     for (std::size_t length = 0; length < bytes.size(); ++length) {
-        BOOST_TEST(!decodeNote(bytes.substr(0, length)).has_value());
+        BOOST_TEST(!decodeLoadReport(bytes.substr(0, length)).has_value());
     }
-    BOOST_TEST(!decodeNote("\xff").has_value());
+    BOOST_TEST(!decodeLoadReport("\xff").has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/gateway/tests/placementtest.cpp
+++ b/libs/gateway/tests/placementtest.cpp
@@ -174,11 +174,11 @@
     PeerLoads loads;
     const Prompt prompt = promptWith(1);
     for (int peer = 0; peer < 8; ++peer) {
-        LoadNote note;
+        LoadReport note;
         note.sender_ = InstanceId("peer-" + std::to_string(peer));
         note.number_ = 1;
         note.queued_[EndpointId("engine-0")].add(1, Placement::handoverTokens(prompt));
-        loads.onNote(note, table, at(0));
+        loads.onReport(note, table, at(0));
     }
     for (std::uint64_t ticket = 0; ticket < 30; ++ticket) {
         const auto chosen =
@@ -222,11 +222,11 @@
     }
     BOOST_TEST(choose().waitMillis_ == 10); // One of 64 slots gets free each 10 ms.
     PeerLoads loads;
-    LoadNote note;
+    LoadReport note;
     note.sender_ = InstanceId("peer");
     note.number_ = 1;
     note.slotUse_[id] = {20, 44};
-    loads.onNote(*decodeNote(encodeNote(note)), table, at(0));
+    loads.onReport(*decodeLoadReport(encodeLoadReport(note)), table, at(0));
     BOOST_TEST(choose().waitMillis_ == 210); // The late ones of the peer wait behind.
     BOOST_TEST(choose().lateWaitMillis_ == 650);
     BOOST_TEST(choose().full_);
--- a/libs/gateway/tests/requestcoststest.cpp
+++ b/libs/gateway/tests/requestcoststest.cpp
@@ -78,8 +78,8 @@
     for (int now = 0; now < 30'000; now += 10) {
         meter.onRequest(0.03, 0.01, at(now));
         if (now == 2'000 || now == 29'990) {
-            BOOST_TEST(meter.at(at(now)).readers_ == 3, boost::test_tools::tolerance(0.1));
-            BOOST_TEST(meter.at(at(now)).generators_ == 1, boost::test_tools::tolerance(0.1));
+            BOOST_TEST(meter.at(at(now)).prefill_ == 3, boost::test_tools::tolerance(0.1));
+            BOOST_TEST(meter.at(at(now)).decode_ == 1, boost::test_tools::tolerance(0.1));
         }
     }
     BOOST_TEST(meter.at(at(60'000)).all() < 0.02);
@@ -93,7 +93,7 @@
     for (int now = 0; now < 12'000; now += 10) {
         const bool burst = now >= 6'000 && now < 9'000;
         meter.onRequest(burst ? 0.04 : 0.01, 0, at(now));
-        most = std::max(most, meter.at(at(now)).readers_);
+        most = std::max(most, meter.at(at(now)).prefill_);
     }
     BOOST_TEST(most > 3.2);
     BOOST_TEST(most < 4.1);
--- a/libs/gateway/tests/stageplantest.cpp
+++ b/libs/gateway/tests/stageplantest.cpp
@@ -101,7 +101,7 @@
 BOOST_AUTO_TEST_CASE(theSplitFollowsTheDemandOnAnyFleet)
 {
     const auto use = [](int readers, int generators, const StageDemand &demand) {
-        return std::max(demand.readers_ / readers, demand.generators_ / generators);
+        return std::max(demand.prefill_ / readers, demand.decode_ / generators);
     };
     constexpr double FarOff = 1 / (1 - 0.4);
     for (const int count : {9, 18, 60}) {
@@ -117,7 +117,7 @@
                     best = std::min(best, use(readers, count - readers, demand));
                 }
                 // Readers are added only where the split is far off at the beginning.
-                const bool mended = demand.generators_ / (count - begin) > demand.readers_ / begin
+                const bool mended = demand.decode_ / (count - begin) > demand.prefill_ / begin
                                     || use(begin, count - begin, demand) > FarOff * best;
                 const int readers = countPrefill(table);
                 BOOST_TEST(use(readers, count - readers, demand) <= (mended ? 1.14 : FarOff) * best,
--- a/libs/usage/include/almondridge/usage/usagemesh.h
+++ b/libs/usage/include/almondridge/usage/usagemesh.h
@@ -29,8 +29,8 @@
     /** The same, whenever it was called last. */
     std::vector<gateway::MeshDatagram> tellNow(std::int64_t wallMillis, TimePoint now);
     /** What is to be sent in answer goes to out. */
-    gateway::Reception onDatagram(std::string_view datagram, TimePoint now,
-                                  std::vector<gateway::MeshDatagram> &out);
+    gateway::ReceiveResult onDatagram(std::string_view datagram, TimePoint now,
+                                      std::vector<gateway::MeshDatagram> &out);
 
     /** Asks for all that is known of the windows from one on: this instance reports from now on. */
     std::vector<gateway::MeshDatagram> askAll(Window from) const;
--- a/libs/usage/src/usagemesh.cpp
+++ b/libs/usage/src/usagemesh.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using gateway::MeshDatagram;
-using gateway::Reception;
+using gateway::ReceiveResult;
 
 /** What an instance that is killed has counted since it last told is lost. */
 constexpr Duration TellInterval = millis(400);
@@ -105,30 +105,30 @@
     return tick(wallMillis, now);
 }
 
-Reception UsageMesh::onDatagram(std::string_view datagram, TimePoint now,
-                                std::vector<MeshDatagram> &out)
+ReceiveResult UsageMesh::onDatagram(std::string_view datagram, TimePoint now,
+                                    std::vector<MeshDatagram> &out)
 {
     const auto message = decodeUsageMessage(datagram);
     if (!message) {
-        return Reception::Unreadable;
+        return ReceiveResult::Malformed;
     }
     if (message->note_) {
         // What a collector tells of others may be of instances that are gone.
         onNote(*message->note_, now, out);
-        return Reception::Taken;
+        return ReceiveResult::Accepted;
     }
     if (message->question_) {
         if (!members_.contains(message->question_->sender_)) {
-            return Reception::Unknown;
+            return ReceiveResult::UnknownSender;
         }
         onQuestion(*message->question_, now, out);
-        return Reception::Taken;
+        return ReceiveResult::Accepted;
     }
     if (!collectors_.contains(message->correction_->sender_)) {
-        return Reception::Unknown;
+        return ReceiveResult::UnknownSender;
     }
     onCorrection(*message->correction_);
-    return Reception::Taken;
+    return ReceiveResult::Accepted;
 }
 
 /** Several collectors correct the same note, and only the first of them counts. */
--- a/libs/usage/tests/usagemeshtest.cpp
+++ b/libs/usage/tests/usagemeshtest.cpp
@@ -75,7 +75,7 @@
             }
             std::vector<gateway::MeshDatagram> answers;
             const auto reception = receiver->second.onDatagram(datagram.bytes_, at(now), answers);
-            BOOST_REQUIRE((reception == gateway::Reception::Taken));
+            BOOST_REQUIRE((reception == gateway::ReceiveResult::Accepted));
             send(answers, now);
         }
     }
