--- a/libs/gateway/include/almondridge/gateway/stagecontroller.h
+++ b/libs/gateway/include/almondridge/gateway/stagecontroller.h
@@ -1,6 +1,6 @@
 /**
- * Keeps the engines of all services in the stages that the plan wants, while this instance has
- * the right to give orders.
+ * Moves the engines of all services to the stages that the plan requires, while this instance is
+ * entitled to give orders.
  */
 #pragma once
 
@@ -16,11 +16,14 @@
 
 struct StageControllerSettings
 {
-    /** Told of each order that an engine took, so that nobody sends it work meanwhile. */
+    /**
+     * Called for each order that an engine accepted, so that peers can be told to send it no work
+     * until then.
+     */
     std::function<void(const EndpointId &engine, TimePoint until)> onOrderAccepted_ {};
-    /** What all instances together are asked for. */
+    /** The demand on a service from the callers of all instances. */
     std::function<StageDemand(const ServiceId &service)> demand_ {};
-    /** Whether an engine may be given back in a moment: its stage is left as it is. */
+    /** Whether an engine may be released soon; its stage is then left unchanged. */
     std::function<bool(const Endpoint &engine)> mayBeReleased_ {};
     InstanceId instance_;
     StagePlanSettings plan_;
@@ -35,17 +38,18 @@
 
     void start();
     void stop();
+    /** Returns the number of orders sent since the start. */
     std::uint64_t orders() const noexcept { return orders_; }
 
 private:
     void planAll();
-    void readEngine(const ServiceId &service, const StageChange &change);
-    void learnStart(const EndpointId &id, const EngineReport &report);
-    void give(const ServiceId &service, const StageChange &change, const EngineReport &report);
-    void ask(const EndpointId &engine, std::string text,
-             const std::function<void(int status, const std::string &body)> &done);
+    void fetchReport(const ServiceId &service, const StageChange &change);
+    void updateStartTime(const EndpointId &id, const EngineReport &report);
+    void sendOrder(const ServiceId &service, const StageChange &change, const EngineReport &report);
+    void sendRequest(const EndpointId &engine, std::string text,
+                     const std::function<void(int status, const std::string &body)> &done);
     void onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status);
-    void onTaken(const ServiceId &service, const EndpointId &engine, TimePoint now);
+    void onAccepted(const ServiceId &service, const EndpointId &engine, TimePoint now);
     StagePlan &planOf(const ServiceId &service);
 
     Gateway &gateway_;
@@ -54,7 +58,7 @@
     StageControllerSettings settings_;
     std::map<ServiceId, StagePlan> plans_;
     async::HttpClient client_;
-    async::Timer planning_;
+    async::Timer planTimer_;
     bool running_ = false;
     std::uint64_t orders_ = 0;
 };
--- a/libs/gateway/include/almondridge/gateway/stageplan.h
+++ b/libs/gateway/include/almondridge/gateway/stageplan.h
@@ -1,12 +1,14 @@
 /**
- * How many engines of a service read prompts and how many generate. Pure: demand, the engines and
- * the time go in, changes come out.
+ * Plans how many engines of a service run the prefill stage (read prompts) and how many the decode
+ * stage (generate). Pure: its inputs are the demand, the engines and the time; its output is a list
+ * of stage changes.
  *
- * Both stages are to be equally busy in their own peaks of the last half minute, which come at
- * different times where the mix swings: engines cannot follow swings of seconds, as each change
- * takes one away for as long, so the split has to bear them. A change also empties the engine's
- * cache: it is made only when the busier stage gains by it. Before the first request the split of a
- * typical load is used, since engines change for nothing then.
+ * The plan balances the utilization of both stages at their own peaks of about the last 30 s. The
+ * peaks come at different times when the mix of requests swings, and engines cannot follow a swing
+ * of seconds because a stage change takes an engine out of service for as long. The split therefore
+ * has to cover both peaks. A change also empties the engine's cache, so it is made only if it
+ * lowers the utilization of the busier stage enough. Before the first request, the split of a
+ * typical load is used, because engines can change at no cost then.
  */
 #pragma once
 
@@ -22,24 +24,24 @@
 
 struct StagePlanSettings
 {
-    /** Engines that may be away at once while there is traffic, as a share of all. */
-    double awayShare_ = 0.12;
-    /** An order that changed nothing in this time is given anew. */
-    std::int64_t orderMillis_ = 4'500;
+    /** The share of all engines that may be changing at the same time while there is traffic. */
+    double maxChangingShare_ = 0.12;
+    /** An order that has had no effect after this time is given again. */
+    std::int64_t orderTimeoutMillis_ = 4'500;
 };
 
 /**
- * Share of the engines that read prompts under a typical load, by the requests that one engine
- * generates for at once.
+ * Returns the share of prefill engines that suits a typical load. slots: requests that one decode
+ * engine runs concurrently.
  */
 double typicalPrefillShare(int slots);
 
-/** How a service is loaded. */
+/** The load of a service. */
 struct StageLoad
 {
     StageDemand demand_;
-    double millisPerToken_ = 0; ///< That an engine takes to read.
-    double slotMillis_ = 0;     ///< That a request takes a slot of an engine that generates.
+    double millisPerToken_ = 0; ///< Time in which a prefill engine reads one prompt token.
+    double slotMillis_ = 0; ///< Mean time for which a request occupies a slot of a decode engine.
 };
 
 struct StageChange
@@ -48,7 +50,7 @@
     Stage stage_ = Stage::None;
 };
 
-/** Whether an engine is not to be counted on. */
+/** Returns true for an engine that the plan should leave out. */
 using EngineFilter = std::function<bool(const Endpoint &engine)>;
 
 class StagePlan
@@ -56,55 +58,67 @@
 public:
     explicit StagePlan(StagePlanSettings settings);
 
-    /** Looks at the load; to be called some times a second, also without the right to order. */
-    void watch(const EndpointTable &table, const ServiceId &service, const StageLoad &load,
-               TimePoint now);
-    /** Orders to give now. Each engine has at most one on its way. */
+    /**
+     * Updates the smoothed waits and peaks. Call it several times a second, also while this
+     * instance is not entitled to give orders.
+     */
+    void observe(const EndpointTable &table, const ServiceId &service, const StageLoad &load,
+                 TimePoint now);
+    /**
+     * Returns the orders to give now. Each engine has at most one pending order. mayBeReleased:
+     * engines for which it returns true are left out.
+     */
     std::vector<StageChange> plan(const EndpointTable &table, const ServiceId &service,
                                   TimePoint now, const EngineFilter &mayBeReleased = {});
-    /** The peaks that the stages are planned for, in engines kept busy. */
+    /** The decaying peak demand of each stage, in busy engines. */
     const StageDemand &peak() const noexcept { return peak_; }
-    /** The engine refused: another order is in progress, or it took one since. */
+    /**
+     * Call this if the engine refused an order because another order is in progress or because it
+     * has accepted one since its report. The order is given up early.
+     */
     void onRefused(const EndpointId &engine, TimePoint now);
 
 private:
-    struct Ordered
+    struct PendingOrder
     {
         Stage stage_ = Stage::None;
-        TimePoint until_ {};
-        std::uint64_t lifetime_ = 0; ///< Of the engine: a restart forgets orders.
+        TimePoint expiresAt_ {};
+        /** The engine's lifetime at the order; a restart drops orders. */
+        std::uint64_t lifetime_ = 0;
     };
 
-    /** How long requests wait at the engines of a stage, smoothed. */
-    struct Wait
+    /** Exponentially smoothed time that requests wait at the engines of a stage. */
+    struct SmoothedWait
     {
         double millis_ = 0;
         void add(double sample, double weight) { millis_ += weight * (sample - millis_); }
     };
 
-    bool isWorthIt(bool toRead, TimePoint now) const;
-    bool settled(int count, TimePoint now);
-    /** How many engines should read prompts, of count, of which prefill do so now; at least so many
-     * stay in each stage. */
-    int wantedPrefill(int count, int prefill, int least);
-    /** Null when no engine of the stage may be changed. */
-    const Endpoint *pick(const std::vector<const Endpoint *> &engines, Stage from) const;
-    void forgetOrders(const EndpointTable &table, TimePoint now);
-    std::vector<StageChange> order(std::vector<const Endpoint *> engines, int difference, int room,
-                                   TimePoint now);
+    bool isWaitLongEnough(bool towardPrefill, TimePoint now) const;
+    bool isCountStable(int count, TimePoint now);
+    /**
+     * Returns how many of count engines should run prefill. prefill: how many run it now. At least
+     * minPerStage engines stay in each stage.
+     */
+    int targetPrefill(int count, int prefill, int minPerStage);
+    /** Returns the engine to change, or null if no engine of the stage may be changed. */
+    const Endpoint *pickEngine(const std::vector<const Endpoint *> &engines, Stage from) const;
+    void removeFinishedOrders(const EndpointTable &table, TimePoint now);
+    std::vector<StageChange> makeOrders(std::vector<const Endpoint *> engines, int difference,
+                                        int maxChanging, TimePoint now);
 
     StagePlanSettings settings_;
-    std::map<EndpointId, Ordered> ordered_;
-    Wait prefillWait_;
-    Wait decodeWait_;
-    TimePoint watchedAt_ {};
-    StageDemand peak_; ///< Of each stage for itself, fading.
+    std::map<EndpointId, PendingOrder> pendingOrders_;
+    SmoothedWait prefillWait_;
+    SmoothedWait decodeWait_;
+    TimePoint observedAt_ {};
+    StageDemand peak_; ///< The decaying peak of each stage on its own.
     bool idle_ = true;
-    bool addsReaders_ = false; ///< The split was found far off, and is being mended.
-    bool sawDemand_ = false;
-    TimePoint demandSince_ {};
+    bool addingPrefill_ = false; ///< The split was far off and prefill engines are being added.
+    bool hasSeenDemand_ = false;
+    TimePoint firstDemandAt_ {};
     int lastCount_ = 0;
-    TimePoint countedAt_ {}; ///< Since when there are so many engines.
+    TimePoint countChangedAt_ {}; ///< When the number of engines last changed.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/stagecontroller.cpp
+++ b/libs/gateway/src/stagecontroller.cpp
@@ -5,9 +5,12 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Between two looks at the plan. */
+/** Interval between two evaluations of the plan. */
 constexpr Duration PlanInterval = millis(500);
-/** An order's connection must not outlive the right to give it. */
+/**
+ * Limits how long connecting for an order may take, so that the connection does not outlive the
+ * right to give the order.
+ */
 constexpr std::int64_t OrderConnectMillis = 300;
 constexpr int Accepted = 202;
 constexpr int StaleFence = 412;
@@ -22,7 +25,7 @@
     , authority_(authority)
     , settings_(std::move(settings))
     , client_(loop)
-    , planning_(loop)
+    , planTimer_(loop)
 { }
 
 StageController::~StageController() = default;
@@ -36,7 +39,7 @@
 void StageController::stop()
 {
     running_ = false;
-    planning_.stop();
+    planTimer_.stop();
 }
 
 StagePlan &StageController::planOf(const ServiceId &service)
@@ -47,7 +50,7 @@
 void StageController::planAll()
 {
     const TimePoint now = BootClock::now();
-    planning_.startAt(now + PlanInterval, [this] { planAll(); });
+    planTimer_.startAt(now + PlanInterval, [this] { planAll(); });
     if (gateway_.config() == nullptr) {
         return;
     }
@@ -56,8 +59,8 @@
             continue;
         }
         StagePlan &plan = planOf(service.id_);
-        plan.watch(gateway_.endpoints(), service.id_,
-                   gateway_.stageLoad(service.id_, settings_.demand_(service.id_)), now);
+        plan.observe(gateway_.endpoints(), service.id_,
+                     gateway_.stageLoad(service.id_, settings_.demand_(service.id_)), now);
         if (!authority_.right()) {
             continue;
         }
@@ -68,14 +71,14 @@
                       {"stage", nameOf(StageNames, change.stage_)},
                       {"readers_busy", plan.peak().prefill_},
                       {"generators_busy", plan.peak().decode_}});
-            readEngine(service.id_, change);
+            fetchReport(service.id_, change);
         }
     }
 }
 
-/** One call to an engine; status 0: no whole answer came. */
-void StageController::ask(const EndpointId &engine, std::string text,
-                          const std::function<void(int, const std::string &)> &done)
+/** Sends one request to an engine. done gets status 0 if no complete answer came. */
+void StageController::sendRequest(const EndpointId &engine, std::string text,
+                                  const std::function<void(int, const std::string &)> &done)
 {
     async::ExchangeRequest request;
     request.peer_ = engine.value();
@@ -88,30 +91,34 @@
                   }));
 }
 
-/** How many orders the engine took is only known from itself, and an order has to name it. */
-void StageController::readEngine(const ServiceId &service, const StageChange &change)
+/**
+ * An order has to state how many orders the engine has accepted so far, which only the engine
+ * itself knows.
+ */
+void StageController::fetchReport(const ServiceId &service, const StageChange &change)
 {
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
-    ask(change.engine_, dialect_.reportText(engine->listed_.address_),
-        [this, service, change](int, const std::string &body) {
-            const auto report = dialect_.readReport(body);
-            if (report) {
-                learnStart(change.engine_, *report);
-            }
-            const bool fits = report && !report->changing_ && report->stage_ != change.stage_;
-            if (!fits) {
-                logEvent(LogLevel::Info, "order_not_given",
-                         {{"engine", change.engine_.value()},
-                          {"why", report ? "changing-or-changed" : "unreadable"}});
-                planOf(service).onRefused(change.engine_, BootClock::now());
-                return;
-            }
-            give(service, change, *report);
-        });
+    sendRequest(change.engine_, dialect_.reportText(engine->listed_.address_),
+                [this, service, change](int, const std::string &body) {
+                    const auto report = dialect_.readReport(body);
+                    if (report) {
+                        updateStartTime(change.engine_, *report);
+                    }
+                    const bool fits =
+                        report && !report->changing_ && report->stage_ != change.stage_;
+                    if (!fits) {
+                        logEvent(LogLevel::Info, "order_not_given",
+                                 {{"engine", change.engine_.value()},
+                                  {"why", report ? "changing-or-changed" : "unreadable"}});
+                        planOf(service).onRefused(change.engine_, BootClock::now());
+                        return;
+                    }
+                    sendOrder(service, change, *report);
+                });
 }
 
-/** The engine itself tells of a restart before its entry does. */
-void StageController::learnStart(const EndpointId &id, const EngineReport &report)
+/** The engine's report may show a restart before its list entry does. */
+void StageController::updateStartTime(const EndpointId &id, const EngineReport &report)
 {
     const Endpoint *engine = gateway_.endpoints().find(id);
     if (engine != nullptr && engine->listedNow_
@@ -122,10 +129,10 @@
     }
 }
 
-void StageController::give(const ServiceId &service, const StageChange &change,
-                           const EngineReport &report)
+void StageController::sendOrder(const ServiceId &service, const StageChange &change,
+                                const EngineReport &report)
 {
-    // Asked again here: the right may have lapsed while the engine was read.
+    // Checked again because the right may have lapsed during the request for the report.
     const auto right = authority_.right();
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
     if (!right || engine == nullptr || !running_) {
@@ -139,12 +146,12 @@
               {"expect", report.orders_}});
     const StageOrder order {engine->listed_.address_,    change.engine_, change.stage_,
                             settings_.instance_.value(), right->fence_,  report.orders_};
-    // Without an answer it may still be carried out; the number of orders that it expects makes
-    // it harmless then.
-    ask(change.engine_, dialect_.orderText(order),
-        [this, service, id = change.engine_](int status, const std::string &) {
-            onOrderAnswer(service, id, status);
-        });
+    // An order without an answer may still be carried out later. The expected number of orders in
+    // it makes a late or repeated execution harmless.
+    sendRequest(change.engine_, dialect_.orderText(order),
+                [this, service, id = change.engine_](int status, const std::string &) {
+                    onOrderAnswer(service, id, status);
+                });
 }
 
 void StageController::onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status)
@@ -152,7 +159,7 @@
     logEvent(LogLevel::Info, "order_answer", {{"engine", engine.value()}, {"status", status}});
     const TimePoint now = BootClock::now();
     if (status == Accepted) {
-        onTaken(service, engine, now);
+        onAccepted(service, engine, now);
     }
     if (status == StaleFence) {
         authority_.onOvertaken();
@@ -162,8 +169,10 @@
     }
 }
 
-/** Until the engine is back, or its entry tells of its new stage, it refuses requests. */
-void StageController::onTaken(const ServiceId &service, const EndpointId &engine, TimePoint now)
+/**
+ * The engine refuses requests until it has changed, or until its list entry shows the new stage.
+ */
+void StageController::onAccepted(const ServiceId &service, const EndpointId &engine, TimePoint now)
 {
     const ServiceTraits *traits = gateway_.config()->service(service);
     if (traits == nullptr || !traits->engine_) {
--- a/libs/gateway/src/stageplan.cpp
+++ b/libs/gateway/src/stageplan.cpp
@@ -10,52 +10,54 @@
 namespace {
 
 /**
- * A request of a conversation: some 2,000 tokens that are not cached, read at 40 a millisecond, and
- * 100 tokens generated at eight milliseconds each, in a slot that is taken meanwhile. Nothing that
- * the list of engines tells is a better ground before the first request: their stages are as the
- * last load left them.
+ * A typical request of a conversation: about 2,000 uncached prompt tokens, read at 40 tokens per
+ * millisecond, and 100 generated tokens at 8 ms each, during which a slot is occupied. Before the
+ * first request there is no better estimate; the stages in the list of engines only reflect the
+ * previous load.
  */
 constexpr double TypicalReadMillis = 50;
 constexpr double TypicalGenerateMillis = 800;
 
-/** Less than this much of an engine's time says nothing of the mix. */
-constexpr double LeastDemand = 0.02;
+/** Below this demand, in busy engines, the mix of requests is unknown. */
+constexpr double MinDemand = 0.02;
 /**
- * At a start the list of engines fills within their heartbeats; a split worked out on the first
- * few of them orders some engines forth and back.
+ * After a start, engines join the list within their heartbeat interval. A split computed from the
+ * first few of them would make some engines change back and forth.
  */
 constexpr Duration SettleTime = millis(1'500);
 /**
- * Below this use of the busier stage nobody waits for long, and a change would only take an engine
- * away.
+ * Below this utilization of the busier stage requests hardly wait, and a change would only take an
+ * engine out of service.
  */
-constexpr double UseWorthAnOrder = 0.4;
+constexpr double MinUtilization = 0.4;
 /**
- * A change has to take this share off the use of the busier stage: demand is an estimate, and an
- * engine that changes is away for seconds and comes back with an empty cache.
+ * A change has to reduce the utilization of the busier stage by at least this share. Demand is an
+ * estimate, and an engine that changes is out of service for seconds and returns with an empty
+ * cache.
  */
-constexpr double GainWorthAnOrder = 0.12;
+constexpr double MinGain = 0.12;
 /**
- * The same where it begins to make engines read. Each of them reads the parts that it is a home of
- * from now on for the first time, and others keep them for nobody. Only a split that is far off is
- * mended, and then wholly.
+ * The same threshold for starting to add prefill engines. Each new one first has to read the prompt
+ * parts that are now assigned to it, while other engines keep copies that are no longer used. Only
+ * a split that is far off is corrected, and then completely.
  */
-constexpr double GainWorthReading = 0.4;
+constexpr double MinGainToAddPrefill = 0.4;
 
 /**
- * For so long after the first request nothing is changed: while caches are empty each shared part
- * is read for the first time, and reading seems to take twice the engines that it takes later.
+ * No changes are made for this time after the first request: while caches are empty, each shared
+ * prompt part is read for the first time, and prefill seems to need twice the engines that it needs
+ * later.
  */
-constexpr Duration FirstLook = millis(6'000);
+constexpr Duration MinObservation = millis(6'000);
 /**
- * And for so long no generating engine is made to read: bursts of long answers may not have come
- * yet, and would fill the memory of the engines that are left to generate, which then put back what
- * they have begun; prompts that wait cost less.
+ * No decode engine is made a prefill engine for this time after the first request. Bursts of long
+ * answers may not have come yet; they would fill the memory of the remaining decode engines, which
+ * then preempt requests that they have begun. Prompts that wait cost less.
  */
-constexpr Duration LookForReaders = millis(16'000);
+constexpr Duration MinObservationToAddPrefill = millis(16'000);
 
-/** How busy the busier one of the two stages is; infinite when it has no engine. */
-double busiest(int prefill, int decode, const StageDemand &demand)
+/** Returns the utilization of the busier stage, or infinity if a stage has no engine. */
+double busiestUtilization(int prefill, int decode, const StageDemand &demand)
 {
     const auto use = [](double busy, int engines) {
         return engines > 0 ? busy / engines : std::numeric_limits<double>::infinity();
@@ -64,21 +66,24 @@
 }
 
 /**
- * Under traffic engines change only for a stage whose requests wait so long on average. A change
- * takes an engine away for seconds, throws its cached parts away and moves others' homes: demand
- * alone is no reason. A prompt that waits behind one other one waits 100 ms or 200 anyway; a
- * request that waits for a slot does so only where engines are full.
+ * Mean wait, in milliseconds, from which a stage gets more engines under traffic. A change takes an
+ * engine out of service for seconds, discards its cached parts and moves the parts of other
+ * engines, so demand alone does not justify one. A prompt that is queued behind one other prompt
+ * waits 100 to 200 ms in any case; a request waits for a slot only if the engines are full.
  */
-constexpr double ReadWaitWorthAnOrder = 300;
-constexpr double SlotWaitWorthAnOrder = 50;
-/** Peaks are remembered for about this long: some swings of the mix. */
-constexpr double PeakSeconds = 30;
-/** Waits are smoothed over this time: a burst of a second is over before a change is. */
-constexpr double WaitWindowSeconds = 2;
+constexpr double MinReadWaitMillis = 300;
+constexpr double MinSlotWaitMillis = 50;
+/** Time constant of the decay of peaks; it covers several swings of the mix. */
+constexpr double PeakDecaySeconds = 30;
+/**
+ * Time constant of the smoothing of waits: a burst of one second ends sooner than a stage change.
+ */
+constexpr double WaitSmoothingSeconds = 2;
 
 /**
- * Until an engine that reads has read what it has queued, on average. Of engines that get no work
- * at the moment the queue says nothing: what is stuck there would ask for changes elsewhere.
+ * Returns the mean time, in milliseconds, until a prefill engine has read its queue. The caller
+ * passes only engines that may get new work: prompts that are stuck in the queue of another engine
+ * would cause changes elsewhere.
  */
 double meanReadWait(const std::vector<const Endpoint *> &engines, double millisPerToken)
 {
@@ -93,7 +98,7 @@
     return count > 0 ? millisPerToken * static_cast<double>(queued) / count : 0;
 }
 
-/** Until a request gets a slot of an engine that generates, on average. */
+/** Returns the mean time, in milliseconds, until a new request gets a slot of a decode engine. */
 double meanSlotWait(const std::vector<const Endpoint *> &engines, double slotMillis)
 {
     double wait = 0;
@@ -108,11 +113,12 @@
 }
 
 /**
- * What each stage keeps: an engine in each failure domain, where there are enough. A domain that is
- * cut off goes on with its own, and a crash of some engines leaves some of both stages. With two
- * that generate of nine, two crashes stopped a day's every answer for two seconds.
+ * Returns the minimum number of engines in each stage: one per failure domain if there are enough
+ * engines. An isolated failure domain can then continue on its own, and both stages survive the
+ * crash of some engines. With two decode engines out of nine, two crashes once interrupted all
+ * answers for two seconds.
  */
-int leastOfAStage(const std::vector<const Endpoint *> &engines)
+int minEnginesPerStage(const std::vector<const Endpoint *> &engines)
 {
     std::set<DomainId> domains;
     for (const Endpoint *engine : engines) {
@@ -141,39 +147,41 @@
     return TypicalReadMillis / (TypicalReadMillis + generate);
 }
 
-int StagePlan::wantedPrefill(int count, int prefill, int least)
+int StagePlan::targetPrefill(int count, int prefill, int minPerStage)
 {
-    const int kept = std::clamp(prefill, least, count - least);
-    int best = kept;
-    const double now = busiest(prefill, count - prefill, peak_);
+    const int unchanged = std::clamp(prefill, minPerStage, count - minPerStage);
+    int best = unchanged;
+    const double now = busiestUtilization(prefill, count - prefill, peak_);
     double lowest = now;
-    for (int wanted = least; wanted <= count - least; ++wanted) {
-        const double use = busiest(wanted, count - wanted, peak_);
+    for (int wanted = minPerStage; wanted <= count - minPerStage; ++wanted) {
+        const double use = busiestUtilization(wanted, count - wanted, peak_);
         if (use < lowest) {
             best = wanted;
             lowest = use;
         }
     }
-    const double gain = best > prefill && !addsReaders_ ? GainWorthReading : GainWorthAnOrder;
-    const bool worthIt = now >= UseWorthAnOrder && lowest <= (1 - gain) * now;
-    addsReaders_ = worthIt && best > prefill;
-    return worthIt ? best : kept;
+    const double gain = best > prefill && !addingPrefill_ ? MinGainToAddPrefill : MinGain;
+    const bool isWorthwhile = now >= MinUtilization && lowest <= (1 - gain) * now;
+    addingPrefill_ = isWorthwhile && best > prefill;
+    return isWorthwhile ? best : unchanged;
 }
 
-/** The engine to change: of the domain with most of its stage, and there the least busy one. */
-const Endpoint *StagePlan::pick(const std::vector<const Endpoint *> &engines, Stage from) const
+/** Prefers the failure domain with the most engines of the stage, then the least busy engine. */
+const Endpoint *StagePlan::pickEngine(const std::vector<const Endpoint *> &engines,
+                                      Stage from) const
 {
-    std::map<DomainId, int> perDomain;
+    std::map<DomainId, int> enginesInDomain;
     for (const Endpoint *engine : engines) {
-        perDomain[engine->listed_.domain_] += engine->listed_.stage_ == from ? 1 : 0;
+        enginesInDomain[engine->listed_.domain_] += engine->listed_.stage_ == from ? 1 : 0;
     }
     const Endpoint *best = nullptr;
     const auto rank = [&](const Endpoint *engine) {
-        return std::make_pair(-perDomain[engine->listed_.domain_],
+        return std::make_pair(-enginesInDomain[engine->listed_.domain_],
                               engine->outstanding() + engine->load_.running_);
     };
     for (const Endpoint *engine : engines) {
-        const bool fits = engine->listed_.stage_ == from && !ordered_.contains(engine->listed_.id_);
+        const bool fits =
+            engine->listed_.stage_ == from && !pendingOrders_.contains(engine->listed_.id_);
         if (fits && (best == nullptr || rank(engine) < rank(best))) {
             best = engine;
         }
@@ -181,51 +189,52 @@
     return best;
 }
 
-void StagePlan::watch(const EndpointTable &table, const ServiceId &service, const StageLoad &load,
-                      TimePoint now)
+void StagePlan::observe(const EndpointTable &table, const ServiceId &service, const StageLoad &load,
+                        TimePoint now)
 {
-    const double passed = watchedAt_ == TimePoint {} ? 0 : toSeconds(now - watchedAt_);
+    const double passed = observedAt_ == TimePoint {} ? 0 : toSeconds(now - observedAt_);
     const double weight =
-        watchedAt_ == TimePoint {} ? 1 : 1 - std::exp(-passed / WaitWindowSeconds);
-    watchedAt_ = now;
+        observedAt_ == TimePoint {} ? 1 : 1 - std::exp(-passed / WaitSmoothingSeconds);
+    observedAt_ = now;
     const std::vector<const Endpoint *> engines = table.usable(service, now);
     prefillWait_.add(meanReadWait(engines, load.millisPerToken_), weight);
     decodeWait_.add(meanSlotWait(engines, load.slotMillis_), weight);
-    const double kept = std::exp(-passed / PeakSeconds);
-    peak_.prefill_ = std::max(kept * peak_.prefill_, load.demand_.prefill_);
-    peak_.decode_ = std::max(kept * peak_.decode_, load.demand_.decode_);
-    idle_ = load.demand_.all() < LeastDemand;
-    if (!idle_ && !sawDemand_) {
-        sawDemand_ = true;
-        demandSince_ = now;
+    const double decay = std::exp(-passed / PeakDecaySeconds);
+    peak_.prefill_ = std::max(decay * peak_.prefill_, load.demand_.prefill_);
+    peak_.decode_ = std::max(decay * peak_.decode_, load.demand_.decode_);
+    idle_ = load.demand_.all() < MinDemand;
+    if (!idle_ && !hasSeenDemand_) {
+        hasSeenDemand_ = true;
+        firstDemandAt_ = now;
     }
 }
 
-bool StagePlan::isWorthIt(bool toRead, TimePoint now) const
+bool StagePlan::isWaitLongEnough(bool towardPrefill, TimePoint now) const
 {
-    if (!toRead) {
-        return decodeWait_.millis_ >= SlotWaitWorthAnOrder && now - demandSince_ >= FirstLook;
+    if (!towardPrefill) {
+        return decodeWait_.millis_ >= MinSlotWaitMillis && now - firstDemandAt_ >= MinObservation;
     }
-    return prefillWait_.millis_ >= ReadWaitWorthAnOrder && now - demandSince_ >= LookForReaders;
+    return prefillWait_.millis_ >= MinReadWaitMillis
+           && now - firstDemandAt_ >= MinObservationToAddPrefill;
 }
 
-bool StagePlan::settled(int count, TimePoint now)
+bool StagePlan::isCountStable(int count, TimePoint now)
 {
     if (count != lastCount_) {
         lastCount_ = count;
-        countedAt_ = now;
+        countChangedAt_ = now;
     }
-    return now - countedAt_ >= SettleTime;
+    return now - countChangedAt_ >= SettleTime;
 }
 
-/** Orders that were carried out, lapsed, or went to an engine that is another one now. */
-void StagePlan::forgetOrders(const EndpointTable &table, TimePoint now)
+/** Removes orders that were carried out or expired, and those whose engine left or restarted. */
+void StagePlan::removeFinishedOrders(const EndpointTable &table, TimePoint now)
 {
-    std::erase_if(ordered_, [&](const auto &entry) {
+    std::erase_if(pendingOrders_, [&](const auto &entry) {
         const auto &[id, order] = entry;
         const Endpoint *engine = table.find(id);
-        return engine == nullptr || order.until_ <= now || engine->listed_.stage_ == order.stage_
-               || engine->lifetime_ != order.lifetime_;
+        return engine == nullptr || order.expiresAt_ <= now
+               || engine->listed_.stage_ == order.stage_ || engine->lifetime_ != order.lifetime_;
     });
 }
 
@@ -238,52 +247,57 @@
     const std::size_t listed = engines.size();
     std::erase_if(engines,
                   [&](const Endpoint *engine) { return mayBeReleased && mayBeReleased(*engine); });
-    forgetOrders(table, now);
+    removeFinishedOrders(table, now);
     const int count = static_cast<int>(engines.size());
-    // Engines that take the place of others come one by one: before the first request each is made
-    // to read, or not, as it comes.
-    const bool areReplaced = engines.size() < listed;
-    const bool isSettled = settled(count, now) || (areReplaced && idle_ && !sawDemand_);
-    if (count < 2 || !isSettled) {
+    // Engines that replace released ones arrive one at a time. Before the first request, each one
+    // gets its stage as it arrives.
+    const bool someBeingReleased = engines.size() < listed;
+    const bool isStable =
+        isCountStable(count, now) || (someBeingReleased && idle_ && !hasSeenDemand_);
+    if (count < 2 || !isStable) {
         return {};
     }
-    if (idle_ && sawDemand_) {
-        return {}; // A pause says nothing of the mix that comes after it.
+    if (idle_ && hasSeenDemand_) {
+        return {}; // An idle period tells nothing about the mix of requests after it.
     }
     int prefill = countStage(engines, Stage::Prefill);
-    for (const auto &[id, order] : ordered_) {
+    for (const auto &[id, order] : pendingOrders_) {
         prefill += order.stage_ == Stage::Prefill ? 1 : -1;
     }
-    const int least = leastOfAStage(engines);
+    const int minPerStage = minEnginesPerStage(engines);
     const int slots = engines.front()->listed_.slots_;
     const int typical = static_cast<int>(std::lround(typicalPrefillShare(slots) * count));
-    const int wanted =
-        idle_ ? std::clamp(typical, least, count - least) : wantedPrefill(count, prefill, least);
+    const int wanted = idle_ ? std::clamp(typical, minPerStage, count - minPerStage)
+                             : targetPrefill(count, prefill, minPerStage);
     const bool stageIsEmpty = prefill == 0 || prefill == count;
-    if (!idle_ && !stageIsEmpty && !isWorthIt(wanted > prefill, now)) {
+    if (!idle_ && !stageIsEmpty && !isWaitLongEnough(wanted > prefill, now)) {
         return {};
     }
-    const int room = idle_ ? count : std::max(1, static_cast<int>(settings_.awayShare_ * count));
-    return order(std::move(engines), wanted - prefill, room, now);
+    const int maxChanging =
+        idle_ ? count : std::max(1, static_cast<int>(settings_.maxChangingShare_ * count));
+    return makeOrders(std::move(engines), wanted - prefill, maxChanging, now);
 }
 
-/** Orders to read for a difference above zero, to generate below; so many away in all. */
-std::vector<StageChange> StagePlan::order(std::vector<const Endpoint *> engines, int difference,
-                                          int room, TimePoint now)
+/**
+ * Orders changes to prefill if the difference is positive, to decode if it is negative. At most
+ * maxChanging engines may have a pending order.
+ */
+std::vector<StageChange> StagePlan::makeOrders(std::vector<const Endpoint *> engines,
+                                               int difference, int maxChanging, TimePoint now)
 {
     const Stage to = difference > 0 ? Stage::Prefill : Stage::Decode;
     const Stage from = difference > 0 ? Stage::Decode : Stage::Prefill;
     std::vector<StageChange> changes;
     while (static_cast<int>(changes.size()) < std::abs(difference)
-           && static_cast<int>(ordered_.size()) < room) {
-        const Endpoint *engine = pick(engines, from);
+           && static_cast<int>(pendingOrders_.size()) < maxChanging) {
+        const Endpoint *engine = pickEngine(engines, from);
         if (engine == nullptr) {
             break;
         }
-        ordered_[engine->listed_.id_] = {to, now + millis(settings_.orderMillis_),
-                                         engine->lifetime_};
+        pendingOrders_[engine->listed_.id_] = {to, now + millis(settings_.orderTimeoutMillis_),
+                                               engine->lifetime_};
         changes.push_back({engine->listed_.id_, to});
-        // Counted where it goes, so that the next pick spreads over the failure domains.
+        // Counted for its new stage, so that the next choices are spread over the failure domains.
         std::erase(engines, engine);
     }
     return changes;
@@ -291,11 +305,12 @@
 
 void StagePlan::onRefused(const EndpointId &engine, TimePoint now)
 {
-    // Its entry tells soon what it took instead; until then another order would be refused too.
+    // The engine's list entry will soon show its current stage. Until then it would refuse another
+    // order as well.
     constexpr Duration UntilNextEntry = millis(1'500);
-    const auto found = ordered_.find(engine);
-    if (found != ordered_.end()) {
-        found->second.until_ = std::min(found->second.until_, now + UntilNextEntry);
+    const auto found = pendingOrders_.find(engine);
+    if (found != pendingOrders_.end()) {
+        found->second.expiresAt_ = std::min(found->second.expiresAt_, now + UntilNextEntry);
     }
 }
 
