--- a/libs/gateway/include/almondridge/gateway/sizecontroller.h
+++ b/libs/gateway/include/almondridge/gateway/sizecontroller.h
@@ -1,5 +1,6 @@
 /**
- * Orders endpoints and gives them back as the plan wants, while this instance has the right to.
+ * Orders and releases endpoints as the plan requires, while this instance is entitled to give
+ * orders.
  */
 #pragma once
 
@@ -12,12 +13,12 @@
 
 namespace almondridge::gateway {
 
-/** What came of an order. */
+/** Result of an order. */
 enum class OrderOutcome {
     Granted,
-    NoCapacity, ///< None of the kind are to be had there at the moment.
-    StaleFence, ///< A higher fencing number was seen.
-    Unanswered, ///< It may be carried out all the same, later.
+    NoCapacity, ///< The platform has no endpoints of the kind available in the failure domain.
+    StaleFence, ///< The platform has seen a higher fencing token.
+    Unanswered, ///< No answer; the order may still be carried out later.
 };
 
 inline constexpr std::array<EnumName<OrderOutcome>, 4> OrderOutcomeNames {{
@@ -27,11 +28,12 @@
     {OrderOutcome::Unanswered, "unanswered"},
 }};
 
-/** Where endpoints are ordered. */
+/** Platform API that orders and releases endpoints. */
 class SizeApi
 {
 public:
     virtual ~SizeApi() = default;
+    /** Orders a number of endpoints under this right to give orders; done gets the result. */
     virtual void order(const OrderRight &right, const ServiceId &service, const SizeOrder &order,
                        std::function<void(OrderOutcome)> done) = 0;
 };
@@ -44,14 +46,14 @@
 
     void start() { planAll(); }
     void stop() { timer_.stop(); }
-    /** Whether the endpoint may be given back in a moment. */
+    /** Whether the endpoint may be released soon. */
     bool mayBeReleased(const Endpoint &endpoint) const;
 
 private:
     void planAll();
     SizePlan &planOf(const ServiceId &service);
     void planService(const ServiceTraits &service, const OrderRight &right, TimePoint now);
-    void give(const OrderRight &right, const ServiceId &service, const SizeOrder &order);
+    void sendOrder(const OrderRight &right, const ServiceId &service, const SizeOrder &order);
 
     Gateway &gateway_;
     AuthorityKeeper &authority_;
@@ -59,7 +61,7 @@
     SizePlanSettings settings_;
     std::map<ServiceId, SizePlan> plans_;
     async::Timer timer_;
-    Fence fence_ = 0; ///< Of the right that orders were last given with.
+    Fence fence_ = 0; ///< Fencing token of the latest orders.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/sizeplan.h
+++ b/libs/gateway/include/almondridge/gateway/sizeplan.h
@@ -1,13 +1,14 @@
 /**
- * How many endpoints of each kind a service has in each failure domain. Pure: limits, the listed
- * endpoints and the time go in, orders come out.
+ * Plans how many on-demand and spot endpoints a service has in each failure domain. Pure: its
+ * inputs are the limits, the listed endpoints and the time; its output is a list of orders.
  *
- * Spot endpoints cost a part of the others' price and may be taken away, all of a domain at once
- * and with seconds of notice. What is left then takes seconds to be made good, with caches that are
- * empty. So a service has more endpoints than it was found with, some of them lasting, such that
- * as many as it was found with are left after the loss of all spot ones of some domains; if that
- * costs less than lasting ones alone. All follows what is listed, not what was asked: an order
- * without an answer may still come true.
+ * Spot endpoints cost a fraction of the price of on-demand ones, but all spot endpoints of a
+ * failure domain may be reclaimed at once with a few seconds of notice. Replacing them takes
+ * seconds, and the replacements start with empty caches. A service is therefore given more
+ * endpoints than its baseline (the number it started with), some of them on-demand, so that the
+ * baseline remains after the loss of all spot endpoints of some failure domains. This is done only
+ * if it costs less than on-demand endpoints alone. The plan relies on the listed endpoints and not
+ * on the orders given, since an order without an answer may still be carried out.
  */
 #pragma once
 
@@ -22,25 +23,32 @@
 
 struct SizePlanSettings
 {
-    /** Failure domains whose spot endpoints may all be gone at once without others being missing.
+    /**
+     * Failure domains that may lose all their spot endpoints at once while the baseline is still
+     * met.
+     */
+    int toleratedLosses_ = 2;
+    /**
+     * If fewer endpoints than this share of the baseline are left, on-demand endpoints are added.
      */
-    int lossesBorne_ = 2;
-    /** Below this share of what the service was found with, lasting endpoints stand in. */
     double floorShare_ = 0.6;
 };
 
-/** Of what kinds a service's endpoints are to be. */
+/** The mix of on-demand and spot endpoints of a service. */
 struct SizeMix
 {
-    double size_ = 1;    ///< Endpoints, for each that the service was found with.
-    double lasting_ = 1; ///< The share of these that are not spot ones.
+    double size_ = 1;     ///< Number of endpoints as a multiple of the baseline.
+    double onDemand_ = 1; ///< Share of these that is on-demand; the rest is spot.
 };
 
-/** The cheapest mix that bears the losses; all lasting where spot endpoints would not save. */
-SizeMix cheapestMix(const SizeLimits &limits, const std::map<DomainId, int> &found,
-                    int lossesBorne);
+/**
+ * Returns the cheapest mix that tolerates the losses, or all on-demand if spot endpoints would not
+ * save enough. baseline: endpoints per failure domain.
+ */
+SizeMix cheapestMix(const SizeLimits &limits, const std::map<DomainId, int> &baseline,
+                    int toleratedLosses);
 
-/** The number of endpoints of a kind that a domain shall have. */
+/** The number of endpoints of one kind that a failure domain should have. */
 struct SizeOrder
 {
     DomainId domain_;
@@ -55,23 +63,31 @@
 public:
     explicit SizePlan(SizePlanSettings settings);
 
-    /** Looks at what is listed; to be called some times a second, also without the right to order.
+    /**
+     * Updates counts and baselines from the listed endpoints. Call it several times a second, also
+     * while this instance is not entitled to give orders.
      */
-    void watch(const EndpointTable &table, const ServiceTraits &service, TimePoint now);
-    /** Whether lasting endpoints of the domain are given back, or will be in a moment. */
-    bool givesBack(const DomainId &domain) const;
-    /** Orders to give now; each is on its way until onAnswer(). */
+    void observe(const EndpointTable &table, const ServiceTraits &service, TimePoint now);
+    /** Whether on-demand endpoints of the failure domain are being released or will be soon. */
+    bool isReleasing(const DomainId &domain) const;
+    /** Returns the orders to give now; each is pending until onAnswer() is called for it. */
     std::vector<SizeOrder> plan(const EndpointTable &table, const ServiceTraits &service,
                                 TimePoint now);
-    /** taken: the order was accepted; else none are to be had there, or there was no answer. */
-    void onAnswer(const SizeOrder &order, bool taken, TimePoint now);
-    /** Another instance may have ordered since: begins from what is listed. */
-    void forgetOrders() { orders_.clear(); }
+    /**
+     * accepted: whether the order was accepted. If not, no such endpoints are available in the
+     * failure domain, or there was no answer.
+     */
+    void onAnswer(const SizeOrder &order, bool accepted, TimePoint now);
+    /**
+     * Drops all order state and continues from the listed endpoints; another instance may have
+     * given orders in the meantime.
+     */
+    void resetOrders() { orders_.clear(); }
 
 private:
     struct Counts
     {
-        int lasting_ = 0; ///< Ready ones.
+        int onDemand_ = 0; ///< Listed on-demand endpoints.
         int spot_ = 0;
     };
     struct Key
@@ -81,32 +97,34 @@
 
         friend auto operator<=>(const Key &, const Key &) = default;
     };
-    struct Given
+    struct OrderState
     {
         int count_ = 0;
-        bool pending_ = false; ///< Its answer is awaited.
-        bool taken_ = false;
-        TimePoint againAt_ {}; ///< Not to be given again before.
-        int refusals_ = 0;     ///< In a row.
+        bool pending_ = false; ///< The order has not been answered yet.
+        bool accepted_ = false;
+        TimePoint retryAt_ {}; ///< Earliest time to give the order again.
+        int refusals_ = 0;     ///< Consecutive refusals.
     };
 
     static std::map<DomainId, Counts> count(const EndpointTable &table, const ServiceId &service);
-    int totalOf(int found, const SizeLimits &limits) const;
-    int lastingOf(int total, const SizeLimits &limits) const;
-    int missingToFloor(const SizeLimits &limits) const;
-    void orderIfNew(const SizeOrder &order, int present, const SizeLimits &limits, TimePoint now,
-                    std::vector<SizeOrder> &orders);
+    int totalOf(int baseline, const SizeLimits &limits) const;
+    int onDemandOf(int total, const SizeLimits &limits) const;
+    int shortfallToFloor(const SizeLimits &limits) const;
+    void addOrderIfDue(const SizeOrder &order, int present, const SizeLimits &limits, TimePoint now,
+                       std::vector<SizeOrder> &orders);
 
     SizePlanSettings settings_;
     SizeMix mix_;
-    std::map<DomainId, int> found_; ///< Endpoints that each domain was found with.
+    /** Endpoints per failure domain that the service started with. */
+    std::map<DomainId, int> baseline_;
     std::map<DomainId, Counts> counts_;
-    std::set<DomainId> givingBack_;
-    bool settled_ = false; ///< The list was whole once.
-    std::map<Key, Given> orders_;
+    std::set<DomainId> releasing_;
+    bool listComplete_ = false; ///< The list has been complete at least once since the start.
+    std::map<Key, OrderState> orders_;
     int lastCount_ = 0;
-    TimePoint countedAt_ {};                   ///< Since when there are so many endpoints.
-    std::map<DomainId, TimePoint> spotsSince_; ///< Since when a domain has all its spot endpoints.
+    TimePoint countChangedAt_ {}; ///< When the number of listed endpoints last changed.
+    /** Since when a failure domain has had all its spot endpoints. */
+    std::map<DomainId, TimePoint> spotsCompleteSince_;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/sizecontroller.cpp
+++ b/libs/gateway/src/sizecontroller.cpp
@@ -5,7 +5,9 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Between two looks at the plan: a part of the notice that spot endpoints get. */
+/**
+ * Interval between two evaluations of the plan; a fraction of the notice that spot endpoints get.
+ */
 constexpr Duration PlanInterval = millis(250);
 
 } // namespace
@@ -29,14 +31,14 @@
     const auto right = authority_.right();
     if (!right) {
         for (const ServiceTraits &service : gateway_.config()->services()) {
-            planOf(service.id_).watch(gateway_.endpoints(), service, now);
+            planOf(service.id_).observe(gateway_.endpoints(), service, now);
         }
         return;
     }
     if (right->fence_ != fence_) {
         fence_ = right->fence_;
         for (auto &[service, plan] : plans_) {
-            plan.forgetOrders();
+            plan.resetOrders();
         }
     }
     for (const ServiceTraits &service : gateway_.config()->services()) {
@@ -53,7 +55,7 @@
 {
     const auto plan = plans_.find(endpoint.listed_.service_);
     return !endpoint.listed_.spot_ && plan != plans_.end()
-           && plan->second.givesBack(endpoint.listed_.domain_);
+           && plan->second.isReleasing(endpoint.listed_.domain_);
 }
 
 void SizeController::planService(const ServiceTraits &service, const OrderRight &right,
@@ -61,11 +63,12 @@
 {
     SizePlan &plan = planOf(service.id_);
     for (const SizeOrder &order : plan.plan(gateway_.endpoints(), service, now)) {
-        give(right, service.id_, order);
+        sendOrder(right, service.id_, order);
     }
 }
 
-void SizeController::give(const OrderRight &right, const ServiceId &service, const SizeOrder &order)
+void SizeController::sendOrder(const OrderRight &right, const ServiceId &service,
+                               const SizeOrder &order)
 {
     api_.order(right, service, order, [this, service, order](OrderOutcome outcome) {
         logEvent(LogLevel::Info, "size_order",
--- a/libs/gateway/src/sizeplan.cpp
+++ b/libs/gateway/src/sizeplan.cpp
@@ -6,43 +6,50 @@
 namespace almondridge::gateway {
 namespace {
 
-/** At a start the list fills within the endpoints' heartbeats. */
+/** After a start, endpoints join the list within their heartbeat interval. */
 constexpr Duration SettleTime = millis(1'500);
-/** Lasting endpoints are given back once the spot ones that take their place have stood so long. */
-constexpr Duration SpotsStandFor = millis(500);
-/** Between two tries where none are to be had; doubles up to the longest. */
+/**
+ * On-demand endpoints are released once the spot endpoints that replace them have been listed for
+ * this time.
+ */
+constexpr Duration SpotStableTime = millis(500);
+/**
+ * Delay before an order is repeated if no such endpoints are available; it doubles up to the
+ * maximum.
+ */
 constexpr std::int64_t FirstRetryMillis = 1'000;
-constexpr std::int64_t LongestRetryMillis = 2'000;
-constexpr int MostDoublings = 1;
-/** Beyond its boot time an endpoint needs this until it is listed. */
-constexpr std::int64_t ListedWithinMillis = 3'000;
-/** Shares of lasting endpoints that are looked at. */
+constexpr std::int64_t MaxRetryMillis = 2'000;
+constexpr int MaxDoublings = 1;
+/** Time from the end of its boot until an endpoint is listed. */
+constexpr std::int64_t ListingDelayMillis = 3'000;
+/** Resolution at which shares of on-demand endpoints are tried. */
 constexpr int MixSteps = 20;
-/** Less than this part of the price is not worth the change. */
-constexpr double LeastSaving = 0.1;
+/** A mix that saves a smaller share of the price is not worth the change. */
+constexpr double MinSaving = 0.1;
 
 } // namespace
 
-SizeMix cheapestMix(const SizeLimits &limits, const std::map<DomainId, int> &found, int lossesBorne)
+SizeMix cheapestMix(const SizeLimits &limits, const std::map<DomainId, int> &baseline,
+                    int toleratedLosses)
 {
     SizeMix best;
-    int most = 0;
-    for (const auto &[domain, count] : found) {
-        most = std::max(most, count);
+    int largestBaseline = 0;
+    for (const auto &[domain, count] : baseline) {
+        largestBaseline = std::max(largestBaseline, count);
     }
-    if (!limits.hasSpot() || most == 0) {
+    if (!limits.hasSpot() || largestBaseline == 0) {
         return best;
     }
-    const auto domains = static_cast<double>(found.size());
-    const double lostShare = std::min(1.0, lossesBorne / domains);
-    const double largest = static_cast<double>(limits.most_) / most;
-    double lowest = 1 - LeastSaving;
+    const auto domains = static_cast<double>(baseline.size());
+    const double lostShare = std::min(1.0, toleratedLosses / domains);
+    const double maxSize = static_cast<double>(limits.most_) / largestBaseline;
+    double lowest = 1 - MinSaving;
     for (int step = 1; step < MixSteps; ++step) {
-        const double lasting = static_cast<double>(step) / MixSteps;
-        const double size = 1 / (1 - (1 - lasting) * lostShare);
-        const double cost = size * (lasting + (1 - lasting) * limits.spotPrice_);
-        if (size <= largest && cost < lowest) {
-            best = {size, lasting};
+        const double onDemand = static_cast<double>(step) / MixSteps;
+        const double size = 1 / (1 - (1 - onDemand) * lostShare);
+        const double cost = size * (onDemand + (1 - onDemand) * limits.spotPrice_);
+        if (size <= maxSize && cost < lowest) {
+            best = {size, onDemand};
             lowest = cost;
         }
     }
@@ -59,40 +66,46 @@
     std::map<DomainId, Counts> counts;
     for (const Endpoint *endpoint : table.listed(service)) {
         Counts &here = counts[endpoint->listed_.domain_];
-        ++(endpoint->listed_.spot_ ? here.spot_ : here.lasting_);
+        ++(endpoint->listed_.spot_ ? here.spot_ : here.onDemand_);
     }
     return counts;
 }
 
-int SizePlan::totalOf(int found, const SizeLimits &limits) const
+int SizePlan::totalOf(int baseline, const SizeLimits &limits) const
 {
-    return std::clamp(static_cast<int>(std::ceil(mix_.size_ * found)), std::max(1, limits.least_),
-                      std::max(1, limits.most_));
+    return std::clamp(static_cast<int>(std::ceil(mix_.size_ * baseline)),
+                      std::max(1, limits.least_), std::max(1, limits.most_));
 }
 
-/** Lasting endpoints beyond the usual ones that the whole service needs for its floor. */
-int SizePlan::missingToFloor(const SizeLimits &limits) const
+/**
+ * Returns how many on-demand endpoints the service needs beyond the usual ones to reach its floor.
+ */
+int SizePlan::shortfallToFloor(const SizeLimits &limits) const
 {
-    int foundInAll = 0;
+    int totalBaseline = 0;
     int present = 0;
-    for (const auto &[domain, found] : found_) {
-        const int here = totalOf(found, limits);
+    for (const auto &[domain, baseline] : baseline_) {
+        const int here = totalOf(baseline, limits);
         const auto counts = counts_.find(domain);
         const int spots = counts != counts_.end() ? counts->second.spot_ : 0;
-        foundInAll += found;
-        present += lastingOf(here, limits) + spots;
+        totalBaseline += baseline;
+        present += onDemandOf(here, limits) + spots;
     }
-    return std::max(0, static_cast<int>(std::ceil(settings_.floorShare_ * foundInAll)) - present);
+    return std::max(0,
+                    static_cast<int>(std::ceil(settings_.floorShare_ * totalBaseline)) - present);
 }
 
-int SizePlan::lastingOf(int total, const SizeLimits &limits) const
+int SizePlan::onDemandOf(int total, const SizeLimits &limits) const
 {
-    const int wanted = static_cast<int>(std::ceil(mix_.lasting_ * total));
+    const int wanted = static_cast<int>(std::ceil(mix_.onDemand_ * total));
     return std::clamp(wanted, std::min(limits.least_, total), total);
 }
 
-/** While the list fills at a start, sizes grow with it; after that each domain keeps its own. */
-void SizePlan::watch(const EndpointTable &table, const ServiceTraits &service, TimePoint now)
+/**
+ * Baselines grow with the list until it is complete after a start; later they grow only with
+ * on-demand endpoints.
+ */
+void SizePlan::observe(const EndpointTable &table, const ServiceTraits &service, TimePoint now)
 {
     if (!service.size_ || !service.size_->hasSpot()) {
         return;
@@ -100,23 +113,23 @@
     counts_ = count(table, service.id_);
     int listed = 0;
     for (const auto &[domain, here] : counts_) {
-        listed += here.lasting_ + here.spot_;
-        int &found = found_[domain];
-        if (!settled_) {
-            found = std::max({found, here.lasting_, here.spot_});
+        listed += here.onDemand_ + here.spot_;
+        int &baseline = baseline_[domain];
+        if (!listComplete_) {
+            baseline = std::max({baseline, here.onDemand_, here.spot_});
         }
-        found = std::max(found, here.lasting_);
+        baseline = std::max(baseline, here.onDemand_);
     }
     if (listed != lastCount_) {
         lastCount_ = listed;
-        countedAt_ = now;
+        countChangedAt_ = now;
     }
-    settled_ = settled_ || (listed > 0 && now - countedAt_ >= SettleTime);
+    listComplete_ = listComplete_ || (listed > 0 && now - countChangedAt_ >= SettleTime);
 }
 
-bool SizePlan::givesBack(const DomainId &domain) const
+bool SizePlan::isReleasing(const DomainId &domain) const
 {
-    return givingBack_.contains(domain);
+    return releasing_.contains(domain);
 }
 
 std::vector<SizeOrder> SizePlan::plan(const EndpointTable &table, const ServiceTraits &service,
@@ -127,79 +140,79 @@
         return orders;
     }
     const SizeLimits &limits = *service.size_;
-    watch(table, service, now);
-    mix_ = cheapestMix(limits, found_, settings_.lossesBorne_);
-    givingBack_.clear();
-    if (mix_.lasting_ >= 1) {
+    observe(table, service, now);
+    mix_ = cheapestMix(limits, baseline_, settings_.toleratedLosses_);
+    releasing_.clear();
+    if (mix_.onDemand_ >= 1) {
         return orders;
     }
-    int standIns = missingToFloor(limits);
-    for (const auto &[domain, found] : found_) {
+    int substitutes = shortfallToFloor(limits);
+    for (const auto &[domain, baseline] : baseline_) {
         const Counts here = counts_[domain];
-        const int total = totalOf(found, limits);
-        const int lasting = lastingOf(total, limits);
-        const int spots = total - lasting;
-        const int room = settled_ ? std::max(0, limits.most_ - here.lasting_) : found;
-        const int ordered = std::min(spots, room);
-        TimePoint &since = spotsSince_[domain];
+        const int total = totalOf(baseline, limits);
+        const int onDemand = onDemandOf(total, limits);
+        const int spots = total - onDemand;
+        const int spotLimit = listComplete_ ? std::max(0, limits.most_ - here.onDemand_) : baseline;
+        const int ordered = std::min(spots, spotLimit);
+        TimePoint &since = spotsCompleteSince_[domain];
         if (here.spot_ < ordered) {
             since = now;
         }
-        orderIfNew({domain, true, ordered}, here.spot_, limits, now, orders);
-        const auto given = orders_.find({domain, true});
-        if (here.lasting_ > lasting && given != orders_.end() && given->second.taken_) {
-            givingBack_.insert(domain);
+        addOrderIfDue({domain, true, ordered}, here.spot_, limits, now, orders);
+        const auto state = orders_.find({domain, true});
+        if (here.onDemand_ > onDemand && state != orders_.end() && state->second.accepted_) {
+            releasing_.insert(domain);
         }
-        const int taken = std::min(standIns, std::max(0, spots - here.spot_));
-        standIns -= taken;
-        const int wanted = lasting + taken;
-        if (settled_ && (wanted > here.lasting_ || now - since >= SpotsStandFor)) {
-            orderIfNew({domain, false, wanted}, here.lasting_, limits, now, orders);
+        const int assigned = std::min(substitutes, std::max(0, spots - here.spot_));
+        substitutes -= assigned;
+        const int wanted = onDemand + assigned;
+        if (listComplete_ && (wanted > here.onDemand_ || now - since >= SpotStableTime)) {
+            addOrderIfDue({domain, false, wanted}, here.onDemand_, limits, now, orders);
         }
     }
     return orders;
 }
 
-void SizePlan::orderIfNew(const SizeOrder &order, int present, const SizeLimits &limits,
-                          TimePoint now, std::vector<SizeOrder> &orders)
+void SizePlan::addOrderIfDue(const SizeOrder &order, int present, const SizeLimits &limits,
+                             TimePoint now, std::vector<SizeOrder> &orders)
 {
     const auto [place, added] = orders_.try_emplace({order.domain_, order.spot_});
-    Given &given = place->second;
-    const bool isNew = added || given.count_ != order.count_;
-    if ((added && present == order.count_) || given.pending_) {
-        given.count_ = added ? order.count_ : given.count_;
+    OrderState &state = place->second;
+    const bool isNew = added || state.count_ != order.count_;
+    if ((added && present == order.count_) || state.pending_) {
+        state.count_ = added ? order.count_ : state.count_;
         return;
     }
-    const bool isMissing = present != order.count_ && now >= given.againAt_;
+    const bool isMissing = present != order.count_ && now >= state.retryAt_;
     if (!isNew && !isMissing) {
         return;
     }
-    if (isNew && now < given.againAt_ && !given.taken_) {
+    if (isNew && now < state.retryAt_ && !state.accepted_) {
         return;
     }
-    given.count_ = order.count_;
-    given.pending_ = true;
-    given.againAt_ = now + millis(limits.bootMillis_ + ListedWithinMillis);
+    state.count_ = order.count_;
+    state.pending_ = true;
+    state.retryAt_ = now + millis(limits.bootMillis_ + ListingDelayMillis);
     orders.push_back(order);
 }
 
-void SizePlan::onAnswer(const SizeOrder &order, bool taken, TimePoint now)
+void SizePlan::onAnswer(const SizeOrder &order, bool accepted, TimePoint now)
 {
     const auto found = orders_.find({order.domain_, order.spot_});
     if (found == orders_.end()) {
         return;
     }
-    Given &given = found->second;
-    given.pending_ = false;
-    given.taken_ = taken;
-    if (taken) {
-        given.refusals_ = 0;
+    OrderState &state = found->second;
+    state.pending_ = false;
+    state.accepted_ = accepted;
+    if (accepted) {
+        state.refusals_ = 0;
         return;
     }
-    given.againAt_ = now
-                     + millis(std::min(FirstRetryMillis << std::min(given.refusals_, MostDoublings),
-                                       LongestRetryMillis));
-    ++given.refusals_;
+    state.retryAt_ = now
+                     + millis(std::min(FirstRetryMillis << std::min(state.refusals_, MaxDoublings),
+                                       MaxRetryMillis));
+    ++state.refusals_;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/tests/sizeplantest.cpp
+++ b/libs/gateway/tests/sizeplantest.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 constexpr std::int64_t StepMillis = 250;
-constexpr int PerDomain = 20;
+constexpr int InitialPerDomain = 20;
 
 TimePoint at(std::int64_t millisSinceStart)
 {
     return TimePoint {} + millis(1'000'000 + millisSinceStart);
 }
 
-/** A deployment that carries orders out after a while, and takes spot endpoints away. */
+/** A deployment that carries out orders after a delay and reclaims spot endpoints. */
 struct Deployment
 {
     Deployment()
@@ -24,7 +24,7 @@
         service_.id_ = ServiceId("chat");
         service_.size_ = SizeLimits {1, 40, 4'000, 0.25, {}};
         for (const char *domain : {"a", "b", "c"}) {
-            for (int number = 0; number < PerDomain; ++number) {
+            for (int number = 0; number < InitialPerDomain; ++number) {
                 add(domain, false);
             }
         }
@@ -33,7 +33,7 @@
     void add(const std::string &domain, bool spot)
     {
         ListedEndpoint listed;
-        listed.id_ = EndpointId("e" + std::to_string(++made_));
+        listed.id_ = EndpointId("e" + std::to_string(++created_));
         listed.service_ = service_.id_;
         listed.domain_ = DomainId(domain);
         listed.spot_ = spot;
@@ -64,11 +64,13 @@
         }
     }
 
-    /** All spot endpoints of a domain are taken away, and no more are to be had for a time. */
+    /**
+     * Removes all spot endpoints of a failure domain; no spot endpoints are available for a time.
+     */
     void reclaim(const std::string &domain, std::int64_t forMillis)
     {
-        removeSome(domain, true, PerDomain);
-        spotsFrom_ = now_ + forMillis;
+        removeSome(domain, true, InitialPerDomain);
+        spotsAvailableFrom_ = now_ + forMillis;
     }
 
     void carryOut(const SizeOrder &order)
@@ -85,51 +87,52 @@
     void run(SizePlan &plan, std::int64_t forMillis)
     {
         for (const std::int64_t until = now_ + forMillis; now_ < until; now_ += StepMillis) {
-            while (!onTheWay_.empty() && onTheWay_.begin()->first <= now_) {
-                const SizeOrder order = onTheWay_.begin()->second;
-                onTheWay_.erase(onTheWay_.begin());
+            while (!inProgress_.empty() && inProgress_.begin()->first <= now_) {
+                const SizeOrder order = inProgress_.begin()->second;
+                inProgress_.erase(inProgress_.begin());
                 carryOut(order);
             }
             for (const SizeOrder &order : plan.plan(table_, service_, at(now_))) {
-                ++given_;
+                ++orderCount_;
                 orders_.push_back(order);
                 BOOST_TEST(order.count_ + count(order.domain_.value(), !order.spot_)
                            <= service_.size_->most_);
-                const bool had = !order.spot_ || now_ >= spotsFrom_;
-                if (had) {
+                const bool available = !order.spot_ || now_ >= spotsAvailableFrom_;
+                if (available) {
                     const bool grows = order.count_ > count(order.domain_.value(), order.spot_);
-                    onTheWay_.emplace(now_ + (grows ? service_.size_->bootMillis_ : 500), order);
+                    inProgress_.emplace(now_ + (grows ? service_.size_->bootMillis_ : 500), order);
                 }
-                plan.onAnswer(order, had, at(now_));
+                plan.onAnswer(order, available, at(now_));
             }
-            least_ = std::min(least_, total());
+            minTotal_ = std::min(minTotal_, total());
         }
     }
 
     EndpointTable table_;
     ServiceTraits service_;
     std::int64_t now_ = 0;
-    std::int64_t spotsFrom_ = 0;
-    std::multimap<std::int64_t, SizeOrder> onTheWay_;
+    std::int64_t spotsAvailableFrom_ = 0;
+    std::multimap<std::int64_t, SizeOrder> inProgress_;
     std::vector<SizeOrder> orders_;
-    int made_ = 0;
-    int given_ = 0;
-    int least_ = 1'000;
+    int created_ = 0;
+    int orderCount_ = 0;
+    int minTotal_ = 1'000;
 };
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(SizesOfServices, Deployment)
+BOOST_FIXTURE_TEST_SUITE(SizePlans, Deployment)
 
-// Guards against endpoints that are given back as the list does not show them yet: an order names
-// the number that a domain is to have, and one worked out on half a list halves the domain.
-BOOST_AUTO_TEST_CASE(noLastingEndpointIsOrderedBeforeTheListIsWhole)
+// Guards against endpoints that are released because the list does not show them yet. An order
+// states the number that a failure domain should have, so one computed from half a list halves the
+// domain.
+BOOST_AUTO_TEST_CASE(noOnDemandOrderBeforeTheListIsComplete)
 {
     SizePlan plan({2, 0.6});
     run(plan, 250);
-    removeSome("a", false, PerDomain - 2);
+    removeSome("a", false, InitialPerDomain - 2);
     run(plan, 750);
-    for (int number = 2; number < PerDomain; ++number) {
+    for (int number = 2; number < InitialPerDomain; ++number) {
         add("a", false);
     }
     BOOST_TEST(std::none_of(orders_.begin(), orders_.end(),
@@ -141,8 +144,8 @@
     }
 }
 
-// Guards against endpoints that are given back before those in their place stand.
-BOOST_AUTO_TEST_CASE(spotEndpointsTakeThePlaceOfLastingOnes)
+// Guards against endpoints that are released before their replacements are listed.
+BOOST_AUTO_TEST_CASE(spotEndpointsReplaceOnDemandOnes)
 {
     SizePlan plan({2, 0.6});
     run(plan, 15'000);
@@ -150,40 +153,40 @@
         BOOST_TEST(count(domain, false) == 10);
         BOOST_TEST(count(domain, true) == 30);
     }
-    BOOST_TEST(least_ >= 3 * PerDomain);
-    const int givenSoFar = given_;
+    BOOST_TEST(minTotal_ >= 3 * InitialPerDomain);
+    const int ordersBefore = orderCount_;
     run(plan, 60'000);
-    BOOST_TEST(given_ == givenSoFar);
+    BOOST_TEST(orderCount_ == ordersBefore);
 }
 
-BOOST_AUTO_TEST_CASE(whereNoSpotEndpointsAreToBeHadTheLastingOnesStay)
+BOOST_AUTO_TEST_CASE(onDemandEndpointsStayIfNoSpotEndpointsAreAvailable)
 {
     SizePlan plan({2, 0.6});
-    spotsFrom_ = 1'000'000;
+    spotsAvailableFrom_ = 1'000'000;
     run(plan, 60'000);
-    BOOST_TEST(total() == 3 * PerDomain);
+    BOOST_TEST(total() == 3 * InitialPerDomain);
     constexpr int EveryTwoSeconds = 31;
-    BOOST_TEST(given_ <= 3 * EveryTwoSeconds);
+    BOOST_TEST(orderCount_ <= 3 * EveryTwoSeconds);
 }
 
-BOOST_AUTO_TEST_CASE(aServiceWithoutSpotEndpointsIsLeftAlone)
+BOOST_AUTO_TEST_CASE(serviceWithoutSpotEndpointsGetsNoOrders)
 {
     service_.size_->spotPrice_ = 1;
     SizePlan plan({2, 0.6});
     run(plan, 20'000);
-    BOOST_TEST(given_ == 0);
+    BOOST_TEST(orderCount_ == 0);
 }
 
-// Guards against a loss that is answered with costly endpoints that are not needed, whose taking
-// back throws caches away once more.
-BOOST_AUTO_TEST_CASE(theLossOfTwoDomainsIsBorne)
+// Guards against replacing lost spot endpoints by expensive ones that are not needed; releasing
+// these later would discard caches once more.
+BOOST_AUTO_TEST_CASE(lossOfTwoDomainsIsTolerated)
 {
     SizePlan plan({2, 0.6});
     run(plan, 15'000);
     reclaim("a", 10'000);
     run(plan, 2'000);
     reclaim("b", 10'000);
-    BOOST_TEST(total() >= 3 * PerDomain);
+    BOOST_TEST(total() >= 3 * InitialPerDomain);
     run(plan, 8'000);
     BOOST_TEST(count("a", false) == 10);
     run(plan, 20'000);
@@ -191,8 +194,8 @@
     BOOST_TEST(count("b", true) == 30);
 }
 
-// Guards against a service below its floor while none of the cheap endpoints are to be had.
-BOOST_AUTO_TEST_CASE(afterTheLossOfAllLastingEndpointsStandIn)
+// Guards against a service that stays below its floor while no spot endpoints are available.
+BOOST_AUTO_TEST_CASE(onDemandEndpointsAreAddedAfterTheLossOfAllSpotOnes)
 {
     SizePlan plan({2, 0.6});
     run(plan, 15'000);
@@ -208,20 +211,21 @@
     }
 }
 
-// Guards against a flood of calls where none are to be had.
-BOOST_AUTO_TEST_CASE(refusedOrdersAreTriedEveryTwoSecondsAtMost)
+// Guards against a flood of orders while no spot endpoints are available.
+BOOST_AUTO_TEST_CASE(refusedOrdersAreRetriedAtMostEveryTwoSeconds)
 {
     SizePlan plan({2, 0.6});
     run(plan, 15'000);
     reclaim("a", 100'000);
-    const int givenSoFar = given_;
+    const int ordersBefore = orderCount_;
     run(plan, 60'000);
     constexpr int EveryTwoSeconds = 31;
-    BOOST_TEST(given_ - givenSoFar <= EveryTwoSeconds);
+    BOOST_TEST(orderCount_ - ordersBefore <= EveryTwoSeconds);
 }
 
-// Guards against spot endpoints that cost more, with what has to stand beside them, than they save.
-BOOST_AUTO_TEST_CASE(theMixFollowsPricesAndDomains)
+// Guards against a mix with spot endpoints that costs more, with the extra endpoints that it needs,
+// than on-demand endpoints alone.
+BOOST_AUTO_TEST_CASE(mixDependsOnPricesAndDomains)
 {
     const std::map<DomainId, int> three {
         {DomainId("a"), 20}, {DomainId("b"), 20}, {DomainId("c"), 20}};
@@ -230,12 +234,12 @@
     };
     const SizeMix cheap = mixOf(0.22, 40, 2);
     BOOST_TEST(cheap.size_ <= 2);
-    BOOST_TEST(cheap.size_ * (1 - (1 - cheap.lasting_) * 2 / 3) >= 0.999);
+    BOOST_TEST(cheap.size_ * (1 - (1 - cheap.onDemand_) * 2 / 3) >= 0.999);
     BOOST_TEST(mixOf(0.22, 40, 1).size_ < cheap.size_);
-    BOOST_TEST(mixOf(0.8, 40, 2).lasting_ == 1);
-    BOOST_TEST(mixOf(0.22, 20, 2).lasting_ == 1);
+    BOOST_TEST(mixOf(0.8, 40, 2).onDemand_ == 1);
+    BOOST_TEST(mixOf(0.22, 20, 2).onDemand_ == 1);
     const std::map<DomainId, int> one {{DomainId("a"), 20}};
-    BOOST_TEST(cheapestMix(SizeLimits {1, 100, 4'000, 0.22, {}}, one, 2).lasting_ == 1);
+    BOOST_TEST(cheapestMix(SizeLimits {1, 100, 4'000, 0.22, {}}, one, 2).onDemand_ == 1);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
