--- a/libs/gateway/include/almondridge/gateway/demandmeter.h
+++ b/libs/gateway/include/almondridge/gateway/demandmeter.h
@@ -1,5 +1,5 @@
 /**
- * How many engines a service's requests keep busy, over the last seconds. Pure.
+ * Measures how many engines the requests of a service keep busy, over the last seconds. Pure.
  */
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace almondridge::gateway {
 
-/** What a service's requests ask of its engines, counted in engines kept busy. */
+/** Demand of a service's requests on each stage, in busy engines. */
 struct StageDemand
 {
     double prefill_ = 0;
@@ -17,18 +17,18 @@
     double all() const noexcept { return prefill_ + decode_; }
 };
 
-/** The demand of the requests that came lately; each fades with time. */
+/** Demand of the recent requests, with exponential decay. */
 class DemandMeter
 {
 public:
-    /** One request came that takes this much of a reader's and a generator's time. */
-    void onRequest(double readSeconds, double generateSeconds, TimePoint now);
+    /** Adds a request that occupies a prefill engine and a decode engine for these times. */
+    void onRequest(double prefillSeconds, double decodeSeconds, TimePoint now);
     StageDemand at(TimePoint now) const;
 
 private:
-    StageDemand sum_; ///< In engine seconds.
-    TimePoint countedAt_ {};
-    TimePoint begunAt_ {}; ///< First request after a quiet time.
+    StageDemand sum_; ///< Decaying sum, in engine seconds.
+    TimePoint updatedAt_ {};
+    TimePoint startedAt_ {}; ///< First request after an idle period.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/failurerates.h
+++ b/libs/gateway/include/almondridge/gateway/failurerates.h
@@ -1,8 +1,8 @@
 /**
- * Which endpoints of a group fail far more often than the others. An endpoint that fails four
- * calls in ten answers the others soundly, so failures in a row say nothing of it, and each
- * instance of a large deployment meets it too rarely to see a rate: the failures that all
- * instances met lately are added up.
+ * Finds the endpoints of a group that fail far more often than the others. An endpoint that fails
+ * 40 % of its calls still answers the others correctly, so consecutive failures do not reveal it,
+ * and each instance of a large fleet calls it too rarely to measure a rate. The recent failures
+ * that all instances saw are therefore added up.
  */
 #pragma once
 
@@ -13,10 +13,10 @@
 
 namespace almondridge::gateway {
 
-/** Fewer failures are a broken connection or two, as any endpoint has them. */
+/** Fewer failures than this are the occasional broken connections that any endpoint has. */
 inline constexpr double MinFailures = 4;
 
-/** A count that fades: about what happened in the last two seconds. */
+/** A count with exponential decay that covers about the last two seconds. */
 class DecayingCount
 {
 public:
@@ -25,12 +25,12 @@
 
 private:
     double count_ = 0;
-    TimePoint countedAt_ {};
+    TimePoint updatedAt_ {};
 };
 
 /**
- * Positions of the endpoints to leave out, given each one's recent failures, those that fail most
- * first. expected: requests that each of them got in the same time.
+ * Returns the indices of the endpoints to exclude, most failures first. failures: recent failures
+ * of each endpoint; expected: requests that each of them got in the same time.
  */
 std::vector<std::size_t> findFailureOutliers(const std::vector<double> &failures, double expected);
 
--- a/libs/gateway/include/almondridge/gateway/slotuse.h
+++ b/libs/gateway/include/almondridge/gateway/slotuse.h
@@ -1,5 +1,5 @@
 /**
- * How many requests an engine generates for, or has waiting for a slot.
+ * Counts the requests that an engine runs or that wait for one of its slots.
  */
 #pragma once
 
@@ -9,12 +9,14 @@
 
 struct SlotUse
 {
-    int inTime_ = 0; ///< Those that can be in time still; they go first.
+    int inTime_ = 0; ///< Requests that can still meet their deadline; they go first.
     int late_ = 0;
 
     int all() const noexcept { return inTime_ + late_; }
     void add(bool late) { ++(late ? late_ : inTime_); }
-    /** Never below zero: what was told twice or late must not hide what is there. */
+    /**
+     * Stops at zero: a count that was received twice or late must not hide requests that are there.
+     */
     void remove(bool late) { remove(late ? SlotUse {0, 1} : SlotUse {1, 0}); }
     void add(const SlotUse &other)
     {
@@ -30,11 +32,13 @@
     friend bool operator==(const SlotUse &, const SlotUse &) = default;
 };
 
-/** Until the last of so many requests gets a slot of an engine, in milliseconds. */
+/**
+ * Returns the time, in milliseconds, until the last of these requests gets a slot of the engine.
+ */
 inline double slotWaitMillis(int requests, int slots, double meanSlotMillis)
 {
-    const int most = std::max(1, slots);
-    return std::max(0, requests - most) * meanSlotMillis / most;
+    const int slotCount = std::max(1, slots);
+    return std::max(0, requests - slotCount) * meanSlotMillis / slotCount;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/demandmeter.cpp
+++ b/libs/gateway/src/demandmeter.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 /**
- * Requests count for about this long: enough of them to tell a burst of a second or two from
- * chance, and short enough that its height is seen.
+ * Time constant of the decay: long enough to tell a burst of one or two seconds from random
+ * variation, and short enough to show the height of the burst.
  */
 constexpr double WindowSeconds = 2;
-/** Of a shorter time than this the first requests say too much. */
-constexpr double LeastSeconds = 1;
+/** Over a shorter time the first requests would be overrated. */
+constexpr double MinWindowSeconds = 1;
 
-double kept(TimePoint from, TimePoint now)
+double decayFactor(TimePoint from, TimePoint now)
 {
     return std::exp(-toSeconds(now - from) / WindowSeconds);
 }
@@ -28,29 +28,30 @@
     return *this;
 }
 
-void DemandMeter::onRequest(double readSeconds, double generateSeconds, TimePoint now)
+void DemandMeter::onRequest(double prefillSeconds, double decodeSeconds, TimePoint now)
 {
-    constexpr Duration Quiet = millis(10'000); // Five windows: nothing is left of before.
-    if (countedAt_ == TimePoint {} || now - countedAt_ > Quiet) {
-        begunAt_ = now;
+    // Five windows: nothing of the earlier sum would remain.
+    constexpr Duration Quiet = millis(10'000);
+    if (updatedAt_ == TimePoint {} || now - updatedAt_ > Quiet) {
+        startedAt_ = now;
         sum_ = {};
     } else {
-        const double share = kept(countedAt_, now);
+        const double share = decayFactor(updatedAt_, now);
         sum_ = {share * sum_.prefill_, share * sum_.decode_};
     }
-    sum_ += {readSeconds, generateSeconds};
-    countedAt_ = now;
+    sum_ += {prefillSeconds, decodeSeconds};
+    updatedAt_ = now;
 }
 
 StageDemand DemandMeter::at(TimePoint now) const
 {
-    if (countedAt_ == TimePoint {}) {
+    if (updatedAt_ == TimePoint {}) {
         return {};
     }
-    // A window that has just begun holds less than its length.
+    // A window that has just started covers less than its full length.
     const double filled =
-        WindowSeconds * (1 - std::exp(-toSeconds(now - begunAt_) / WindowSeconds));
-    const double rate = kept(countedAt_, now) / std::max(LeastSeconds, filled);
+        WindowSeconds * (1 - std::exp(-toSeconds(now - startedAt_) / WindowSeconds));
+    const double rate = decayFactor(updatedAt_, now) / std::max(MinWindowSeconds, filled);
     return {rate * sum_.prefill_, rate * sum_.decode_};
 }
 
--- a/libs/gateway/src/failurerates.cpp
+++ b/libs/gateway/src/failurerates.cpp
@@ -7,16 +7,22 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Long enough for some failures of an endpoint that gets ten requests a second. */
-constexpr double FadeSeconds = 2;
-/** A smaller share of an endpoint's requests costs less than its place in the group is worth. */
-constexpr double FailingShare = 0.2;
-/** What all have alike (errors of the application, an instance's own links) is nobody's fault. */
-constexpr double AgainstMedian = 3;
-/** The others have to carry the load of those left out: at most this share of them is. */
-constexpr double MostLeftOut = 0.3;
-/** Of fewer endpoints none can be spared. */
-constexpr std::size_t LeastGroup = 3;
+/**
+ * Time constant of the decay: long enough to see several failures of an endpoint that gets ten
+ * requests a second.
+ */
+constexpr double DecaySeconds = 2;
+/** An endpoint that fails a smaller share of its requests costs less than its capacity is worth. */
+constexpr double MinFailureShare = 0.2;
+/**
+ * Failures that all endpoints share (application errors, the network links of an instance) are not
+ * the fault of any one endpoint.
+ */
+constexpr double MedianFactor = 3;
+/** At most this share of a group is excluded, since the others have to carry its load. */
+constexpr double MaxExcludedShare = 0.3;
+/** No endpoint of a smaller group can be spared. */
+constexpr std::size_t MinGroupSize = 3;
 
 double medianOf(std::vector<double> values)
 {
@@ -30,29 +36,30 @@
 void DecayingCount::add(double count, TimePoint now)
 {
     count_ = at(now) + count;
-    countedAt_ = now;
+    updatedAt_ = now;
 }
 
 double DecayingCount::at(TimePoint now) const
 {
-    return count_ == 0 ? 0 : count_ * std::exp(-toSeconds(now - countedAt_) / FadeSeconds);
+    return count_ == 0 ? 0 : count_ * std::exp(-toSeconds(now - updatedAt_) / DecaySeconds);
 }
 
 std::vector<std::size_t> findFailureOutliers(const std::vector<double> &failures, double expected)
 {
-    if (failures.size() < LeastGroup) {
+    if (failures.size() < MinGroupSize) {
         return {};
     }
     const double threshold =
-        std::max({MinFailures, FailingShare * expected, AgainstMedian * medianOf(failures)});
-    std::vector<std::size_t> order(failures.size());
-    std::iota(order.begin(), order.end(), 0U);
-    std::erase_if(order, [&](std::size_t index) { return failures[index] < threshold; });
-    std::sort(order.begin(), order.end(),
+        std::max({MinFailures, MinFailureShare * expected, MedianFactor * medianOf(failures)});
+    std::vector<std::size_t> indices(failures.size());
+    std::iota(indices.begin(), indices.end(), 0U);
+    std::erase_if(indices, [&](std::size_t index) { return failures[index] < threshold; });
+    std::sort(indices.begin(), indices.end(),
               [&](std::size_t one, std::size_t other) { return failures[one] > failures[other]; });
-    const auto most = static_cast<std::size_t>(MostLeftOut * static_cast<double>(failures.size()));
-    order.resize(std::min(order.size(), std::max<std::size_t>(1, most)));
-    return order;
+    const auto maxExcluded =
+        static_cast<std::size_t>(MaxExcludedShare * static_cast<double>(failures.size()));
+    indices.resize(std::min(indices.size(), std::max<std::size_t>(1, maxExcluded)));
+    return indices;
 }
 
 } // namespace almondridge::gateway
