--- a/libs/gateway/include/almondridge/gateway/digeststream.h
+++ b/libs/gateway/include/almondridge/gateway/digeststream.h
@@ -1,9 +1,10 @@
 /**
- * What one relay has told of endpoints' load, kept in order and, while it is in use, counted in the
- * endpoints' foreign load. Pure.
+ * The endpoint loads from the digests of one relay, which are added to the endpoints' load from
+ * other instances while the stream is in use. Pure.
  *
- * Digests are datagrams: they come late, twice, in another order, or not at all. Each value carries
- * the number of its digest, and only a later one replaces it; what is not told again is forgotten.
+ * Digests are datagrams that may be late, duplicated, reordered or lost. Each value carries the
+ * sequence number of its digest, and only a later digest replaces it; a value that is not sent
+ * again expires.
  */
 #pragma once
 
@@ -17,27 +18,27 @@
 {
 public:
     /**
-     * Takes a digest over. counted: this instance's own part of the sums, which is no foreign load;
-     * nullptr: none.
+     * Applies a digest. ownLoads: this instance's own share of the sums, which is subtracted;
+     * nullptr: the sums do not include it.
      */
-    void take(const LoadDigest &digest, const LoadTable *counted, EndpointTable &table,
-              TimePoint now);
-    /** Whether its values are counted in the endpoints' foreign load. */
+    void apply(const LoadDigest &digest, const LoadTable *ownLoads, EndpointTable &table,
+               TimePoint now);
+    /** Sets whether the values are added to the endpoints' load from other instances. */
     void setInUse(bool inUse, EndpointTable &table);
-    /** Forgets endpoints that were not told of lately, and all when the relay is silent. */
-    void forgetSilent(EndpointTable &table, TimePoint now);
+    /** Drops endpoints without a recent digest; all of them if the relay is silent. */
+    void removeExpired(EndpointTable &table, TimePoint now);
 
-    /** The newest digest, but for its loads. */
+    /** The newest digest without its loads. */
     const LoadDigest &newest() const noexcept { return newest_; }
-    TimePoint heardAt() const noexcept { return heardAt_; }
+    TimePoint lastReceivedAt() const noexcept { return lastReceivedAt_; }
     bool isInUse() const noexcept { return inUse_; }
 
 private:
     struct Value
     {
         EndpointLoad load_;
-        std::uint64_t number_ = 0; ///< Of the digest that told it.
-        TimePoint toldAt_ {};
+        std::uint64_t sequence_ = 0; ///< Sequence number of the digest.
+        TimePoint receivedAt_ {};
     };
 
     void replace(const EndpointId &id, const EndpointLoad &before, const EndpointLoad &after,
@@ -46,31 +47,35 @@
 
     std::map<EndpointId, Value> values_;
     LoadDigest newest_;
-    TimePoint heardAt_ {};
+    TimePoint lastReceivedAt_ {};
     bool inUse_ = false;
 };
 
 /**
- * Chooses what a relay tells next: what has changed by more than little, and each endpoint once in
- * a while, so that a lost digest is made good.
+ * Selects what a relay sends next: endpoints with a significant change, and each endpoint at
+ * regular intervals to make up for lost digests.
  */
 class DigestWriter
 {
 public:
-    /** Loads to tell now, a table for each digest, so that each fits into one packet. */
+    /**
+     * Returns the loads to send now, one table for each digest, so that each digest fits into one
+     * packet.
+     */
     std::vector<LoadTable> select(const LoadTable &sums, TimePoint now);
-    /** All of them, for an instance that was told nothing yet. */
+    /** Splits all loads in the same way, for an instance that has received none yet. */
     static std::vector<LoadTable> split(const LoadTable &sums);
 
 private:
-    struct Told
+    struct SentLoad
     {
         EndpointLoad load_;
-        TimePoint at_ {};
-        TimePoint noneSince_ {}; ///< Nothing is there since; none while there is something.
+        TimePoint sentAt_ {};
+        /** Since when the load has been zero; not set while there is load. */
+        TimePoint zeroSince_ {};
     };
 
-    std::map<EndpointId, Told> told_;
+    std::map<EndpointId, SentLoad> sent_;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/loaddigest.h
+++ b/libs/gateway/include/almondridge/gateway/loaddigest.h
@@ -1,8 +1,8 @@
 /**
- * What a relay tells of the load that several instances put on endpoints, summed up.
+ * A relay's summary of the load that several instances put on endpoints.
  *
- * Values are absolute, so that a lost or repeated digest does no harm; a digest may have only some
- * of the endpoints, and what it leaves out is as it was told before.
+ * Values are absolute, so that a lost or duplicated digest does no harm. A digest may contain only
+ * some of the endpoints; the load of the others is unchanged since an earlier digest.
  */
 #pragma once
 
@@ -23,65 +23,74 @@
 
 namespace almondridge::gateway {
 
-/** The load that one instance, or several together, put on an endpoint. */
+/** The load that one instance or several instances together put on an endpoint. */
 struct EndpointLoad
 {
-    PromptQueue queued_;  ///< Prompt tokens to be read there.
-    SlotUse slotUse_;     ///< Requests, where it generates.
-    double failures_ = 0; ///< Requests that came to nothing lately, a count that fades.
+    PromptQueue queued_;  ///< Prompt tokens that the endpoint still has to read.
+    SlotUse slotUse_;     ///< Requests at an endpoint that runs the decode stage.
+    double failures_ = 0; ///< Recent failed requests; a decaying count.
 
     void add(const EndpointLoad &other);
-    /** Never below zero. */
+    /** Subtracts, but not below zero. */
     void remove(const EndpointLoad &other);
-    bool isNone() const noexcept;
+    bool isZero() const noexcept;
 
     friend bool operator==(const EndpointLoad &, const EndpointLoad &) = default;
 };
 
 using LoadTable = std::map<EndpointId, EndpointLoad>;
 
-/** Whose load a digest sums up. */
+/** Whose load a digest contains. */
 enum class DigestScope : std::uint8_t {
-    Domain, ///< The instances of the sender's failure domain; for relays of other domains.
-    All,    ///< All instances; for the instances of its own domain.
+    Domain, ///< The instances of the sender's failure domain; sent to the relays of other domains.
+    All,    ///< All instances; sent to the instances of the sender's failure domain.
 };
 
 struct LoadDigest
 {
     InstanceId sender_;
-    DomainId domain_;            ///< The sender's.
-    std::uint64_t lifetime_ = 0; ///< Rises with each restart of the sender.
-    std::uint64_t number_ = 0;   ///< Rises within a lifetime.
+    DomainId domain_;            ///< The sender's failure domain.
+    std::uint64_t lifetime_ = 0; ///< Increases with each restart of the sender.
+    std::uint64_t sequence_ = 0; ///< Increases within a lifetime.
     DigestScope scope_ = DigestScope::Domain;
-    int members_ = 0; ///< Instances of the sender's domain that it has heard of lately.
+    int members_ = 0; ///< Instances of the sender's domain from which it has recent reports.
     LoadTable loads_ {};
-    std::map<ServiceId, StageDemand> demand_ {}; ///< All of it, in each digest.
-    std::vector<InstanceId> leaders_ {};         ///< They have the right to give orders.
-    InstanceId candidate_ {}; ///< First in the order of those that could have it; empty: none.
+    /** Each digest contains the demand on all services. */
+    std::map<ServiceId, StageDemand> demand_ {};
+    std::vector<InstanceId> leaders_ {}; ///< Instances that are entitled to give orders.
+    /** The highest-ranked instance that could become leader; empty: none. */
+    InstanceId candidate_ {};
     std::map<EndpointId, std::int64_t> changingMillis_ {};
     std::vector<EndpointId> unreached_ {};
     std::vector<PromptMemory::Key> readParts_ {};
 };
 
-/** Bytes that an endpoint's load takes in a digest. */
+/** Returns the encoded size of an endpoint's load in a digest, in bytes. */
 std::size_t encodedBytes(const EndpointId &id, const EndpointLoad &load);
 
-/** A digest's body as bytes: the same for all that it is sent to. */
+/** Encodes the body of a digest, which is the same for all receivers. */
 std::string encodeDigest(const LoadDigest &digest);
 
-/** What goes ahead of the body for one receiver: the number of its own note that the sums count. */
-std::string digestPrefix(std::uint64_t countedNote);
+/**
+ * Returns the prefix of a digest for one receiver. includedReport: sequence number of the
+ * receiver's own report that the sums include.
+ */
+std::string digestPrefix(std::uint64_t includedReport);
 
-/** Whether a datagram begins like a digest; else it may be a note. */
+/** Whether a datagram starts like a digest; otherwise it may be a load report. */
 bool isDigest(std::string_view datagram);
 
 struct ReceivedDigest
 {
     LoadDigest digest_;
-    std::uint64_t countedNote_ = 0; ///< The receiver's own note in the sums; 0: none.
+    /** Sequence number of the receiver's own report that the sums include; 0: none. */
+    std::uint64_t includedReport_ = 0;
 };
 
-/** nullopt: it cannot be read, or tells counts that cannot be. Nothing of it is taken then. */
+/**
+ * Returns nullopt if the datagram is malformed or contains impossible counts. Such a digest is
+ * dropped as a whole.
+ */
 std::optional<ReceivedDigest> decodeDigest(std::string_view datagram);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/loadexchange.h
+++ b/libs/gateway/include/almondridge/gateway/loadexchange.h
@@ -1,6 +1,6 @@
 /**
- * Sends what this instance has to tell of the load on endpoints and of those that ended, and takes
- * what others tell, by UDP.
+ * Sends this instance's load on endpoints and its news of endpoint crashes to its peers over UDP,
+ * and processes what peers send.
  */
 #pragma once
 
@@ -16,62 +16,66 @@
 class LoadExchange
 {
 public:
-    /** What peers are told of this instance's part in giving orders. */
+    /** This instance's state in the election of the instance that gives orders, for its reports. */
     struct Leadership
     {
-        /** Whether it reaches what the right to give orders is taken from. */
-        std::function<bool()> mayLead_;
-        /** Whether it has that right. */
-        std::function<bool()> leads_;
+        /** Whether this instance reaches the store that grants the lease to give orders. */
+        std::function<bool()> canLead_;
+        /** Whether this instance holds that lease. */
+        std::function<bool()> isLeader_;
     };
 
     LoadExchange(async::EventLoop &loop, Gateway &gateway, const MeshMember &self,
                  Leadership leadership);
 
-    /** Unavailable: the address is taken or not this machine's. */
+    /** Error Unavailable: the address is in use or does not belong to this machine. */
     Result<void> listen(const net::Address &address);
-    /** The fleet's instances and where they listen. */
+    /** Sets the fleet's instances and their addresses. */
     void setPeers(const std::vector<std::pair<MeshMember, net::Address>> &peers);
-    /** Whether this instance is the one that should ask for the right to give orders. */
+    /** Whether this instance should ask for the lease to give orders. */
     bool shouldLead() const
     {
-        return leadership_.mayLead_() && (leadership_.leads_() || mesh_.leads());
+        return leadership_.canLead_() && (leadership_.isLeader_() || mesh_.isPreferredLeader());
     }
-    /** What this instance and its peers are asked for, in engines kept busy. */
+    /** Returns the demand of this instance and its peers, in busy engines. */
     StageDemand demand(const ServiceId &service) const;
-    /** An engine carries out an order of this instance's until about then: peers are told at once.
+    /**
+     * An engine carries out an order of this instance until about that time; peers are told at
+     * once.
      */
     void onOrder(const EndpointId &engine, TimePoint until);
 
     bool isRelay() const noexcept { return mesh_.isRelay(); }
-    /** The instances that relay load in their failure domains, as far as is known here. */
-    std::set<InstanceId> relays() const { return mesh_.relaysOfAll(); }
-    /** Datagrams that begin with this letter are told to the handler, and not taken for load. */
+    /** The known relays of all failure domains. */
+    std::set<InstanceId> relays() const { return mesh_.allRelays(); }
+    /**
+     * Datagrams that start with this character are passed to the handler and not processed as load.
+     */
     using Handler = std::function<ReceiveResult(std::string_view datagram, TimePoint now)>;
     void setHandler(char mark, Handler handler);
-    /** Sends what a handler's owner has to tell. */
+    /** Sends datagrams of a handler's owner. */
     void send(const std::vector<MeshDatagram> &datagrams);
 
 private:
-    using Receiver = boost::asio::ip::udp::endpoint;
+    using UdpAddress = boost::asio::ip::udp::endpoint;
 
     void waitForDatagrams();
     void receiveAll();
     ReceiveResult onDatagram(std::string_view datagram, TimePoint now);
-    void onDropped(ReceiveResult reception);
+    void onDropped(ReceiveResult result);
     void tick();
-    LoadReport currentNote(TimePoint now) const;
+    LoadReport currentReport(TimePoint now) const;
 
     Gateway &gateway_;
     Leadership leadership_;
     boost::asio::ip::udp::socket socket_;
     async::Timer timer_;
-    std::map<InstanceId, Receiver> receivers_;
+    std::map<InstanceId, UdpAddress> peerAddresses_;
     std::map<char, Handler> handlers_;
     LoadMesh mesh_;
-    CrashGossip crashes_;
+    CrashGossip crashGossip_;
     std::map<EndpointId, TimePoint> changing_;
-    TimePoint droppedLineAt_ {}; ///< When a line may tell of dropped datagrams again.
+    TimePoint nextDropLogAt_ {}; ///< Earliest time of the next log line about dropped datagrams.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/loadmesh.h
+++ b/libs/gateway/include/almondridge/gateway/loadmesh.h
@@ -1,18 +1,19 @@
 /**
- * Who tells whom of the load on endpoints. Pure: notes, datagrams and the time go in, datagrams
- * come out.
+ * Distributes the load on endpoints between instances. Pure: its inputs are reports, datagrams and
+ * the time; its output is datagrams to send.
  *
- * Few instances tell each other directly. In a large fleet that would be rare notes and old
- * knowledge, so there load is told in two levels: an instance sends its notes to two relays of its
- * failure domain, those with the widest links. A relay adds up what its domain's instances told,
- * tells the sum to the relays of the other domains, and the sum of all to the instances that follow
- * it. An instance that hears nothing from the relay that it follows goes to the next one.
+ * In a small fleet each instance sends its reports to all others. In a large fleet that would allow
+ * only rare reports with old values, so load is distributed in two levels. An instance sends its
+ * reports to two relays of its failure domain, those with the widest links. A relay adds up the
+ * reports of its domain, sends the sum to the relays of the other domains, and sends the sum of all
+ * domains to the instances that follow it. An instance that receives nothing from the relay it
+ * follows switches to the next one.
  */
 #pragma once
 
 #include "almondridge/gateway/digeststream.h"
 #include "almondridge/gateway/peerload.h"
-#include "almondridge/gateway/relaychoice.h"
+#include "almondridge/gateway/relayselector.h"
 
 #include <deque>
 #include <map>
@@ -29,14 +30,14 @@
     std::string bytes_;
 };
 
-/** What a datagram was taken for. */
+/** Result of processing a datagram. */
 enum class ReceiveResult {
     Accepted,
-    Malformed,     ///< It cannot be read, or tells what cannot be.
-    UnknownSender, ///< Its sender is none of the fleet's instances.
+    Malformed,     ///< It cannot be decoded or contains impossible values.
+    UnknownSender, ///< The sender is not an instance of the fleet.
 };
 
-inline constexpr std::array<EnumName<ReceiveResult>, 3> ReceptionNames {{
+inline constexpr std::array<EnumName<ReceiveResult>, 3> ReceiveResultNames {{
     {ReceiveResult::Accepted, "taken"},
     {ReceiveResult::Malformed, "unreadable"},
     {ReceiveResult::UnknownSender, "unknown-sender"},
@@ -45,106 +46,114 @@
 class LoadMesh
 {
 public:
-    /** lifetime: rises with each restart of this instance. */
+    /** lifetime: increases with each restart of this instance. */
     LoadMesh(InstanceId self, DomainId domain, double linkMbps, std::uint64_t lifetime);
 
-    /** All instances of the fleet; this one may be among them. */
+    /** Sets all instances of the fleet; this one may be among them. */
     void setMembers(const std::vector<MeshMember> &members);
-    /** What is to be sent now. own: what this instance has to tell, without parts that were read.
+    /**
+     * Returns the datagrams to send now. own: this instance's report, without prompt parts that
+     * were read.
      */
     std::vector<MeshDatagram> tick(LoadReport own, EndpointTable &table, TimePoint now);
-    /** The same at once, whatever has changed since: for an order that was given. */
-    std::vector<MeshDatagram> tellNow(LoadReport own, EndpointTable &table, TimePoint now);
-    /** Shared parts that came to engines by this instance; they are told with the next note. */
+    /**
+     * The same, but sends at once whether or not anything has changed; for an order that was given.
+     */
+    std::vector<MeshDatagram> sendNow(LoadReport own, EndpointTable &table, TimePoint now);
+    /**
+     * Adds keys of shared prompt parts that engines have read for this instance; they go into the
+     * next report.
+     */
     void addReadParts(const std::vector<PromptMemory::Key> &parts);
-    /** When tick() has something to do next, at the latest. */
+    /** Returns the latest time for the next call of tick(). */
     TimePoint nextTick(TimePoint now) const;
 
     ReceiveResult onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now);
-    /** Shared parts that others told since the last call. */
-    std::vector<PromptMemory::Key> takeToldParts();
+    /** Returns the keys of shared prompt parts received from others since the last call. */
+    std::vector<PromptMemory::Key> takeReceivedParts();
 
-    /** Whether no other instance leads, and none that comes before this one could. */
-    bool leads() const;
-    /** What all other instances are asked for. */
+    /** Returns whether no other instance is leader and no other candidate ranks before this one. */
+    bool isPreferredLeader() const;
+    /** Returns the demand of all other instances. */
     StageDemand demand(const ServiceId &service) const;
 
-    bool isRelay() const noexcept { return choice_.isRelay(); }
-    /** Those that come first as relays of each domain. */
-    std::set<InstanceId> relaysOfAll() const;
+    bool isRelay() const noexcept { return relaySelector_.isRelay(); }
+    /** Returns the primary relays of all failure domains. */
+    std::set<InstanceId> allRelays() const;
     /** The relay that this instance follows; empty: none. */
-    const InstanceId &followed() const noexcept { return choice_.followed(); }
+    const InstanceId &followed() const noexcept { return relaySelector_.followed(); }
 
 private:
-    /** Parts to tell, each twice: a lost datagram is made good by the next. */
-    struct PartsToTell
+    /** Keys of prompt parts to send. Each is sent twice to make up for a lost datagram. */
+    struct PendingParts
     {
-        std::vector<PromptMemory::Key> fresh_;
-        std::vector<PromptMemory::Key> toldOnce_;
+        std::vector<PromptMemory::Key> unsent_;
+        std::vector<PromptMemory::Key> sentOnce_;
 
         void add(const std::vector<PromptMemory::Key> &parts);
-        /** Those that wait, at most so many of them, and what was told once before. */
-        std::vector<PromptMemory::Key> take(std::size_t most);
+        /** Returns at most maxUnsent unsent keys and those that were sent once before. */
+        std::vector<PromptMemory::Key> take(std::size_t maxUnsent);
     };
 
-    struct OwnNote
+    struct OwnReport
     {
-        std::uint64_t number_ = 0;
+        std::uint64_t sequence_ = 0;
         LoadTable loads_;
         std::map<ServiceId, StageDemand> demand_;
     };
 
     bool isDirect() const noexcept;
-    std::vector<InstanceId> relaysOfOthers(TimePoint now) const;
-    void chooseRelays(EndpointTable &table, TimePoint now);
-    void useStreams(EndpointTable &table, TimePoint now);
-    void chooseDomainStreams(EndpointTable &table, TimePoint now);
-    bool worthSending(const LoadReport &note, TimePoint now) const;
-    void sendNote(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out);
-    void tellAsRelay(const LoadReport &own, const EndpointTable &table, TimePoint now,
+    std::vector<InstanceId> remoteRelays(TimePoint now) const;
+    void updateRelays(EndpointTable &table, TimePoint now);
+    void updateStreams(EndpointTable &table, TimePoint now);
+    void selectDomainStreams(EndpointTable &table, TimePoint now);
+    bool shouldSendReport(const LoadReport &report, TimePoint now) const;
+    void sendReport(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out);
+    void sendDigests(const LoadReport &own, const EndpointTable &table, TimePoint now,
                      std::vector<MeshDatagram> &out);
-    void tellDomains(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out);
-    void tellFollowers(const LoadReport &own, const EndpointTable &table, TimePoint now,
-                       std::vector<MeshDatagram> &out);
-    LoadDigest emptyDigest(DigestScope scope) const;
-    LoadDigest heardDigest(DigestScope scope, const LoadReport &own) const;
-    void addLeaders(const LoadReport &note, LoadDigest &digest) const;
+    void sendToOtherDomains(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out);
+    void sendToFollowers(const LoadReport &own, const EndpointTable &table, TimePoint now,
+                         std::vector<MeshDatagram> &out);
+    LoadDigest newDigest(DigestScope scope) const;
+    LoadDigest summarizeReports(DigestScope scope, const LoadReport &own) const;
+    void addLeaders(const LoadReport &report, LoadDigest &digest) const;
     void addLeaders(const LoadDigest &other, LoadDigest &digest) const;
-    std::vector<LoadDigest> digestsOf(LoadDigest first, std::vector<LoadTable> loads,
-                                      const std::vector<PromptMemory::Key> &parts);
-    ReceiveResult onReport(const LoadReport &note, EndpointTable &table, TimePoint now);
+    std::vector<LoadDigest> splitIntoDigests(LoadDigest first, std::vector<LoadTable> loads,
+                                             const std::vector<PromptMemory::Key> &parts);
+    ReceiveResult onReport(const LoadReport &report, EndpointTable &table, TimePoint now);
     ReceiveResult onDigest(const ReceivedDigest &received, EndpointTable &table, TimePoint now);
-    const OwnNote *ownNote(std::uint64_t number) const;
-    void forgetSilent(EndpointTable &table, TimePoint now);
+    const OwnReport *ownReport(std::uint64_t sequence) const;
+    void removeExpired(EndpointTable &table, TimePoint now);
 
     InstanceId self_;
     DomainId domain_;
     double linkMbps_;
     std::uint64_t lifetime_;
-    std::map<InstanceId, MeshMember> members_; ///< The others.
+    std::map<InstanceId, MeshMember> members_; ///< All instances but this one.
 
-    RelayChoice choice_;
-    PeerLoads heard_; ///< Notes that came here.
+    RelaySelector relaySelector_;
+    PeerLoads peerLoads_; ///< Reports received from peers.
     std::set<InstanceId> followers_;
-    std::set<InstanceId> newFollowers_; ///< They know nothing yet.
-
-    std::map<InstanceId, DigestStream> all_;     ///< By relay of this domain.
-    std::map<InstanceId, DigestStream> domains_; ///< By relay of another domain.
-    DigestWriter domainWriter_;
-    DigestWriter allWriter_;
-    PartsToTell notedParts_;
-    PartsToTell domainParts_;
-    PartsToTell allParts_;
-    std::vector<PromptMemory::Key> toldParts_;
-    std::vector<EndpointId>
-        foreignUnreached_; ///< Told by relays of other domains, to be passed on.
-
-    LoadReport last_;
-    TimePoint lastSentAt_ {};
-    TimePoint relayTellsAt_ {};
-    std::deque<OwnNote> ownNotes_; ///< Sent lately, oldest first.
-    std::uint64_t noteNumber_ = 0;
-    std::uint64_t digestNumber_ = 0;
+    std::set<InstanceId> newFollowers_; ///< Followers that have received no digest yet.
+
+    std::map<InstanceId, DigestStream> ownDomainStreams_; ///< By relay of this failure domain.
+    /** By relay of another failure domain. */
+    std::map<InstanceId, DigestStream> remoteDomainStreams_;
+    DigestWriter domainDigestWriter_;
+    DigestWriter followerDigestWriter_;
+    PendingParts reportParts_;
+    PendingParts domainDigestParts_;
+    PendingParts followerDigestParts_;
+    std::vector<PromptMemory::Key> receivedParts_;
+    /** Received from relays of other failure domains, to be forwarded. */
+    std::vector<EndpointId> remoteUnreached_;
+
+    LoadReport lastReport_;
+    TimePoint lastReportAt_ {};
+    TimePoint nextDigestAt_ {};
+    std::deque<OwnReport> ownReports_; ///< The latest reports sent, oldest first.
+    std::uint64_t reportSequence_ = 0;
+    std::uint64_t digestSequence_ = 0;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/peerload.h
+++ b/libs/gateway/include/almondridge/gateway/peerload.h
@@ -1,10 +1,10 @@
 /**
- * What instances tell each other of the prompts that they have sent to engines and that are not
- * read yet. Engines report their queues late, and each instance sees only its own share; with the
- * notes of its peers an instance knows a queue a tenth of a second after it grew.
+ * Reports in which instances tell their peers which prompts they have sent to engines that have not
+ * read them yet. Engines report their queues late, and each instance sees only its own share; with
+ * its peers' reports an instance knows a queue 100 ms after it grew.
  *
- * A note is one datagram with everything that its sender has queued. A lost one is made good by
- * the next, and a peer that falls silent is forgotten.
+ * A report is one datagram with the complete load of its sender, so that the next report makes up
+ * for a lost one. The load of a peer that stops sending expires.
  */
 #pragma once
 
@@ -26,67 +26,77 @@
 struct LoadReport
 {
     InstanceId sender_;
-    std::uint64_t lifetime_ = 0; ///< Rises with each restart of the sender.
-    std::uint64_t number_ = 0;   ///< Rises within a lifetime; older notes are dropped.
-    /** Engines that carry out an order of the sender's, and about how much longer. */
+    std::uint64_t lifetime_ = 0; ///< Increases with each restart of the sender.
+    std::uint64_t sequence_ = 0; ///< Increases within a lifetime; older reports are dropped.
+    /**
+     * Engines that are carrying out an order of the sender, and about how many milliseconds they
+     * still need.
+     */
     std::map<EndpointId, std::int64_t> changingMillis_ {};
-    bool mayLead_ = false; ///< The sender could give orders: it reaches the store.
-    bool leads_ = false;   ///< It has the right to give orders.
+    bool canLead_ = false;  ///< The sender could become leader, since it reaches the store.
+    bool isLeader_ = false; ///< The sender is entitled to give orders.
     std::map<EndpointId, PromptQueue> queued_ {};
-    /** Requests of the sender at engines that generate. */
+    /** Requests of the sender at engines that run the decode stage. */
     std::map<EndpointId, SlotUse> slotUse_ {};
-    /** Requests of the sender that came to nothing lately, a count that fades, by endpoint. */
+    /** Recent failed requests of the sender by endpoint; decaying counts. */
     std::map<EndpointId, double> failures_ {};
-    /** What the sender's callers ask of each service's engines. */
+    /** Demand of the sender's callers on the engines of each service. */
     std::map<ServiceId, StageDemand> demand_ {};
-    /** Endpoints that the sender could not reach a moment ago. */
+    /** Endpoints that the sender recently could not reach. */
     std::vector<EndpointId> unreached_ {};
-    /** Shared parts that came to engines by the sender lately. */
+    /** Keys of shared prompt parts that engines have recently read for the sender. */
     std::vector<PromptMemory::Key> readParts_ {};
-    InstanceId follows_ {}; ///< The relay that is to tell the sender of all; empty: none.
+    /** The relay that should send digests of all load to the sender; empty: none. */
+    InstanceId followedRelay_ {};
 };
 
-/** The note as a datagram. */
-std::string encodeLoadReport(const LoadReport &note);
-/** nullopt: it is no note. */
+/** Encodes a report as a datagram. */
+std::string encodeLoadReport(const LoadReport &report);
+/** Returns nullopt if the bytes are not a valid report. */
 std::optional<LoadReport> decodeLoadReport(std::string_view bytes);
 
-/** What a note says of each endpoint. */
-LoadTable loadsOf(const LoadReport &note);
+/** Returns the load of each endpoint in a report. */
+LoadTable loadsOf(const LoadReport &report);
 
-/** Any fixed order that all instances agree on: the first that may lead does. */
+/**
+ * Returns an instance's rank in an order that all instances compute alike. The highest-ranked
+ * candidate becomes leader.
+ */
 std::uint64_t leaderRank(const InstanceId &id);
 
-/** The newest notes of peers, counted in the endpoints' foreign load. */
+/** The latest reports of peers, added to the endpoints' load from other instances. */
 class PeerLoads
 {
 public:
     struct Peer
     {
-        LoadReport note_;
-        TimePoint heardAt_ {};
+        LoadReport report_;
+        TimePoint receivedAt_ {};
     };
 
-    /** False: it is older than what is known of its sender. */
-    bool onReport(const LoadReport &note, EndpointTable &table, TimePoint now);
-    /** Forgets peers that have not been heard of lately. */
-    void forgetSilent(EndpointTable &table, TimePoint now);
-    /** Whether notes are counted; a relay's digest may have them already. */
+    /** Returns false if the report is older than the latest one of its sender. */
+    bool onReport(const LoadReport &report, EndpointTable &table, TimePoint now);
+    /** Drops peers without a recent report. */
+    void removeExpired(EndpointTable &table, TimePoint now);
+    /**
+     * Sets whether reports are added to the endpoints' load; a relay's digest may include them
+     * already.
+     */
     void setInUse(bool inUse, EndpointTable &table);
     const std::map<InstanceId, Peer> &peers() const noexcept { return peers_; }
     /**
-     * Whether no peer leads, and none that may lead comes before self in the order that all work
-     * out alike. A hint that keeps the others from asking for the lease; it gives no right.
+     * Returns whether no peer is leader and no candidate among the peers ranks before self. This
+     * only keeps other instances from asking for the lease; it does not entitle to give orders.
      */
-    bool leads(const InstanceId &self) const;
+    bool isPreferredLeader(const InstanceId &self) const;
 
-    /** What all peers together are asked for. */
+    /** Returns the demand of all peers together. */
     StageDemand demand(const ServiceId &service) const;
 
 private:
-    /** Adds what a note says to the endpoints, or takes it out again. */
-    static void add(const LoadReport &note, EndpointTable &table);
-    static void takeOut(const LoadReport &note, EndpointTable &table);
+    /** Adds a report to the load of the endpoints, or subtracts it. */
+    static void add(const LoadReport &report, EndpointTable &table);
+    static void subtract(const LoadReport &report, EndpointTable &table);
 
     std::map<InstanceId, Peer> peers_;
     bool inUse_ = true;
--- a/libs/gateway/src/digeststream.cpp
+++ b/libs/gateway/src/digeststream.cpp
@@ -6,23 +6,23 @@
 namespace almondridge::gateway {
 namespace {
 
-/** A relay tells each endpoint once a second; after three missed times its load is unknown. */
-constexpr Duration SilentAfter = millis(3'000);
-constexpr Duration ToldAgainAfter = millis(1'000);
+/** A relay sends each endpoint once a second; after three missed times the load is unknown. */
+constexpr Duration ExpireAfter = millis(3'000);
+constexpr Duration ResendInterval = millis(1'000);
 
-/** Tokens that a usual engine reads within what a way between instances takes. */
-constexpr std::int64_t TokensWorthTelling = 1'000;
-constexpr int UsesWorthTelling = 2;
-constexpr double FailuresWorthTelling = 0.9;
-/** For loads, of the payload of one packet: the rest is for a digest's lists. */
-constexpr std::size_t LoadBytesInDigest = 1'100;
+/** Tokens that a typical engine reads while a datagram travels between instances. */
+constexpr std::int64_t MinTokenChange = 1'000;
+constexpr int MinSlotUseChange = 2;
+constexpr double MinFailureChange = 0.9;
+/** Share of one packet's payload for loads; the rest is for the lists of a digest. */
+constexpr std::size_t MaxLoadBytesPerDigest = 1'100;
 
-bool isWorthTelling(const EndpointLoad &now, const EndpointLoad &told)
+bool hasChangedEnough(const EndpointLoad &now, const EndpointLoad &sent)
 {
-    return std::abs(now.queued_.all() - told.queued_.all()) >= TokensWorthTelling
-           || std::abs(now.slotUse_.all() - told.slotUse_.all()) >= UsesWorthTelling
-           || std::abs(now.failures_ - told.failures_) >= FailuresWorthTelling
-           || now.isNone() != told.isNone();
+    return std::abs(now.queued_.all() - sent.queued_.all()) >= MinTokenChange
+           || std::abs(now.slotUse_.all() - sent.slotUse_.all()) >= MinSlotUseChange
+           || std::abs(now.failures_ - sent.failures_) >= MinFailureChange
+           || now.isZero() != sent.isZero();
 }
 
 } // namespace
@@ -36,7 +36,7 @@
     }
     endpoint->foreignQueued_.remove(before.queued_);
     endpoint->foreignSlotUse_.remove(before.slotUse_);
-    // Never below zero: the endpoint may have been listed after it was told of.
+    // Stops at zero: the endpoint may have been listed after the digest came.
     endpoint->toldFailures_ = std::max(0.0, endpoint->toldFailures_ - before.failures_);
     endpoint->foreignQueued_.add(after.queued_);
     endpoint->foreignSlotUse_.add(after.slotUse_);
@@ -51,8 +51,8 @@
     values_.clear();
 }
 
-void DigestStream::take(const LoadDigest &digest, const LoadTable *counted, EndpointTable &table,
-                        TimePoint now)
+void DigestStream::apply(const LoadDigest &digest, const LoadTable *ownLoads, EndpointTable &table,
+                         TimePoint now)
 {
     if (digest.lifetime_ < newest_.lifetime_) {
         return;
@@ -61,20 +61,20 @@
         clear(table);
         newest_ = {};
     }
-    heardAt_ = now;
+    lastReceivedAt_ = now;
     for (const auto &[id, load] : digest.loads_) {
         Value &value = values_[id];
-        if (digest.number_ <= value.number_) {
+        if (digest.sequence_ <= value.sequence_) {
             continue;
         }
-        EndpointLoad foreign = load;
-        if (counted != nullptr && counted->contains(id)) {
-            foreign.remove(counted->at(id));
+        EndpointLoad remote = load;
+        if (ownLoads != nullptr && ownLoads->contains(id)) {
+            remote.remove(ownLoads->at(id));
         }
-        replace(id, value.load_, foreign, table);
-        value = {foreign, digest.number_, now};
+        replace(id, value.load_, remote, table);
+        value = {remote, digest.sequence_, now};
     }
-    if (digest.number_ > newest_.number_) {
+    if (digest.sequence_ > newest_.sequence_) {
         newest_ = digest;
         newest_.loads_.clear();
     }
@@ -85,21 +85,22 @@
     if (inUse == inUse_) {
         return;
     }
-    inUse_ = true; // For replace(), also the one that takes everything out.
+    // replace() changes the table only while this is set, also when it removes the values.
+    inUse_ = true;
     for (const auto &[id, value] : values_) {
         inUse ? replace(id, {}, value.load_, table) : replace(id, value.load_, {}, table);
     }
     inUse_ = inUse;
 }
 
-void DigestStream::forgetSilent(EndpointTable &table, TimePoint now)
+void DigestStream::removeExpired(EndpointTable &table, TimePoint now)
 {
     std::erase_if(values_, [&](const auto &entry) {
-        const bool lapsed = entry.second.toldAt_ + SilentAfter < now;
-        if (lapsed) {
+        const bool isExpired = entry.second.receivedAt_ + ExpireAfter < now;
+        if (isExpired) {
             replace(entry.first, entry.second.load_, {}, table);
         }
-        return lapsed;
+        return isExpired;
     });
 }
 
@@ -109,7 +110,7 @@
     std::size_t bytes = 0;
     for (const auto &[id, load] : sums) {
         const std::size_t size = encodedBytes(id, load);
-        if (parts.empty() || bytes + size > LoadBytesInDigest) {
+        if (parts.empty() || bytes + size > MaxLoadBytesPerDigest) {
             parts.emplace_back();
             bytes = 0;
         }
@@ -122,27 +123,27 @@
 std::vector<LoadTable> DigestWriter::select(const LoadTable &sums, TimePoint now)
 {
     for (const auto &[id, load] : sums) {
-        told_.try_emplace(id);
+        sent_.try_emplace(id);
     }
     LoadTable chosen;
-    for (auto &[id, told] : told_) {
+    for (auto &[id, sent] : sent_) {
         const auto found = sums.find(id);
         const EndpointLoad load = found != sums.end() ? found->second : EndpointLoad {};
-        if (!load.isNone()) {
-            told.noneSince_ = {};
-        } else if (told.noneSince_ == TimePoint {}) {
-            told.noneSince_ = now;
+        if (!load.isZero()) {
+            sent.zeroSince_ = {};
+        } else if (sent.zeroSince_ == TimePoint {}) {
+            sent.zeroSince_ = now;
         }
-        if (told.at_ + ToldAgainAfter <= now || isWorthTelling(load, told.load_)) {
+        if (sent.sentAt_ + ResendInterval <= now || hasChangedEnough(load, sent.load_)) {
             chosen[id] = load;
-            told.load_ = load;
-            told.at_ = now;
+            sent.load_ = load;
+            sent.sentAt_ = now;
         }
     }
-    // Told as none for as long as whoever missed it would remember something else.
-    std::erase_if(told_, [&](const auto &entry) {
-        return entry.second.noneSince_ != TimePoint {}
-               && entry.second.noneSince_ + SilentAfter < now;
+    // A load of zero is sent until receivers that missed it have dropped the previous value.
+    std::erase_if(sent_, [&](const auto &entry) {
+        return entry.second.zeroSince_ != TimePoint {}
+               && entry.second.zeroSince_ + ExpireAfter < now;
     });
     return split(chosen);
 }
--- a/libs/gateway/src/loaddigest.cpp
+++ b/libs/gateway/src/loaddigest.cpp
@@ -12,25 +12,31 @@
 
 using Json = nlohmann::json;
 
-/** No record of ours in CBOR begins with it: an array's first byte is 0x80 or more. */
+/**
+ * The first byte of a digest. No CBOR message of ours starts with it: the first byte of an array is
+ * 0x80 or more.
+ */
 constexpr char DigestMark = 0x01;
-constexpr std::size_t CountedBytes = 8;
-constexpr std::size_t PrefixBytes = 1 + CountedBytes;
+constexpr std::size_t SequenceBytes = 8;
+constexpr std::size_t PrefixBytes = 1 + SequenceBytes;
 
-/** Counts of failures fade and are no whole numbers: they are told in tenths. */
-constexpr double FailureParts = 10;
-/** Demand is told in thousandths of an engine. */
-constexpr double DemandParts = 1'000;
-/** Beyond what hundreds of instances could have at one endpoint: a digest that says so is wrong. */
-constexpr std::uint64_t MostTokens = 1'000'000'000'000;
-constexpr std::uint64_t MostUses = 10'000'000;
+/** Failure counts decay and are fractional; they are sent in tenths. */
+constexpr double FailureScale = 10;
+/** Demand is sent in thousandths of an engine. */
+constexpr double DemandScale = 1'000;
+/**
+ * More than hundreds of instances could have at one endpoint; a digest with larger counts is
+ * invalid.
+ */
+constexpr std::uint64_t MaxTokens = 1'000'000'000'000;
+constexpr std::uint64_t MaxSlotUse = 10'000'000;
 
-/** Where each field of a digest stands. */
+/** Index of each field in the array of a digest. */
 enum class Field : std::uint8_t {
     Sender,
     Domain,
     Lifetime,
-    Number,
+    Sequence,
     Scope,
     Members,
     Loads,
@@ -49,7 +55,7 @@
     return static_cast<std::size_t>(field);
 }
 
-/** What a field has to be, in the order of the fields. */
+/** Required JSON type of each field, in the order of the fields. */
 constexpr std::array<bool (Json::*)() const noexcept, FieldCount> FieldTypes {
     &Json::is_string,          &Json::is_string,          &Json::is_number_unsigned,
     &Json::is_number_unsigned, &Json::is_number_unsigned, &Json::is_number_unsigned,
@@ -58,7 +64,7 @@
     &Json::is_array,
 };
 
-bool isShaped(const Json &json)
+bool hasExpectedTypes(const Json &json)
 {
     if (!json.is_array() || json.size() != FieldCount) {
         return false;
@@ -71,7 +77,10 @@
     return true;
 }
 
-/** An endpoint's load: uses in time and late, failures, then tokens by urgency. */
+/**
+ * Indices in the array of an endpoint's load: requests in time, late requests, failures, then
+ * prompt tokens by urgency.
+ */
 constexpr std::size_t InTimeAt = 0;
 constexpr std::size_t LateAt = 1;
 constexpr std::size_t FailuresAt = 2;
@@ -80,7 +89,7 @@
 Json encodeLoad(const EndpointLoad &load)
 {
     Json json = Json::array(
-        {load.slotUse_.inTime_, load.slotUse_.late_, std::llround(load.failures_ * FailureParts)});
+        {load.slotUse_.inTime_, load.slotUse_.late_, std::llround(load.failures_ * FailureScale)});
     std::size_t length = load.queued_.tokens_.size();
     while (length > 0 && load.queued_.tokens_[length - 1] == 0) {
         --length;
@@ -91,25 +100,25 @@
     return json;
 }
 
-bool isCount(const Json &json, std::uint64_t most)
+bool isCount(const Json &json, std::uint64_t limit)
 {
-    return json.is_number_unsigned() && json.get<std::uint64_t>() <= most;
+    return json.is_number_unsigned() && json.get<std::uint64_t>() <= limit;
 }
 
 std::optional<EndpointLoad> decodeLoad(const Json &json)
 {
     EndpointLoad load;
-    const bool shaped = json.is_array() && json.size() >= TokensAt
-                        && json.size() <= TokensAt + load.queued_.tokens_.size()
-                        && isCount(json[InTimeAt], MostUses) && isCount(json[LateAt], MostUses)
-                        && isCount(json[FailuresAt], MostUses);
-    if (!shaped) {
+    const bool isValid = json.is_array() && json.size() >= TokensAt
+                         && json.size() <= TokensAt + load.queued_.tokens_.size()
+                         && isCount(json[InTimeAt], MaxSlotUse) && isCount(json[LateAt], MaxSlotUse)
+                         && isCount(json[FailuresAt], MaxSlotUse);
+    if (!isValid) {
         return std::nullopt;
     }
     load.slotUse_ = {json[InTimeAt].get<int>(), json[LateAt].get<int>()};
-    load.failures_ = json[FailuresAt].get<double>() / FailureParts;
+    load.failures_ = json[FailuresAt].get<double>() / FailureScale;
     for (std::size_t index = TokensAt; index < json.size(); ++index) {
-        if (!isCount(json[index], MostTokens)) {
+        if (!isCount(json[index], MaxTokens)) {
             return std::nullopt;
         }
         load.queued_.add(static_cast<int>(index - TokensAt), json[index].get<std::int64_t>());
@@ -117,7 +126,7 @@
     return load;
 }
 
-/** Names in an array; nullopt: something in it is no name. */
+/** Decodes an array of names; returns nullopt if an element is not a string. */
 template <typename Name>
 std::optional<std::vector<Name>> decodeNames(const Json &json)
 {
@@ -141,23 +150,23 @@
         digest.loads_[EndpointId(id)] = *decoded;
     }
     for (const auto &[id, busy] : json[at(Field::Demand)].items()) {
-        if (!busy.is_array() || busy.size() != 2 || !isCount(busy[0], MostUses * 1'000)
-            || !isCount(busy[1], MostUses * 1'000)) {
+        if (!busy.is_array() || busy.size() != 2 || !isCount(busy[0], MaxSlotUse * 1'000)
+            || !isCount(busy[1], MaxSlotUse * 1'000)) {
             return false;
         }
-        digest.demand_[ServiceId(id)] = {busy[0].get<double>() / DemandParts,
-                                         busy[1].get<double>() / DemandParts};
+        digest.demand_[ServiceId(id)] = {busy[0].get<double>() / DemandScale,
+                                         busy[1].get<double>() / DemandScale};
     }
     return true;
 }
 
 bool decodeLists(const Json &json, LoadDigest &digest)
 {
-    for (const auto &[id, left] : json[at(Field::Changing)].items()) {
-        if (!left.is_number_unsigned()) {
+    for (const auto &[id, remaining] : json[at(Field::Changing)].items()) {
+        if (!remaining.is_number_unsigned()) {
             return false;
         }
-        digest.changingMillis_[EndpointId(id)] = left.get<std::int64_t>();
+        digest.changingMillis_[EndpointId(id)] = remaining.get<std::int64_t>();
     }
     auto leaders = decodeNames<InstanceId>(json[at(Field::Leaders)]);
     auto unreached = decodeNames<EndpointId>(json[at(Field::Unreached)]);
@@ -201,10 +210,10 @@
     failures_ = std::max(0.0, failures_ - other.failures_);
 }
 
-bool EndpointLoad::isNone() const noexcept
+bool EndpointLoad::isZero() const noexcept
 {
-    // Tenths are told, and sums of fading counts are rarely nothing at all.
-    return queued_.all() == 0 && slotUse_.all() == 0 && failures_ < 1 / FailureParts;
+    // Failures are sent in tenths, and sums of decaying counts rarely become exactly zero.
+    return queued_.all() == 0 && slotUse_.all() == 0 && failures_ < 1 / FailureScale;
 }
 
 std::size_t encodedBytes(const EndpointId &id, const EndpointLoad &load)
@@ -220,18 +229,18 @@
     }
     Json demand = Json::object();
     for (const auto &[service, busy] : digest.demand_) {
-        demand[service.value()] = {std::llround(busy.prefill_ * DemandParts),
-                                   std::llround(busy.decode_ * DemandParts)};
+        demand[service.value()] = {std::llround(busy.prefill_ * DemandScale),
+                                   std::llround(busy.decode_ * DemandScale)};
     }
     Json changing = Json::object();
-    for (const auto &[id, left] : digest.changingMillis_) {
-        changing[id.value()] = left;
+    for (const auto &[id, remaining] : digest.changingMillis_) {
+        changing[id.value()] = remaining;
     }
     Json json = Json::array();
     json[at(Field::Sender)] = digest.sender_.value();
     json[at(Field::Domain)] = digest.domain_.value();
     json[at(Field::Lifetime)] = digest.lifetime_;
-    json[at(Field::Number)] = digest.number_;
+    json[at(Field::Sequence)] = digest.sequence_;
     json[at(Field::Scope)] = static_cast<unsigned>(digest.scope_);
     json[at(Field::Members)] = static_cast<unsigned>(std::max(0, digest.members_));
     json[at(Field::Loads)] = std::move(loads);
@@ -246,11 +255,11 @@
     return bytes;
 }
 
-std::string digestPrefix(std::uint64_t countedNote)
+std::string digestPrefix(std::uint64_t includedReport)
 {
     std::string prefix(PrefixBytes, DigestMark);
-    for (std::size_t index = 0; index < CountedBytes; ++index) {
-        prefix[PrefixBytes - 1 - index] = static_cast<char>(countedNote >> (8U * index) & 0xffU);
+    for (std::size_t index = 0; index < SequenceBytes; ++index) {
+        prefix[PrefixBytes - 1 - index] = static_cast<char>(includedReport >> (8U * index) & 0xffU);
     }
     return prefix;
 }
@@ -266,23 +275,23 @@
         return std::nullopt;
     }
     const std::optional<Json> decoded = fromCbor(datagram.substr(PrefixBytes));
-    if (!decoded || !isShaped(*decoded)) {
+    if (!decoded || !hasExpectedTypes(*decoded)) {
         return std::nullopt;
     }
     const Json &json = *decoded;
-    if (!isCount(json[at(Field::Scope)], 1) || !isCount(json[at(Field::Members)], MostUses)) {
+    if (!isCount(json[at(Field::Scope)], 1) || !isCount(json[at(Field::Members)], MaxSlotUse)) {
         return std::nullopt;
     }
     ReceivedDigest received;
     for (std::size_t index = 1; index < PrefixBytes; ++index) {
-        received.countedNote_ =
-            received.countedNote_ << 8U | static_cast<unsigned char>(datagram[index]);
+        received.includedReport_ =
+            received.includedReport_ << 8U | static_cast<unsigned char>(datagram[index]);
     }
     LoadDigest &digest = received.digest_;
     digest.sender_ = InstanceId(json[at(Field::Sender)].get<std::string>());
     digest.domain_ = DomainId(json[at(Field::Domain)].get<std::string>());
     digest.lifetime_ = json[at(Field::Lifetime)].get<std::uint64_t>();
-    digest.number_ = json[at(Field::Number)].get<std::uint64_t>();
+    digest.sequence_ = json[at(Field::Sequence)].get<std::uint64_t>();
     digest.scope_ = static_cast<DigestScope>(json[at(Field::Scope)].get<unsigned>());
     digest.members_ = json[at(Field::Members)].get<int>();
     digest.candidate_ = InstanceId(json[at(Field::Candidate)].get<std::string>());
--- a/libs/gateway/src/loadexchange.cpp
+++ b/libs/gateway/src/loadexchange.cpp
@@ -11,14 +11,14 @@
 namespace asio = boost::asio;
 using Udp = asio::ip::udp;
 
-/** Endpoints that a note names as not reached: a note stays small whatever is cut off. */
-constexpr std::size_t MostUnreachedTold = 48;
-/** What is left of one failure after a second and a half; less says nothing any more. */
-constexpr double LeastFailuresTold = 0.5;
-/** Between two lines that tell of dropped datagrams: the counter has them all. */
-constexpr Duration DroppedLineInterval = millis(10'000);
-/** More than any note: some hundred engines. */
-constexpr std::size_t DatagramBytes = 16'384;
+/** Unreached endpoints in a report; limits its size however many are unreachable. */
+constexpr std::size_t MaxUnreachedPerReport = 48;
+/** One failure decays to this value within a second and a half; smaller counts are not reported. */
+constexpr double MinReportedFailures = 0.5;
+/** Minimum interval between log lines about dropped datagrams; the metric counts all of them. */
+constexpr Duration DropLogInterval = millis(10'000);
+/** More than any report needs, with several hundred engines. */
+constexpr std::size_t MaxDatagramBytes = 16'384;
 
 } // namespace
 
@@ -29,7 +29,7 @@
     , socket_(loop.context())
     , timer_(loop)
     , mesh_(self.id_, self.domain_, self.linkMbps_, static_cast<std::uint64_t>(wallMillis()))
-    , crashes_(gateway.crashEvidence(), self.id_, std::random_device {}())
+    , crashGossip_(gateway.crashEvidence(), self.id_, std::random_device {}())
 { }
 
 Result<void> LoadExchange::listen(const net::Address &address)
@@ -45,7 +45,7 @@
     }
     if (failure) {
         return fail(ErrorKind::Unavailable, net::toString(address) + ": " + failure.message(),
-                    "leave the first port for peers free");
+                    "make sure that no other process uses the first peer port");
     }
     waitForDatagrams();
     tick();
@@ -55,13 +55,13 @@
 void LoadExchange::setPeers(const std::vector<std::pair<MeshMember, net::Address>> &peers)
 {
     std::vector<MeshMember> members;
-    receivers_.clear();
+    peerAddresses_.clear();
     for (const auto &[member, address] : peers) {
         boost::system::error_code failure;
         const auto ip = asio::ip::make_address_v4(address.ip_, failure);
         if (!failure) {
             members.push_back(member);
-            receivers_[member.id_] = {ip, address.port_};
+            peerAddresses_[member.id_] = {ip, address.port_};
         }
     }
     mesh_.setMembers(members);
@@ -70,7 +70,7 @@
     for (const MeshMember &member : members) {
         ids.push_back(member.id_);
     }
-    crashes_.setPeers(std::move(ids));
+    crashGossip_.setPeers(std::move(ids));
 }
 
 void LoadExchange::waitForDatagrams()
@@ -85,21 +85,21 @@
 
 void LoadExchange::receiveAll()
 {
-    std::array<char, DatagramBytes> buffer;
+    std::array<char, MaxDatagramBytes> buffer;
     const TimePoint now = BootClock::now();
     for (;;) {
         boost::system::error_code failure;
-        Receiver sender;
+        UdpAddress sender;
         const std::size_t got = socket_.receive_from(asio::buffer(buffer), sender, 0, failure);
         if (failure) {
             break;
         }
-        const ReceiveResult reception = onDatagram({buffer.data(), got}, now);
-        if (reception != ReceiveResult::Accepted) {
-            onDropped(reception);
+        const ReceiveResult result = onDatagram({buffer.data(), got}, now);
+        if (result != ReceiveResult::Accepted) {
+            onDropped(result);
         }
     }
-    const std::vector<PromptMemory::Key> parts = mesh_.takeToldParts();
+    const std::vector<PromptMemory::Key> parts = mesh_.takeReceivedParts();
     if (!parts.empty()) {
         gateway_.onPartsTold(parts);
     }
@@ -120,19 +120,19 @@
         return mesh_.onDatagram(datagram, gateway_.endpoints(), now);
     }
     std::vector<MeshDatagram> answers;
-    const ReceiveResult reception = crashes_.onDatagram(datagram, now, answers);
+    const ReceiveResult result = crashGossip_.onDatagram(datagram, now, answers);
     send(answers);
-    return reception;
+    return result;
 }
 
-/** Anybody may send datagrams here. */
-void LoadExchange::onDropped(ReceiveResult reception)
+/** Counts and logs a dropped datagram. Any host can send datagrams to this port. */
+void LoadExchange::onDropped(ReceiveResult result)
 {
-    const std::string_view cause = nameOf(ReceptionNames, reception);
+    const std::string_view cause = nameOf(ReceiveResultNames, result);
     gateway_.metrics().count("load_datagrams_dropped_total", observe::metricLabel("cause", cause));
     const TimePoint now = BootClock::now();
-    if (now >= droppedLineAt_) {
-        droppedLineAt_ = now + DroppedLineInterval;
+    if (now >= nextDropLogAt_) {
+        nextDropLogAt_ = now + DropLogInterval;
         logEvent(LogLevel::Warning, "load_dropped", {{"cause", cause}});
     }
 }
@@ -141,7 +141,7 @@
 {
     changing_[engine] = until;
     const TimePoint now = BootClock::now();
-    send(mesh_.tellNow(currentNote(now), gateway_.endpoints(), now));
+    send(mesh_.sendNow(currentReport(now), gateway_.endpoints(), now));
 }
 
 StageDemand LoadExchange::demand(const ServiceId &service) const
@@ -155,36 +155,36 @@
     return sum;
 }
 
-LoadReport LoadExchange::currentNote(TimePoint now) const
+LoadReport LoadExchange::currentReport(TimePoint now) const
 {
-    LoadReport note;
-    note.mayLead_ = leadership_.mayLead_();
-    note.leads_ = leadership_.leads_();
+    LoadReport report;
+    report.canLead_ = leadership_.canLead_();
+    report.isLeader_ = leadership_.isLeader_();
     for (const auto &[engine, until] : changing_) {
         const Endpoint *endpoint = gateway_.endpoints().find(engine);
-        // Not once the order is done, or forgotten by a restart.
+        // Omitted once the order is done or was dropped by a restart.
         if (until > now && endpoint != nullptr && endpoint->changingUntil_ > now) {
-            note.changingMillis_[engine] = toMillis(until - now);
+            report.changingMillis_[engine] = toMillis(until - now);
         }
     }
     for (const auto &[id, endpoint] : gateway_.endpoints().active()) {
         if (endpoint->queued_.all() > 0) {
-            note.queued_[id] = endpoint->queued_;
+            report.queued_[id] = endpoint->queued_;
         }
         if (endpoint->listed_.stage_ == Stage::Decode && endpoint->slotUse_.all() > 0) {
-            note.slotUse_[id] = endpoint->slotUse_;
+            report.slotUse_[id] = endpoint->slotUse_;
         }
         const double failures = endpoint->recentFailures_.at(now);
-        if (failures >= LeastFailuresTold) {
-            note.failures_[id] = failures;
+        if (failures >= MinReportedFailures) {
+            report.failures_[id] = failures;
         }
     }
-    note.demand_ = gateway_.demand();
-    note.unreached_ = gateway_.endpoints().unreached(now);
-    if (note.unreached_.size() > MostUnreachedTold) {
-        note.unreached_.resize(MostUnreachedTold);
+    report.demand_ = gateway_.demand();
+    report.unreached_ = gateway_.endpoints().unreached(now);
+    if (report.unreached_.size() > MaxUnreachedPerReport) {
+        report.unreached_.resize(MaxUnreachedPerReport);
     }
-    return note;
+    return report;
 }
 
 void LoadExchange::tick()
@@ -194,19 +194,20 @@
     gateway_.endpoints().forgetIdle(now);
     std::erase_if(changing_, [&](const auto &entry) { return entry.second <= now; });
     mesh_.addReadParts(gateway_.takeReadParts());
-    send(mesh_.tick(currentNote(now), gateway_.endpoints(), now));
-    send(crashes_.tick(now));
+    send(mesh_.tick(currentReport(now), gateway_.endpoints(), now));
+    send(crashGossip_.tick(now));
 }
 
 void LoadExchange::send(const std::vector<MeshDatagram> &datagrams)
 {
     for (const MeshDatagram &datagram : datagrams) {
-        const auto receiver = receivers_.find(datagram.to_);
-        if (receiver == receivers_.end()) {
-            continue; // It has left since the datagram was made.
+        const auto receiver = peerAddresses_.find(datagram.to_);
+        if (receiver == peerAddresses_.end()) {
+            continue; // The instance has left since the datagram was made.
         }
-        boost::system::error_code lost; // What does not leave is made good by the next.
-        socket_.send_to(asio::buffer(datagram.bytes_), receiver->second, 0, lost);
+        // A datagram that cannot be sent is made up for by the next one.
+        boost::system::error_code ignored;
+        socket_.send_to(asio::buffer(datagram.bytes_), receiver->second, 0, ignored);
     }
 }
 
--- a/libs/gateway/src/loadmesh.cpp
+++ b/libs/gateway/src/loadmesh.cpp
@@ -1,7 +1,7 @@
 #include "almondridge/gateway/loadmesh.h"
 
 #include "loadmeshlimits.h"
-#include "noteworth.h"
+#include "reportchange.h"
 
 #include <algorithm>
 #include <utility>
@@ -9,17 +9,23 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Load is told at most this often; an engine reads some 3,000 tokens in the time. */
-constexpr Duration TellInterval = millis(50);
-/** So many others are told directly: what each of them takes is then 240 notes a second at most. */
-constexpr std::size_t MostToldDirectly = 12;
-/** Without a word a domain's sum, a note or a part of a digest counts no more. */
-constexpr Duration SilentAfter = millis(3'000);
-/** Own notes that may be in the sums that relays tell. */
-constexpr std::size_t RememberedNotes = 64;
-constexpr std::size_t MostPartsInNote = 32;
-/** No engine is away for longer, whatever a relay says. */
-constexpr std::int64_t LongestChangeMillis = 10'000;
+/** Minimum interval between reports; an engine reads about 3,000 tokens in this time. */
+constexpr Duration ReportInterval = millis(50);
+/**
+ * Up to this sequence of peers, reports are sent to all of them directly. Each instance then
+ * receives at most 240 reports a second.
+ */
+constexpr std::size_t MaxDirectPeers = 12;
+/**
+ * The sum of a failure domain, a report or a part of a digest expires after this time without an
+ * update.
+ */
+constexpr Duration ExpireAfter = millis(3'000);
+/** Own reports that the sums in relays' digests may include. */
+constexpr std::size_t MaxOwnReports = 64;
+constexpr std::size_t MaxPartsPerReport = 32;
+/** No stage change takes longer; larger values from relays are reduced to this. */
+constexpr std::int64_t MaxChangeMillis = 10'000;
 
 } // namespace
 
@@ -28,22 +34,23 @@
     , domain_(std::move(domain))
     , linkMbps_(linkMbps)
     , lifetime_(lifetime)
-    , choice_(self_, domain_)
+    , relaySelector_(self_, domain_)
 { }
 
-void LoadMesh::PartsToTell::add(const std::vector<PromptMemory::Key> &parts)
+void LoadMesh::PendingParts::add(const std::vector<PromptMemory::Key> &parts)
 {
-    const std::size_t room = MostPartsToTell - std::min(MostPartsToTell, fresh_.size());
+    const std::size_t room = MaxPendingParts - std::min(MaxPendingParts, unsent_.size());
     const auto taken = static_cast<std::ptrdiff_t>(std::min(room, parts.size()));
-    fresh_.insert(fresh_.end(), parts.begin(), parts.begin() + taken);
+    unsent_.insert(unsent_.end(), parts.begin(), parts.begin() + taken);
 }
 
-std::vector<PromptMemory::Key> LoadMesh::PartsToTell::take(std::size_t most)
+std::vector<PromptMemory::Key> LoadMesh::PendingParts::take(std::size_t maxUnsent)
 {
-    const auto end = fresh_.begin() + static_cast<std::ptrdiff_t>(std::min(most, fresh_.size()));
-    std::vector<PromptMemory::Key> now(fresh_.begin(), end);
-    fresh_.erase(fresh_.begin(), end);
-    std::vector<PromptMemory::Key> parts = std::exchange(toldOnce_, now);
+    const auto end =
+        unsent_.begin() + static_cast<std::ptrdiff_t>(std::min(maxUnsent, unsent_.size()));
+    std::vector<PromptMemory::Key> now(unsent_.begin(), end);
+    unsent_.erase(unsent_.begin(), end);
+    std::vector<PromptMemory::Key> parts = std::exchange(sentOnce_, now);
     parts.insert(parts.end(), now.begin(), now.end());
     return parts;
 }
@@ -56,16 +63,16 @@
             members_[member.id_] = member;
         }
     }
-    choice_.setMembers(members);
+    relaySelector_.setMembers(members);
     std::erase_if(followers_, [&](const InstanceId &id) { return !members_.contains(id); });
-    lastSentAt_ = {}; // Whoever is new is told at once.
+    lastReportAt_ = {}; // Sends a report to new members at once.
 }
 
-std::set<InstanceId> LoadMesh::relaysOfAll() const
+std::set<InstanceId> LoadMesh::allRelays() const
 {
     std::set<InstanceId> relays;
-    for (const DomainId &domain : choice_.domains()) {
-        for (const InstanceId &relay : choice_.firstOf(domain)) {
+    for (const DomainId &domain : relaySelector_.domains()) {
+        for (const InstanceId &relay : relaySelector_.primaryRelays(domain)) {
             relays.insert(relay);
         }
     }
@@ -74,132 +81,138 @@
 
 bool LoadMesh::isDirect() const noexcept
 {
-    return members_.size() <= MostToldDirectly;
+    return members_.size() <= MaxDirectPeers;
 }
 
-void LoadMesh::chooseRelays(EndpointTable &table, TimePoint now)
+void LoadMesh::updateRelays(EndpointTable &table, TimePoint now)
 {
-    const auto hears = [this](const InstanceId &relay, TimePoint since) {
-        const auto stream = all_.find(relay);
-        return stream != all_.end() && stream->second.heardAt() > since;
+    const auto hasReceived = [this](const InstanceId &relay, TimePoint since) {
+        const auto stream = ownDomainStreams_.find(relay);
+        return stream != ownDomainStreams_.end() && stream->second.lastReceivedAt() > since;
     };
     if (isDirect()) {
-        choice_.chooseNobody();
-    } else if (choice_.choose(hears, now)) {
-        lastSentAt_ = {}; // The relay learns by a note whom to tell.
+        relaySelector_.disable();
+    } else if (relaySelector_.update(hasReceived, now)) {
+        lastReportAt_ = {}; // A report tells the relay that this instance follows it.
     }
-    useStreams(table, now);
+    updateStreams(table, now);
 }
 
-void LoadMesh::useStreams(EndpointTable &table, TimePoint now)
+void LoadMesh::updateStreams(EndpointTable &table, TimePoint now)
 {
-    heard_.setInUse(isDirect() || isRelay(), table);
-    for (auto &[relay, stream] : all_) {
-        stream.setInUse(relay == choice_.told(), table);
+    peerLoads_.setInUse(isDirect() || isRelay(), table);
+    for (auto &[relay, stream] : ownDomainStreams_) {
+        stream.setInUse(relay == relaySelector_.activeRelay(), table);
     }
-    chooseDomainStreams(table, now);
+    selectDomainStreams(table, now);
 }
 
-/** Of each other domain the relay that has heard of most instances, while it is not silent. */
-void LoadMesh::chooseDomainStreams(EndpointTable &table, TimePoint now)
+/**
+ * For each other failure domain, selects the relay that has recent reports from the most instances;
+ * relays that are not silent come first.
+ */
+void LoadMesh::selectDomainStreams(EndpointTable &table, TimePoint now)
 {
     std::map<DomainId, DigestStream *> best;
-    for (auto &[relay, told] : domains_) {
-        DigestStream *&one = best[told.newest().domain_];
+    for (auto &[relay, digestStream] : remoteDomainStreams_) {
+        DigestStream *&selected = best[digestStream.newest().domain_];
         const auto rank = [&](const DigestStream &stream) {
-            const bool sounds = stream.heardAt() + RelaySilentAfter >= now;
-            return std::make_tuple(sounds, stream.newest().members_, stream.isInUse());
+            const bool isLive = stream.lastReceivedAt() + RelayTimeout >= now;
+            return std::make_tuple(isLive, stream.newest().members_, stream.isInUse());
         };
-        if (one == nullptr || rank(told) > rank(*one)) {
-            one = &told;
+        if (selected == nullptr || rank(digestStream) > rank(*selected)) {
+            selected = &digestStream;
         }
     }
-    for (auto &[relay, told] : domains_) {
-        told.setInUse(isRelay() && best.at(told.newest().domain_) == &told, table);
+    for (auto &[relay, digestStream] : remoteDomainStreams_) {
+        digestStream.setInUse(isRelay() && best.at(digestStream.newest().domain_) == &digestStream,
+                              table);
     }
 }
 
-void LoadMesh::forgetSilent(EndpointTable &table, TimePoint now)
+void LoadMesh::removeExpired(EndpointTable &table, TimePoint now)
 {
-    heard_.forgetSilent(table, now);
-    std::erase_if(followers_, [&](const InstanceId &id) { return !heard_.peers().contains(id); });
-    for (auto *streams : {&all_, &domains_}) {
-        for (auto &[relay, told] : *streams) {
-            told.forgetSilent(table, now);
-            if (told.heardAt() + SilentAfter < now) {
-                told.setInUse(false, table);
+    peerLoads_.removeExpired(table, now);
+    std::erase_if(followers_,
+                  [&](const InstanceId &id) { return !peerLoads_.peers().contains(id); });
+    for (auto *streams : {&ownDomainStreams_, &remoteDomainStreams_}) {
+        for (auto &[relay, digestStream] : *streams) {
+            digestStream.removeExpired(table, now);
+            if (digestStream.lastReceivedAt() + ExpireAfter < now) {
+                digestStream.setInUse(false, table);
             }
         }
         std::erase_if(*streams, [&](const auto &entry) {
-            return entry.second.heardAt() + SilentAfter < now;
+            return entry.second.lastReceivedAt() + ExpireAfter < now;
         });
     }
 }
 
-bool LoadMesh::worthSending(const LoadReport &note, TimePoint now) const
+bool LoadMesh::shouldSendReport(const LoadReport &report, TimePoint now) const
 {
-    return now >= lastSentAt_ + QuietInterval
-           || isWorthANote(note, last_, isDirect() ? FleetSize::Few : FleetSize::Many);
+    return now >= lastReportAt_ + KeepaliveInterval
+           || isSignificantChange(report, lastReport_,
+                                  isDirect() ? FleetSize::Small : FleetSize::Large);
 }
 
 void LoadMesh::addReadParts(const std::vector<PromptMemory::Key> &parts)
 {
-    notedParts_.add(parts);
+    reportParts_.add(parts);
 }
 
-void LoadMesh::sendNote(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out)
+void LoadMesh::sendReport(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out)
 {
-    LoadReport note = own;
-    note.number_ = ++noteNumber_;
-    const std::vector<PromptMemory::Key> parts = notedParts_.take(MostPartsInNote);
-    note.readParts_ = parts;
+    LoadReport report = own;
+    report.sequence_ = ++reportSequence_;
+    const std::vector<PromptMemory::Key> parts = reportParts_.take(MaxPartsPerReport);
+    report.readParts_ = parts;
     if (isRelay()) {
-        domainParts_.add(parts);
-        allParts_.add(parts);
+        domainDigestParts_.add(parts);
+        followerDigestParts_.add(parts);
     }
-    const std::string bytes = encodeLoadReport(note);
+    const std::string bytes = encodeLoadReport(report);
     if (isDirect()) {
         for (const auto &[id, member] : members_) {
             out.push_back({id, bytes});
         }
     }
-    for (const InstanceId &relay : choice_.toldByUs()) {
-        const bool tellsUs = choice_.isAsked(relay);
-        note.follows_ = tellsUs ? relay : InstanceId {};
-        out.push_back({relay, tellsUs ? encodeLoadReport(note) : bytes});
+    for (const InstanceId &relay : relaySelector_.reportReceivers()) {
+        const bool isSubscribed = relaySelector_.isSubscribedTo(relay);
+        report.followedRelay_ = isSubscribed ? relay : InstanceId {};
+        out.push_back({relay, isSubscribed ? encodeLoadReport(report) : bytes});
     }
-    ownNotes_.push_back({note.number_, loadsOf(note), note.demand_});
-    if (ownNotes_.size() > RememberedNotes) {
-        ownNotes_.pop_front();
+    ownReports_.push_back({report.sequence_, loadsOf(report), report.demand_});
+    if (ownReports_.size() > MaxOwnReports) {
+        ownReports_.pop_front();
     }
-    last_ = std::move(note);
-    lastSentAt_ = now;
+    lastReport_ = std::move(report);
+    lastReportAt_ = now;
 }
 
 std::vector<MeshDatagram> LoadMesh::tick(LoadReport own, EndpointTable &table, TimePoint now)
 {
     own.sender_ = self_;
     own.lifetime_ = lifetime_;
-    forgetSilent(table, now);
-    chooseRelays(table, now);
+    removeExpired(table, now);
+    updateRelays(table, now);
     std::vector<MeshDatagram> out;
-    if (!members_.empty() && worthSending(own, now)) {
-        sendNote(own, now, out);
+    if (!members_.empty() && shouldSendReport(own, now)) {
+        sendReport(own, now, out);
     }
-    tellAsRelay(own, table, now, out);
+    sendDigests(own, table, now, out);
     return out;
 }
 
-std::vector<MeshDatagram> LoadMesh::tellNow(LoadReport own, EndpointTable &table, TimePoint now)
+std::vector<MeshDatagram> LoadMesh::sendNow(LoadReport own, EndpointTable &table, TimePoint now)
 {
-    lastSentAt_ = {};
-    relayTellsAt_ = {};
+    lastReportAt_ = {};
+    nextDigestAt_ = {};
     return tick(std::move(own), table, now);
 }
 
 TimePoint LoadMesh::nextTick(TimePoint now) const
 {
-    return now + (isRelay() ? RelayInterval : TellInterval);
+    return now + (isRelay() ? RelayInterval : ReportInterval);
 }
 
 ReceiveResult LoadMesh::onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now)
@@ -208,43 +221,44 @@
         const auto received = decodeDigest(bytes);
         return received ? onDigest(*received, table, now) : ReceiveResult::Malformed;
     }
-    const auto note = decodeLoadReport(bytes);
-    return note ? onReport(*note, table, now) : ReceiveResult::Malformed;
+    const auto report = decodeLoadReport(bytes);
+    return report ? onReport(*report, table, now) : ReceiveResult::Malformed;
 }
 
-ReceiveResult LoadMesh::onReport(const LoadReport &note, EndpointTable &table, TimePoint now)
+ReceiveResult LoadMesh::onReport(const LoadReport &report, EndpointTable &table, TimePoint now)
 {
-    const auto sender = members_.find(note.sender_);
-    if (note.sender_ == self_ || sender == members_.end()) {
+    const auto sender = members_.find(report.sender_);
+    if (report.sender_ == self_ || sender == members_.end()) {
         return ReceiveResult::UnknownSender;
     }
     if (!isDirect() && sender->second.domain_ != domain_) {
-        return ReceiveResult::Accepted; // It does not know yet how many we are.
+        return ReceiveResult::Accepted; // The sender does not know the size of the fleet yet.
     }
-    const auto before = heard_.peers().find(note.sender_);
+    const auto before = peerLoads_.peers().find(report.sender_);
     const bool isNew =
-        before == heard_.peers().end() || before->second.note_.lifetime_ != note.lifetime_;
-    if (!heard_.onReport(note, table, now)) {
+        before == peerLoads_.peers().end() || before->second.report_.lifetime_ != report.lifetime_;
+    if (!peerLoads_.onReport(report, table, now)) {
         return ReceiveResult::Accepted;
     }
-    if (note.follows_ != self_) {
-        followers_.erase(note.sender_);
-    } else if (followers_.insert(note.sender_).second || isNew) {
-        newFollowers_.insert(note.sender_);
+    if (report.followedRelay_ != self_) {
+        followers_.erase(report.sender_);
+    } else if (followers_.insert(report.sender_).second || isNew) {
+        newFollowers_.insert(report.sender_);
     }
-    toldParts_.insert(toldParts_.end(), note.readParts_.begin(), note.readParts_.end());
+    receivedParts_.insert(receivedParts_.end(), report.readParts_.begin(), report.readParts_.end());
     if (isRelay()) {
-        domainParts_.add(note.readParts_);
-        allParts_.add(note.readParts_);
+        domainDigestParts_.add(report.readParts_);
+        followerDigestParts_.add(report.readParts_);
     }
     return ReceiveResult::Accepted;
 }
 
-const LoadMesh::OwnNote *LoadMesh::ownNote(std::uint64_t number) const
+const LoadMesh::OwnReport *LoadMesh::ownReport(std::uint64_t sequence) const
 {
-    const auto found = std::find_if(ownNotes_.begin(), ownNotes_.end(),
-                                    [&](const OwnNote &note) { return note.number_ == number; });
-    return found != ownNotes_.end() ? &*found : nullptr;
+    const auto found =
+        std::find_if(ownReports_.begin(), ownReports_.end(),
+                     [&](const OwnReport &report) { return report.sequence_ == sequence; });
+    return found != ownReports_.end() ? &*found : nullptr;
 }
 
 ReceiveResult LoadMesh::onDigest(const ReceivedDigest &received, EndpointTable &table,
@@ -255,55 +269,57 @@
     if (sender == members_.end() || sender->second.domain_ != digest.domain_) {
         return ReceiveResult::UnknownSender;
     }
-    const bool ofThisDomain = digest.domain_ == domain_;
-    if (ofThisDomain != (digest.scope_ == DigestScope::All)) {
+    const bool isOwnDomain = digest.domain_ == domain_;
+    if (isOwnDomain != (digest.scope_ == DigestScope::All)) {
         return ReceiveResult::Malformed;
     }
-    const OwnNote *counted = ofThisDomain ? ownNote(received.countedNote_) : nullptr;
-    DigestStream &stream = (ofThisDomain ? all_ : domains_)[digest.sender_];
-    stream.take(digest, counted != nullptr ? &counted->loads_ : nullptr, table, now);
-    for (const auto &[engine, left] : digest.changingMillis_) {
-        table.onChanging(engine, now + millis(std::min(left, LongestChangeMillis)));
+    const OwnReport *included = isOwnDomain ? ownReport(received.includedReport_) : nullptr;
+    DigestStream &stream = (isOwnDomain ? ownDomainStreams_ : remoteDomainStreams_)[digest.sender_];
+    stream.apply(digest, included != nullptr ? &included->loads_ : nullptr, table, now);
+    for (const auto &[engine, remaining] : digest.changingMillis_) {
+        table.onChanging(engine, now + millis(std::min(remaining, MaxChangeMillis)));
     }
     for (const EndpointId &endpoint : digest.unreached_) {
         table.onUnreachedByPeer(endpoint, now);
     }
-    toldParts_.insert(toldParts_.end(), digest.readParts_.begin(), digest.readParts_.end());
+    receivedParts_.insert(receivedParts_.end(), digest.readParts_.begin(), digest.readParts_.end());
     if (isRelay() && stream.isInUse()) {
-        allParts_.add(digest.readParts_);
-        addAbsent(digest.unreached_, foreignUnreached_, MostUnreachedTold);
+        followerDigestParts_.add(digest.readParts_);
+        appendMissing(digest.unreached_, remoteUnreached_, MaxUnreachedPerDigest);
     }
     return ReceiveResult::Accepted;
 }
 
-std::vector<PromptMemory::Key> LoadMesh::takeToldParts()
+std::vector<PromptMemory::Key> LoadMesh::takeReceivedParts()
 {
-    return std::exchange(toldParts_, {});
+    return std::exchange(receivedParts_, {});
 }
 
-bool LoadMesh::leads() const
+bool LoadMesh::isPreferredLeader() const
 {
-    const auto leaves = [&](const LoadDigest &digest) {
+    const auto allowsLeading = [&](const LoadDigest &digest) {
         const bool otherLeads =
             std::any_of(digest.leaders_.begin(), digest.leaders_.end(),
                         [&](const InstanceId &leader) { return leader != self_; });
         return !otherLeads
                && (digest.candidate_.empty() || leaderRank(digest.candidate_) <= leaderRank(self_));
     };
-    const auto allLeave = [&](const auto &streams) {
+    const auto allAllowLeading = [&](const auto &streams) {
         return std::all_of(streams.begin(), streams.end(), [&](const auto &entry) {
-            return !entry.second.isInUse() || leaves(entry.second.newest());
+            return !entry.second.isInUse() || allowsLeading(entry.second.newest());
         });
     };
-    const bool heardLeave = (!isDirect() && !isRelay()) || heard_.leads(self_);
-    return heardLeave && allLeave(all_) && allLeave(domains_);
+    const bool peersAllowLeading =
+        (!isDirect() && !isRelay()) || peerLoads_.isPreferredLeader(self_);
+    return peersAllowLeading && allAllowLeading(ownDomainStreams_)
+           && allAllowLeading(remoteDomainStreams_);
 }
 
 StageDemand LoadMesh::demand(const ServiceId &service) const
 {
     StageDemand sum;
     if (isDirect() || isRelay()) {
-        sum = heard_.demand(service);
+        sum = peerLoads_.demand(service);
     }
     const auto add = [&](const DigestStream &stream) {
         const auto found = stream.newest().demand_.find(service);
@@ -311,16 +327,16 @@
             sum += found->second;
         }
     };
-    for (const auto &[relay, stream] : domains_) {
+    for (const auto &[relay, stream] : remoteDomainStreams_) {
         add(stream);
     }
-    for (const auto &[relay, stream] : all_) {
+    for (const auto &[relay, stream] : ownDomainStreams_) {
         add(stream);
     }
-    if (!isDirect() && !isRelay() && !ownNotes_.empty()) {
-        // The sum of all has this instance's part as well.
-        const auto own = ownNotes_.back().demand_.find(service);
-        if (own != ownNotes_.back().demand_.end()) {
+    if (!isDirect() && !isRelay() && !ownReports_.empty()) {
+        // The sum of all instances includes this instance's demand.
+        const auto own = ownReports_.back().demand_.find(service);
+        if (own != ownReports_.back().demand_.end()) {
             sum.prefill_ = std::max(0.0, sum.prefill_ - own->second.prefill_);
             sum.decode_ = std::max(0.0, sum.decode_ - own->second.decode_);
         }
--- a/libs/gateway/src/loadmeshlimits.h
+++ b/libs/gateway/src/loadmeshlimits.h
@@ -1,4 +1,6 @@
-/** What both halves of LoadMesh go by: what an instance takes and tells, and what a relay tells. */
+/**
+ * Limits that both parts of LoadMesh use: an instance's sending and receiving, and the relay.
+ */
 #pragma once
 
 #include "almondridge/base/time.h"
@@ -9,21 +11,27 @@
 
 namespace almondridge::gateway {
 
-/** Relays are quicker: a word passes one of them within a domain, two between domains. */
+/**
+ * Minimum interval between the digests of a relay. It is shorter than that of reports, since load
+ * passes one relay within a failure domain and two between domains.
+ */
 inline constexpr Duration RelayInterval = millis(45);
-/** Without any change, so that whoever listens knows that nothing is there. */
-inline constexpr Duration QuietInterval = millis(1'000);
-/** Parts that wait to be told: more than a fleet reads anew between two digests. */
-inline constexpr std::size_t MostPartsToTell = 1'024;
-/** Endpoints that a digest names as not reached: it stays small whatever is cut off. */
-inline constexpr std::size_t MostUnreachedTold = 32;
+/**
+ * Maximum interval between reports. Without changes, a report shows that its sender is alive and
+ * has no other load.
+ */
+inline constexpr Duration KeepaliveInterval = millis(1'000);
+/** Keys of prompt parts that wait to be sent; a fleet reads fewer new parts between two digests. */
+inline constexpr std::size_t MaxPendingParts = 1'024;
+/** Unreached endpoints in a digest; limits its size however many are unreachable. */
+inline constexpr std::size_t MaxUnreachedPerDigest = 32;
 
-/** Appends the values that are not in the list yet, until it has `most`. */
+/** Appends the values that the list does not contain yet, until it has maxSize elements. */
 template <typename Value>
-void addAbsent(const std::vector<Value> &values, std::vector<Value> &to, std::size_t most)
+void appendMissing(const std::vector<Value> &values, std::vector<Value> &to, std::size_t maxSize)
 {
     for (const Value &value : values) {
-        if (to.size() < most && std::find(to.begin(), to.end(), value) == to.end()) {
+        if (to.size() < maxSize && std::find(to.begin(), to.end(), value) == to.end()) {
             to.push_back(value);
         }
     }
--- a/libs/gateway/src/loadmeshrelay.cpp
+++ b/libs/gateway/src/loadmeshrelay.cpp
@@ -3,21 +3,26 @@
 
 #include <utility>
 
-/** The part of LoadMesh that sums up what others told, and tells it. */
+/** The relay part of LoadMesh: adds up the load of other instances and sends the sums. */
 namespace almondridge::gateway {
 namespace {
 
-/** Relays of another domain that a sum is sent to: those known to work there may be others. */
-constexpr std::size_t MostRemoteRelays = 4;
-/** Of its own link a relay uses this share for telling its followers. */
-constexpr double LinkShare = 0.1;
-constexpr Duration LongestRelayInterval = millis(500);
+/**
+ * Relays of another failure domain that get the sum of this one. Relays from which digests came
+ * recently may differ from the primary ones.
+ */
+constexpr std::size_t MaxRemoteRelays = 4;
+/** Share of its own link that a relay uses for digests to its followers. */
+constexpr double DigestLinkShare = 0.1;
+constexpr Duration MaxRelayInterval = millis(500);
 constexpr double BitsPerMegabit = 1e6;
 constexpr int BitsPerByte = 8;
-/** Keys that one digest tells beside its loads, so that it fits into one packet. */
-constexpr std::size_t MostPartsInDigest = 24;
-/** Endpoints that change or were not reached; more of them have a digest of their own. */
-constexpr std::size_t MostListedBesideLoads = 4;
+/** Keys of prompt parts in a digest beside its loads, so that it fits into one packet. */
+constexpr std::size_t MaxPartsPerDigest = 24;
+/**
+ * Changing or unreached endpoints in a digest with loads; a longer list gets a digest of its own.
+ */
+constexpr std::size_t MaxListedBesideLoads = 4;
 
 void addLoads(const LoadTable &loads, LoadTable &sums)
 {
@@ -28,32 +33,32 @@
 
 } // namespace
 
-LoadDigest LoadMesh::emptyDigest(DigestScope scope) const
+LoadDigest LoadMesh::newDigest(DigestScope scope) const
 {
     LoadDigest digest;
     digest.sender_ = self_;
     digest.domain_ = domain_;
     digest.lifetime_ = lifetime_;
     digest.scope_ = scope;
-    digest.members_ = static_cast<int>(heard_.peers().size());
+    digest.members_ = static_cast<int>(peerLoads_.peers().size());
     return digest;
 }
 
-void LoadMesh::addLeaders(const LoadReport &note, LoadDigest &digest) const
+void LoadMesh::addLeaders(const LoadReport &report, LoadDigest &digest) const
 {
-    if (note.leads_) {
-        digest.leaders_.push_back(note.sender_);
+    if (report.isLeader_) {
+        digest.leaders_.push_back(report.sender_);
     }
-    if (note.mayLead_
+    if (report.canLead_
         && (digest.candidate_.empty()
-            || leaderRank(note.sender_) > leaderRank(digest.candidate_))) {
-        digest.candidate_ = note.sender_;
+            || leaderRank(report.sender_) > leaderRank(digest.candidate_))) {
+        digest.candidate_ = report.sender_;
     }
 }
 
 void LoadMesh::addLeaders(const LoadDigest &other, LoadDigest &digest) const
 {
-    addAbsent(other.leaders_, digest.leaders_, members_.size());
+    appendMissing(other.leaders_, digest.leaders_, members_.size());
     if (!other.candidate_.empty()
         && (digest.candidate_.empty()
             || leaderRank(other.candidate_) > leaderRank(digest.candidate_))) {
@@ -61,44 +66,49 @@
     }
 }
 
-/** Demand, leaders and unreached endpoints, of this instance and of those that it hears. */
-LoadDigest LoadMesh::heardDigest(DigestScope scope, const LoadReport &own) const
+/**
+ * Summarizes demand, leaders and unreached endpoints of this instance and of its peers' reports.
+ */
+LoadDigest LoadMesh::summarizeReports(DigestScope scope, const LoadReport &own) const
 {
-    LoadDigest digest = emptyDigest(scope);
+    LoadDigest digest = newDigest(scope);
     digest.demand_ = own.demand_;
     digest.unreached_ = own.unreached_;
     addLeaders(own, digest);
-    for (const auto &[id, peer] : heard_.peers()) {
-        for (const auto &[service, demand] : peer.note_.demand_) {
+    for (const auto &[id, peer] : peerLoads_.peers()) {
+        for (const auto &[service, demand] : peer.report_.demand_) {
             digest.demand_[service] += demand;
         }
-        addAbsent(peer.note_.unreached_, digest.unreached_, MostUnreachedTold);
-        addLeaders(peer.note_, digest);
+        appendMissing(peer.report_.unreached_, digest.unreached_, MaxUnreachedPerDigest);
+        addLeaders(peer.report_, digest);
     }
     return digest;
 }
 
-/** Numbered digests: the lists in the first one, and more where one packet would not do. */
-std::vector<LoadDigest> LoadMesh::digestsOf(LoadDigest first, std::vector<LoadTable> loads,
-                                            const std::vector<PromptMemory::Key> &parts)
+/**
+ * Returns numbered digests. The first one has the lists; the rest is split so that each digest fits
+ * into one packet.
+ */
+std::vector<LoadDigest> LoadMesh::splitIntoDigests(LoadDigest first, std::vector<LoadTable> loads,
+                                                   const std::vector<PromptMemory::Key> &parts)
 {
     std::vector<LoadDigest> digests;
-    if (first.unreached_.size() + first.changingMillis_.size() > MostListedBesideLoads) {
+    if (first.unreached_.size() + first.changingMillis_.size() > MaxListedBesideLoads) {
         digests.push_back(first);
-        digests.back().number_ = ++digestNumber_;
+        digests.back().sequence_ = ++digestSequence_;
         first.unreached_.clear();
         first.changingMillis_.clear();
     }
-    const std::size_t partDigests = (parts.size() + MostPartsInDigest - 1) / MostPartsInDigest;
+    const std::size_t partDigests = (parts.size() + MaxPartsPerDigest - 1) / MaxPartsPerDigest;
     const std::size_t count = std::max<std::size_t>({1, loads.size(), partDigests});
     for (std::size_t index = 0; index < count; ++index) {
         LoadDigest digest = first;
-        digest.number_ = ++digestNumber_;
+        digest.sequence_ = ++digestSequence_;
         if (index < loads.size()) {
             digest.loads_ = std::move(loads[index]);
         }
-        const std::size_t from = std::min(parts.size(), index * MostPartsInDigest);
-        const std::size_t until = std::min(parts.size(), from + MostPartsInDigest);
+        const std::size_t from = std::min(parts.size(), index * MaxPartsPerDigest);
+        const std::size_t until = std::min(parts.size(), from + MaxPartsPerDigest);
         digest.readParts_.assign(parts.begin() + static_cast<std::ptrdiff_t>(from),
                                  parts.begin() + static_cast<std::ptrdiff_t>(until));
         digests.push_back(std::move(digest));
@@ -108,51 +118,57 @@
     return digests;
 }
 
-/** Of each other domain its first relays, and those that were heard of late. */
-std::vector<InstanceId> LoadMesh::relaysOfOthers(TimePoint now) const
+/**
+ * Returns, for each other failure domain, its primary relays and those from which digests came
+ * recently.
+ */
+std::vector<InstanceId> LoadMesh::remoteRelays(TimePoint now) const
 {
     std::vector<InstanceId> found;
-    for (const DomainId &domain : choice_.domains()) {
+    for (const DomainId &domain : relaySelector_.domains()) {
         if (domain == domain_) {
             continue;
         }
-        std::vector<InstanceId> relays = choice_.firstOf(domain);
-        bool anyHeard = false;
-        for (const auto &[relay, told] : domains_) {
-            if (told.newest().domain_ == domain && told.heardAt() + QuietInterval > now) {
-                anyHeard = true;
-                addAbsent({relay}, relays, MostRemoteRelays);
+        std::vector<InstanceId> relays = relaySelector_.primaryRelays(domain);
+        bool anyReceived = false;
+        for (const auto &[relay, digestStream] : remoteDomainStreams_) {
+            if (digestStream.newest().domain_ == domain
+                && digestStream.lastReceivedAt() + KeepaliveInterval > now) {
+                anyReceived = true;
+                appendMissing({relay}, relays, MaxRemoteRelays);
             }
         }
-        if (!anyHeard) {
-            // Others stand in for them, and may not hear of this one either: each group in turn.
-            const auto turn = static_cast<std::size_t>(now.time_since_epoch() / RelaySilentAfter);
-            addAbsent(choice_.standInsOf(domain, turn), relays, MostRemoteRelays);
+        if (!anyReceived) {
+            // Other relays have replaced the primary ones and may not receive from this one either,
+            // so each group is tried in turn.
+            const auto turn = static_cast<std::size_t>(now.time_since_epoch() / RelayTimeout);
+            appendMissing(relaySelector_.fallbackRelays(domain, turn), relays, MaxRemoteRelays);
         }
         found.insert(found.end(), relays.begin(), relays.end());
     }
     return found;
 }
 
-/** The sum of this domain, to the relays of the others. */
-void LoadMesh::tellDomains(const LoadReport &own, TimePoint now, std::vector<MeshDatagram> &out)
+/** Sends the sum of this failure domain to the relays of the others. */
+void LoadMesh::sendToOtherDomains(const LoadReport &own, TimePoint now,
+                                  std::vector<MeshDatagram> &out)
 {
-    LoadDigest digest = heardDigest(DigestScope::Domain, own);
+    LoadDigest digest = summarizeReports(DigestScope::Domain, own);
     LoadTable sums = loadsOf(own);
     digest.changingMillis_ = own.changingMillis_;
-    for (const auto &[id, peer] : heard_.peers()) {
-        addLoads(loadsOf(peer.note_), sums);
-        for (const auto &[engine, left] : peer.note_.changingMillis_) {
-            const std::int64_t rest = left - toMillis(now - peer.heardAt_);
+    for (const auto &[id, peer] : peerLoads_.peers()) {
+        addLoads(loadsOf(peer.report_), sums);
+        for (const auto &[engine, remaining] : peer.report_.changingMillis_) {
+            const std::int64_t rest = remaining - toMillis(now - peer.receivedAt_);
             if (rest > 0) {
                 digest.changingMillis_[engine] = std::max(digest.changingMillis_[engine], rest);
             }
         }
     }
-    const std::vector<InstanceId> receivers = relaysOfOthers(now);
-    const std::vector<LoadTable> loads = domainWriter_.select(sums, now);
+    const std::vector<InstanceId> receivers = remoteRelays(now);
+    const std::vector<LoadTable> loads = domainDigestWriter_.select(sums, now);
     for (const LoadDigest &one :
-         digestsOf(std::move(digest), loads, domainParts_.take(MostPartsToTell))) {
+         splitIntoDigests(std::move(digest), loads, domainDigestParts_.take(MaxPendingParts))) {
         const std::string bytes = digestPrefix(0) + encodeDigest(one);
         for (const InstanceId &relay : receivers) {
             out.push_back({relay, bytes});
@@ -160,64 +176,65 @@
     }
 }
 
-/** The sum of all, to those who follow this relay. */
-void LoadMesh::tellFollowers(const LoadReport &own, const EndpointTable &table, TimePoint now,
-                             std::vector<MeshDatagram> &out)
+/** Sends the sum of all failure domains to the followers of this relay. */
+void LoadMesh::sendToFollowers(const LoadReport &own, const EndpointTable &table, TimePoint now,
+                               std::vector<MeshDatagram> &out)
 {
-    LoadDigest digest = heardDigest(DigestScope::All, own);
+    LoadDigest digest = summarizeReports(DigestScope::All, own);
     LoadTable sums = loadsOf(own);
-    for (const auto &[relay, told] : domains_) {
-        if (told.isInUse()) {
-            for (const auto &[service, demand] : told.newest().demand_) {
+    for (const auto &[relay, digestStream] : remoteDomainStreams_) {
+        if (digestStream.isInUse()) {
+            for (const auto &[service, demand] : digestStream.newest().demand_) {
                 digest.demand_[service] += demand;
             }
-            addLeaders(told.newest(), digest);
+            addLeaders(digestStream.newest(), digest);
         }
     }
-    addAbsent(std::exchange(foreignUnreached_, {}), digest.unreached_, MostUnreachedTold);
+    appendMissing(std::exchange(remoteUnreached_, {}), digest.unreached_, MaxUnreachedPerDigest);
     for (const auto &[id, endpoint] : table.active()) {
         EndpointLoad load {endpoint->foreignQueued_, endpoint->foreignSlotUse_,
                            endpoint->toldFailures_};
-        if (!load.isNone()) {
+        if (!load.isZero()) {
             sums[id].add(load);
         }
         if (endpoint->changingUntil_ > now) {
             digest.changingMillis_[id] = toMillis(endpoint->changingUntil_ - now);
         }
     }
-    const std::vector<LoadTable> loads = allWriter_.select(sums, now);
+    const std::vector<LoadTable> loads = followerDigestWriter_.select(sums, now);
     std::size_t bytesSent = 0;
-    const auto tell = [&](const std::vector<LoadDigest> &digests, const auto &receivers) {
+    const auto enqueue = [&](const std::vector<LoadDigest> &digests, const auto &receivers) {
         for (const LoadDigest &one : digests) {
             const std::string body = encodeDigest(one);
             for (const InstanceId &follower : receivers) {
-                const auto peer = heard_.peers().find(follower);
-                const std::uint64_t counted =
-                    peer != heard_.peers().end() ? peer->second.note_.number_ : 0;
-                out.push_back({follower, digestPrefix(counted) + body});
+                const auto peer = peerLoads_.peers().find(follower);
+                const std::uint64_t included =
+                    peer != peerLoads_.peers().end() ? peer->second.report_.sequence_ : 0;
+                out.push_back({follower, digestPrefix(included) + body});
                 bytesSent += out.back().bytes_.size();
             }
         }
     };
     if (!newFollowers_.empty()) {
-        tell(digestsOf(digest, DigestWriter::split(sums), {}), newFollowers_);
+        enqueue(splitIntoDigests(digest, DigestWriter::split(sums), {}), newFollowers_);
         newFollowers_.clear();
     }
-    tell(digestsOf(std::move(digest), loads, allParts_.take(MostPartsToTell)), followers_);
+    enqueue(splitIntoDigests(std::move(digest), loads, followerDigestParts_.take(MaxPendingParts)),
+            followers_);
     const double seconds = static_cast<double>(bytesSent) * BitsPerByte
-                           / (LinkShare * std::max(1.0, linkMbps_) * BitsPerMegabit);
+                           / (DigestLinkShare * std::max(1.0, linkMbps_) * BitsPerMegabit);
     const auto pause = millis(static_cast<std::int64_t>(seconds * 1'000));
-    relayTellsAt_ = now + std::clamp(pause, RelayInterval, LongestRelayInterval);
+    nextDigestAt_ = now + std::clamp(pause, RelayInterval, MaxRelayInterval);
 }
 
-void LoadMesh::tellAsRelay(const LoadReport &own, const EndpointTable &table, TimePoint now,
+void LoadMesh::sendDigests(const LoadReport &own, const EndpointTable &table, TimePoint now,
                            std::vector<MeshDatagram> &out)
 {
-    if (!isRelay() || now < relayTellsAt_) {
+    if (!isRelay() || now < nextDigestAt_) {
         return;
     }
-    tellDomains(own, now, out);
-    tellFollowers(own, table, now, out);
+    sendToOtherDomains(own, now, out);
+    sendToFollowers(own, table, now, out);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/peerload.cpp
+++ b/libs/gateway/src/peerload.cpp
@@ -14,27 +14,30 @@
 
 using Json = nlohmann::json;
 
-/** A peer sends at least once a second; after three missed notes what it had queued is unknown. */
-constexpr Duration SilentAfter = millis(3'000);
-/** No engine is away for longer, whatever a peer says. */
-constexpr std::int64_t LongestChangeMillis = 10'000;
-/** Any fixed number: it gives the instances one order. */
-constexpr std::uint64_t LeaderOrder = 2;
+/** A peer sends at least once a second; after three missed reports its load is unknown. */
+constexpr Duration ExpireAfter = millis(3'000);
+/** No stage change takes longer; larger values from peers are reduced to this. */
+constexpr std::int64_t MaxChangeMillis = 10'000;
+/** Arbitrary constant, the same in all instances, so that they compute the same order. */
+constexpr std::uint64_t LeaderRankKey = 2;
 
-/** Counts of failures fade and are no whole numbers: they are told in tenths. */
-constexpr double FailureParts = 10;
-/** More requests at one engine are no instance's: sums must not overflow. */
-constexpr int MostUseTold = 100'000;
-/** Demand is told in thousandths of an engine: each of hundreds of instances has little. */
-constexpr double DemandParts = 1'000;
+/** Failure counts decay and are fractional; they are sent in tenths. */
+constexpr double FailureScale = 10;
+/** No instance has more requests at one engine; the limit keeps sums from overflowing. */
+constexpr int MaxSlotUse = 100'000;
+/**
+ * Demand is sent in thousandths of an engine, since each of hundreds of instances has only a small
+ * share.
+ */
+constexpr double DemandScale = 1'000;
 
-/** Where each field of a note stands: names would be longer than what they name. */
+/** Index of each field in the array of a report; field names would be longer than the values. */
 enum class Field : std::uint8_t {
     Sender,
     Lifetime,
-    Number,
-    MayLead,
-    Leads,
+    Sequence,
+    CanLead,
+    IsLeader,
     Queued,
     Changing,
     Unreached,
@@ -42,7 +45,7 @@
     ReadParts,
     Demand,
     SlotUse,
-    Follows,
+    FollowedRelay,
 };
 
 constexpr std::size_t at(Field field)
@@ -50,15 +53,15 @@
     return static_cast<std::size_t>(field);
 }
 
-/** What a field has to be, in the order of the fields. */
-constexpr std::array<bool (Json::*)() const noexcept, at(Field::Follows) + 1> FieldTypes {
+/** Required JSON type of each field, in the order of the fields. */
+constexpr std::array<bool (Json::*)() const noexcept, at(Field::FollowedRelay) + 1> FieldTypes {
     &Json::is_string,  &Json::is_number_unsigned, &Json::is_number_unsigned, &Json::is_boolean,
     &Json::is_boolean, &Json::is_object,          &Json::is_object,          &Json::is_array,
     &Json::is_object,  &Json::is_array,           &Json::is_object,          &Json::is_object,
     &Json::is_string,
 };
 
-bool isShaped(const Json &json)
+bool hasExpectedTypes(const Json &json)
 {
     if (!json.is_array() || json.size() != FieldTypes.size()) {
         return false;
@@ -71,20 +74,20 @@
     return true;
 }
 
-/** Two counts, as endpoints and services have them. */
+/** Whether the value is an array of two counts, as endpoints and services have them. */
 bool isPair(const Json &json)
 {
     return json.is_array() && json.size() == 2 && json[0].is_number_unsigned()
            && json[1].is_number_unsigned();
 }
 
-int useTold(const Json &count)
+int clampedUse(const Json &count)
 {
-    // Compared before it is made an int, which a larger count would turn negative.
-    return static_cast<int>(std::min<std::uint64_t>(count.get<std::uint64_t>(), MostUseTold));
+    // Compared before the conversion to int, which would turn larger counts negative.
+    return static_cast<int>(std::min<std::uint64_t>(count.get<std::uint64_t>(), MaxSlotUse));
 }
 
-/** Tokens by urgency, without the zeros at the end. */
+/** Encodes tokens by urgency without trailing zeros. */
 Json encodeQueue(const PromptQueue &queue)
 {
     std::size_t length = queue.tokens_.size();
@@ -113,47 +116,47 @@
 
 } // namespace
 
-std::string encodeLoadReport(const LoadReport &note)
+std::string encodeLoadReport(const LoadReport &report)
 {
     Json queued = Json::object();
-    for (const auto &[endpoint, queue] : note.queued_) {
+    for (const auto &[endpoint, queue] : report.queued_) {
         queued[endpoint.value()] = encodeQueue(queue);
     }
     Json changing = Json::object();
-    for (const auto &[endpoint, left] : note.changingMillis_) {
-        changing[endpoint.value()] = left;
+    for (const auto &[endpoint, remaining] : report.changingMillis_) {
+        changing[endpoint.value()] = remaining;
     }
     Json failures = Json::object();
-    for (const auto &[endpoint, count] : note.failures_) {
-        failures[endpoint.value()] = std::llround(count * FailureParts);
+    for (const auto &[endpoint, count] : report.failures_) {
+        failures[endpoint.value()] = std::llround(count * FailureScale);
     }
     Json slotUse = Json::object();
-    for (const auto &[endpoint, use] : note.slotUse_) {
+    for (const auto &[endpoint, use] : report.slotUse_) {
         slotUse[endpoint.value()] = {use.inTime_, use.late_};
     }
     Json demand = Json::object();
-    for (const auto &[service, busy] : note.demand_) {
-        demand[service.value()] = {std::llround(busy.prefill_ * DemandParts),
-                                   std::llround(busy.decode_ * DemandParts)};
+    for (const auto &[service, busy] : report.demand_) {
+        demand[service.value()] = {std::llround(busy.prefill_ * DemandScale),
+                                   std::llround(busy.decode_ * DemandScale)};
     }
     Json unreached = Json::array();
-    for (const EndpointId &endpoint : note.unreached_) {
+    for (const EndpointId &endpoint : report.unreached_) {
         unreached.push_back(endpoint.value());
     }
     Json json = Json::array();
-    json[at(Field::Sender)] = note.sender_.value();
-    json[at(Field::Lifetime)] = note.lifetime_;
-    json[at(Field::Number)] = note.number_;
-    json[at(Field::MayLead)] = note.mayLead_;
-    json[at(Field::Leads)] = note.leads_;
+    json[at(Field::Sender)] = report.sender_.value();
+    json[at(Field::Lifetime)] = report.lifetime_;
+    json[at(Field::Sequence)] = report.sequence_;
+    json[at(Field::CanLead)] = report.canLead_;
+    json[at(Field::IsLeader)] = report.isLeader_;
     json[at(Field::Queued)] = std::move(queued);
     json[at(Field::Changing)] = std::move(changing);
     json[at(Field::Unreached)] = std::move(unreached);
     json[at(Field::Failures)] = std::move(failures);
-    json[at(Field::ReadParts)] = note.readParts_;
+    json[at(Field::ReadParts)] = report.readParts_;
     json[at(Field::Demand)] = std::move(demand);
     json[at(Field::SlotUse)] = std::move(slotUse);
-    json[at(Field::Follows)] = note.follows_.value();
+    json[at(Field::FollowedRelay)] = report.followedRelay_.value();
     std::string bytes;
     Json::to_cbor(json, bytes);
     return bytes;
@@ -162,74 +165,74 @@
 std::optional<LoadReport> decodeLoadReport(std::string_view bytes)
 {
     const std::optional<Json> decoded = fromCbor(bytes);
-    if (!decoded || !isShaped(*decoded)) {
+    if (!decoded || !hasExpectedTypes(*decoded)) {
         return std::nullopt;
     }
     const Json &json = *decoded;
-    LoadReport note;
-    note.sender_ = InstanceId(json[at(Field::Sender)].get<std::string>());
-    note.lifetime_ = json[at(Field::Lifetime)].get<std::uint64_t>();
-    note.number_ = json[at(Field::Number)].get<std::uint64_t>();
-    note.mayLead_ = json[at(Field::MayLead)].get<bool>();
-    note.leads_ = json[at(Field::Leads)].get<bool>();
-    note.follows_ = InstanceId(json[at(Field::Follows)].get<std::string>());
+    LoadReport report;
+    report.sender_ = InstanceId(json[at(Field::Sender)].get<std::string>());
+    report.lifetime_ = json[at(Field::Lifetime)].get<std::uint64_t>();
+    report.sequence_ = json[at(Field::Sequence)].get<std::uint64_t>();
+    report.canLead_ = json[at(Field::CanLead)].get<bool>();
+    report.isLeader_ = json[at(Field::IsLeader)].get<bool>();
+    report.followedRelay_ = InstanceId(json[at(Field::FollowedRelay)].get<std::string>());
     for (const auto &[endpoint, tokens] : json[at(Field::Queued)].items()) {
         const auto queue = decodeQueue(tokens);
         if (!queue) {
             return std::nullopt;
         }
-        note.queued_[EndpointId(endpoint)] = *queue;
+        report.queued_[EndpointId(endpoint)] = *queue;
     }
-    for (const auto &[endpoint, left] : json[at(Field::Changing)].items()) {
-        if (!left.is_number_unsigned()) {
+    for (const auto &[endpoint, remaining] : json[at(Field::Changing)].items()) {
+        if (!remaining.is_number_unsigned()) {
             return std::nullopt;
         }
-        note.changingMillis_[EndpointId(endpoint)] = left.get<std::int64_t>();
+        report.changingMillis_[EndpointId(endpoint)] = remaining.get<std::int64_t>();
     }
     for (const Json &endpoint : json[at(Field::Unreached)]) {
         if (!endpoint.is_string()) {
             return std::nullopt;
         }
-        note.unreached_.emplace_back(endpoint.get<std::string>());
+        report.unreached_.emplace_back(endpoint.get<std::string>());
     }
     for (const auto &[endpoint, count] : json[at(Field::Failures)].items()) {
         if (!count.is_number_unsigned()) {
             return std::nullopt;
         }
-        note.failures_[EndpointId(endpoint)] = count.get<double>() / FailureParts;
+        report.failures_[EndpointId(endpoint)] = count.get<double>() / FailureScale;
     }
     for (const auto &[endpoint, use] : json[at(Field::SlotUse)].items()) {
         if (!isPair(use)) {
             return std::nullopt;
         }
-        note.slotUse_[EndpointId(endpoint)] = {useTold(use[0]), useTold(use[1])};
+        report.slotUse_[EndpointId(endpoint)] = {clampedUse(use[0]), clampedUse(use[1])};
     }
     for (const auto &[service, busy] : json[at(Field::Demand)].items()) {
         if (!isPair(busy)) {
             return std::nullopt;
         }
-        note.demand_[ServiceId(service)] = {busy[0].get<double>() / DemandParts,
-                                            busy[1].get<double>() / DemandParts};
+        report.demand_[ServiceId(service)] = {busy[0].get<double>() / DemandScale,
+                                              busy[1].get<double>() / DemandScale};
     }
     for (const Json &part : json[at(Field::ReadParts)]) {
         if (!part.is_number_unsigned()) {
             return std::nullopt;
         }
-        note.readParts_.push_back(part.get<PromptMemory::Key>());
+        report.readParts_.push_back(part.get<PromptMemory::Key>());
     }
-    return note;
+    return report;
 }
 
-LoadTable loadsOf(const LoadReport &note)
+LoadTable loadsOf(const LoadReport &report)
 {
     LoadTable loads;
-    for (const auto &[id, queue] : note.queued_) {
+    for (const auto &[id, queue] : report.queued_) {
         loads[id].queued_ = queue;
     }
-    for (const auto &[id, use] : note.slotUse_) {
+    for (const auto &[id, use] : report.slotUse_) {
         loads[id].slotUse_ = use;
     }
-    for (const auto &[id, failures] : note.failures_) {
+    for (const auto &[id, failures] : report.failures_) {
         loads[id].failures_ = failures;
     }
     return loads;
@@ -237,7 +240,7 @@
 
 std::uint64_t leaderRank(const InstanceId &id)
 {
-    return rendezvousWeight(id.value(), LeaderOrder);
+    return rendezvousWeight(id.value(), LeaderRankKey);
 }
 
 void PeerLoads::setInUse(bool inUse, EndpointTable &table)
@@ -247,67 +250,67 @@
     }
     inUse_ = inUse;
     for (const auto &[id, peer] : peers_) {
-        inUse ? add(peer.note_, table) : takeOut(peer.note_, table);
+        inUse ? add(peer.report_, table) : subtract(peer.report_, table);
     }
 }
 
-void PeerLoads::add(const LoadReport &note, EndpointTable &table)
+void PeerLoads::add(const LoadReport &report, EndpointTable &table)
 {
-    for (const auto &[id, queue] : note.queued_) {
+    for (const auto &[id, queue] : report.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
             endpoint->foreignQueued_.add(queue);
         }
     }
-    for (const auto &[id, use] : note.slotUse_) {
+    for (const auto &[id, use] : report.slotUse_) {
         if (Endpoint *endpoint = table.find(id)) {
             endpoint->foreignSlotUse_.add(use);
         }
     }
-    for (const auto &[id, failures] : note.failures_) {
+    for (const auto &[id, failures] : report.failures_) {
         if (Endpoint *endpoint = table.find(id)) {
             endpoint->toldFailures_ += failures;
         }
     }
 }
 
-void PeerLoads::takeOut(const LoadReport &note, EndpointTable &table)
+void PeerLoads::subtract(const LoadReport &report, EndpointTable &table)
 {
-    for (const auto &[id, queue] : note.queued_) {
+    for (const auto &[id, queue] : report.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
             endpoint->foreignQueued_.remove(queue);
         }
     }
-    for (const auto &[id, use] : note.slotUse_) {
+    for (const auto &[id, use] : report.slotUse_) {
         if (Endpoint *endpoint = table.find(id)) {
             endpoint->foreignSlotUse_.remove(use);
         }
     }
-    for (const auto &[id, failures] : note.failures_) {
+    for (const auto &[id, failures] : report.failures_) {
         if (Endpoint *endpoint = table.find(id)) {
-            // Never below zero: the endpoint may have been listed after the note.
+            // Stops at zero: the endpoint may have been listed after the report came.
             endpoint->toldFailures_ = std::max(0.0, endpoint->toldFailures_ - failures);
         }
     }
 }
 
-bool PeerLoads::onReport(const LoadReport &note, EndpointTable &table, TimePoint now)
+bool PeerLoads::onReport(const LoadReport &report, EndpointTable &table, TimePoint now)
 {
-    Peer &peer = peers_[note.sender_];
-    const bool older =
-        note.lifetime_ < peer.note_.lifetime_
-        || (note.lifetime_ == peer.note_.lifetime_ && note.number_ <= peer.note_.number_);
-    if (older && peer.heardAt_ != TimePoint {}) {
+    Peer &peer = peers_[report.sender_];
+    const bool isStale = report.lifetime_ < peer.report_.lifetime_
+                         || (report.lifetime_ == peer.report_.lifetime_
+                             && report.sequence_ <= peer.report_.sequence_);
+    if (isStale && peer.receivedAt_ != TimePoint {}) {
         return false;
     }
     if (inUse_) {
-        takeOut(peer.note_, table);
-        add(note, table);
+        subtract(peer.report_, table);
+        add(report, table);
     }
-    peer = {note, now};
-    for (const auto &[endpoint, left] : note.changingMillis_) {
-        table.onChanging(endpoint, now + millis(std::min(left, LongestChangeMillis)));
+    peer = {report, now};
+    for (const auto &[endpoint, remaining] : report.changingMillis_) {
+        table.onChanging(endpoint, now + millis(std::min(remaining, MaxChangeMillis)));
     }
-    for (const EndpointId &endpoint : note.unreached_) {
+    for (const EndpointId &endpoint : report.unreached_) {
         table.onUnreachedByPeer(endpoint, now);
     }
     return true;
@@ -317,28 +320,28 @@
 {
     StageDemand sum;
     for (const auto &[id, peer] : peers_) {
-        const auto found = peer.note_.demand_.find(service);
-        if (found != peer.note_.demand_.end()) {
+        const auto found = peer.report_.demand_.find(service);
+        if (found != peer.report_.demand_.end()) {
             sum += found->second;
         }
     }
     return sum;
 }
 
-bool PeerLoads::leads(const InstanceId &self) const
+bool PeerLoads::isPreferredLeader(const InstanceId &self) const
 {
     return std::none_of(peers_.begin(), peers_.end(), [&](const auto &entry) {
-        const LoadReport &note = entry.second.note_;
-        return note.leads_ || (note.mayLead_ && leaderRank(entry.first) > leaderRank(self));
+        const LoadReport &report = entry.second.report_;
+        return report.isLeader_ || (report.canLead_ && leaderRank(entry.first) > leaderRank(self));
     });
 }
 
-void PeerLoads::forgetSilent(EndpointTable &table, TimePoint now)
+void PeerLoads::removeExpired(EndpointTable &table, TimePoint now)
 {
     std::erase_if(peers_, [&](const auto &entry) {
-        const bool silent = entry.second.heardAt_ + SilentAfter < now;
+        const bool silent = entry.second.receivedAt_ + ExpireAfter < now;
         if (silent && inUse_) {
-            takeOut(entry.second.note_, table);
+            subtract(entry.second.report_, table);
         }
         return silent;
     });
--- a/libs/gateway/tests/endpointtest.cpp
+++ b/libs/gateway/tests/endpointtest.cpp
@@ -177,7 +177,7 @@
     table.onTested(EndpointId("engine-0"), true, at(1'004));
     BOOST_TEST(table.usable(Models, at(1'004)).size() == 3U);
     BOOST_TEST(table.unreached(at(1'004)).empty()); // Hearsay is not passed on.
-    note.number_ = 2;
+    note.sequence_ = 2;
     loads.onReport(note, table, at(1'400)); // The same news again: it was tested.
     BOOST_TEST(!table.find(EndpointId("engine-0"))->awaitsTest_);
     table.onEvidence(EndpointId("engine-2"), Evidence::Silent, at(2'000));
--- a/libs/gateway/tests/loadmeshtest.cpp
+++ b/libs/gateway/tests/loadmeshtest.cpp
@@ -13,7 +13,7 @@
 constexpr int WidePerDomain = 3;
 constexpr double WideLink = 200;
 constexpr double NarrowLink = 20;
-/** What fits into one packet beside its headers. */
+/** Payload of one packet without its headers, in bytes. */
 constexpr std::size_t PacketPayload = 1'472;
 constexpr Duration Step = millis(1);
 
@@ -22,7 +22,9 @@
     return EndpointId("i-3eb6e75" + std::to_string(100 + number));
 }
 
-/** A fleet of instances in its own time, with a network that loses, delays and repeats. */
+/**
+ * A simulated fleet with its own clock and a network that loses, delays and duplicates datagrams.
+ */
 class Fleet
 {
 public:
@@ -30,12 +32,12 @@
     {
         MeshMember member_;
         std::uint64_t lifetime_ = 1;
-        bool lives_ = true;
+        bool alive_ = true;
         EndpointTable table_;
         std::unique_ptr<LoadMesh> mesh_;
         LoadReport own_;
         TimePoint tickAt_ {};
-        int taken_ = 0; ///< Datagrams.
+        int received_ = 0; ///< Datagrams received.
     };
 
     Fleet(int instances, int engines, std::uint64_t seed = 1)
@@ -77,7 +79,7 @@
         for (const TimePoint end = now_ + span; now_ < end; now_ += Step) {
             deliver();
             for (auto &[id, node] : nodes_) {
-                if (node.lives_ && node.tickAt_ <= now_) {
+                if (node.alive_ && node.tickAt_ <= now_) {
                     send(node, node.mesh_->tick(node.own_, node.table_, now_));
                     node.tickAt_ = node.mesh_->nextTick(now_);
                 }
@@ -85,7 +87,7 @@
         }
     }
 
-    /** Sends each time something else, as requests come and go. */
+    /** Replaces the load of a node, as if requests had come and gone. */
     void changeLoad(Node &node, int requests = 4)
     {
         node.own_.queued_.clear();
@@ -97,19 +99,22 @@
         }
     }
 
-    /** Whether each knows just what all others that live have told. */
+    /**
+     * Returns a description of the first endpoint at which an instance's view differs from the load
+     * of all other live instances, or an empty string.
+     */
     std::string firstError() const
     {
         LoadTable all;
         for (const auto &[id, node] : nodes_) {
-            if (node.lives_) {
+            if (node.alive_) {
                 for (const auto &[engine, load] : loadsOf(node.own_)) {
                     all[engine].add(load);
                 }
             }
         }
         for (const auto &[id, node] : nodes_) {
-            if (!node.lives_) {
+            if (!node.alive_) {
                 continue;
             }
             const LoadTable own = loadsOf(node.own_);
@@ -135,7 +140,7 @@
     {
         std::vector<InstanceId> found;
         for (const auto &[id, node] : nodes_) {
-            if (node.lives_ && node.mesh_->isRelay()) {
+            if (node.alive_ && node.mesh_->isRelay()) {
                 found.push_back(id);
             }
         }
@@ -144,16 +149,16 @@
     TimePoint now() const noexcept { return now_; }
 
     double lossShare_ = 0;
-    double repeatShare_ = 0;
+    double duplicateShare_ = 0;
     std::int64_t jitterMillis_ = 0;
-    /** Instances that no datagram reaches, and whose own are lost. */
-    std::set<InstanceId> cutOff_;
-    std::size_t longest_ = 0;
+    /** Instances whose incoming and outgoing datagrams are lost. */
+    std::set<InstanceId> partitioned_;
+    std::size_t maxDatagramBytes_ = 0;
     std::size_t bytesBetweenDomains_ = 0;
     std::mt19937_64 &random() { return random_; }
 
 private:
-    struct OnItsWay
+    struct InFlight
     {
         InstanceId from_;
         MeshDatagram datagram_;
@@ -172,16 +177,17 @@
     void send(const Node &from, const std::vector<MeshDatagram> &datagrams)
     {
         for (const MeshDatagram &datagram : datagrams) {
-            longest_ = std::max(longest_, datagram.bytes_.size());
-            const bool near = nodes_.at(datagram.to_).member_.domain_ == from.member_.domain_;
-            bytesBetweenDomains_ += near ? 0 : datagram.bytes_.size();
-            const int copies = happens(repeatShare_) ? 2 : 1;
+            maxDatagramBytes_ = std::max(maxDatagramBytes_, datagram.bytes_.size());
+            const bool isSameDomain =
+                nodes_.at(datagram.to_).member_.domain_ == from.member_.domain_;
+            bytesBetweenDomains_ += isSameDomain ? 0 : datagram.bytes_.size();
+            const int copies = happens(duplicateShare_) ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
                 const auto jitter = static_cast<std::int64_t>(
                     jitterMillis_ > 0 ? random_() % static_cast<std::uint64_t>(jitterMillis_) : 0);
                 if (!happens(lossShare_)) {
-                    way_.emplace(now_ + millis((near ? 1 : 2) + jitter),
-                                 OnItsWay {from.member_.id_, datagram});
+                    inFlight_.emplace(now_ + millis((isSameDomain ? 1 : 2) + jitter),
+                                      InFlight {from.member_.id_, datagram});
                 }
             }
         }
@@ -189,14 +195,14 @@
 
     void deliver()
     {
-        while (!way_.empty() && way_.begin()->first <= now_) {
-            const OnItsWay arrived = way_.begin()->second;
-            way_.erase(way_.begin());
+        while (!inFlight_.empty() && inFlight_.begin()->first <= now_) {
+            const InFlight arrived = inFlight_.begin()->second;
+            inFlight_.erase(inFlight_.begin());
             Node &to = nodes_.at(arrived.datagram_.to_);
-            const bool lost = !to.lives_ || cutOff_.contains(arrived.from_)
-                              || cutOff_.contains(arrived.datagram_.to_);
+            const bool lost = !to.alive_ || partitioned_.contains(arrived.from_)
+                              || partitioned_.contains(arrived.datagram_.to_);
             if (!lost) {
-                ++to.taken_;
+                ++to.received_;
                 to.mesh_->onDatagram(arrived.datagram_.bytes_, to.table_, now_);
             }
         }
@@ -207,74 +213,77 @@
     TimePoint now_ = TimePoint {} + millis(1'000'000);
     std::vector<MeshMember> members_;
     std::map<InstanceId, Node> nodes_;
-    std::multimap<TimePoint, OnItsWay> way_;
+    std::multimap<TimePoint, InFlight> inFlight_;
 };
 
 constexpr int LargeFleet = 195;
 constexpr int LargeEngines = 117;
 
-/** Times in milliseconds until those of the same and of other domains know a new load. */
-struct Spread
+/** Milliseconds until the instances of the same and of other failure domains know a new load. */
+struct PropagationTimes
 {
-    std::int64_t near_ = 0;
-    std::int64_t far_ = 0;
+    std::int64_t sameDomain_ = 0;
+    std::int64_t otherDomains_ = 0;
 };
 
-Spread spreadOfALoad(Fleet &fleet, Fleet::Node &source)
+PropagationTimes measurePropagation(Fleet &fleet, Fleet::Node &source)
 {
     const EndpointId engine = engineId(1);
     source.own_.queued_[engine].add(0, 1'000'000);
     const std::int64_t total = 1'000'000;
-    const TimePoint begun = fleet.now();
-    Spread spread;
-    std::set<InstanceId> knowing;
-    while (knowing.size() + 1 < fleet.nodes().size() && fleet.now() < begun + millis(5'000)) {
+    const TimePoint started = fleet.now();
+    PropagationTimes times;
+    std::set<InstanceId> informed;
+    while (informed.size() + 1 < fleet.nodes().size() && fleet.now() < started + millis(5'000)) {
         fleet.run(Step);
         for (auto &[id, node] : fleet.nodes()) {
-            if (&node == &source || knowing.contains(id)
+            if (&node == &source || informed.contains(id)
                 || node.table_.find(engine)->foreignQueued_.all() < total) {
                 continue;
             }
-            knowing.insert(id);
-            const bool near = node.member_.domain_ == source.member_.domain_;
-            std::int64_t &slowest = near ? spread.near_ : spread.far_;
-            slowest = std::max(slowest, toMillis(fleet.now() - begun));
+            informed.insert(id);
+            const bool isSameDomain = node.member_.domain_ == source.member_.domain_;
+            std::int64_t &slowest = isSameDomain ? times.sameDomain_ : times.otherDomains_;
+            slowest = std::max(slowest, toMillis(fleet.now() - started));
         }
     }
     source.own_.queued_.erase(engine);
-    return spread;
+    return times;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(LoadToldInTwoLevels)
+BOOST_AUTO_TEST_SUITE(LoadMeshes)
 
-// Prompts wait behind others that their instance did not know of. 195 instances told each other
-// directly, so each could do so once in 0.78 s, in which a reader reads forty thousand tokens.
-BOOST_AUTO_TEST_CASE(inALargeFleetLoadIsKnownWithinATenthOfASecond)
+// Guards against late knowledge of load, with which prompts queue behind others that their instance
+// did not know of. When 195 instances sent reports to each other directly, each could do so once in
+// 0.78 s, in which a prefill engine reads 40,000 tokens.
+BOOST_AUTO_TEST_CASE(loadIsKnownWithinATenthOfASecondInALargeFleet)
 {
     Fleet fleet(LargeFleet, LargeEngines);
     fleet.run(millis(4'000));
     BOOST_TEST(fleet.relays().size() == 2U * Domains);
     for (int source = 0; source < LargeFleet; source += 13) {
-        const Spread spread = spreadOfALoad(fleet, fleet.node(source));
-        BOOST_TEST(spread.near_ <= 100, "from " << source << ": " << spread.near_);
-        BOOST_TEST(spread.far_ <= 150, "from " << source << ": " << spread.far_);
+        const PropagationTimes times = measurePropagation(fleet, fleet.node(source));
+        BOOST_TEST(times.sameDomain_ <= 100, "from " << source << ": " << times.sameDomain_);
+        BOOST_TEST(times.otherDomains_ <= 150, "from " << source << ": " << times.otherDomains_);
         fleet.run(millis(100));
     }
 }
 
-// An instance with an eighth of a core spends it on datagrams instead of requests.
-BOOST_AUTO_TEST_CASE(whoRelaysNothingTakesFewDatagrams)
+// Guards against an instance with an eighth of a core that spends it on datagrams instead of
+// requests.
+BOOST_AUTO_TEST_CASE(instanceThatIsNoRelayReceivesFewDatagrams)
 {
     Fleet fleet(LargeFleet, LargeEngines);
     fleet.run(millis(4'000));
     for (auto &[id, node] : fleet.nodes()) {
-        node.taken_ = 0;
+        node.received_ = 0;
     }
     fleet.bytesBetweenDomains_ = 0;
     constexpr std::int64_t Seconds = 3;
-    // Each instance gets 7.5 requests a second: each has its prompt read and then generates.
+    // Each instance gets 7.5 requests a second; each request is first a prompt to read, then a
+    // decode slot in use.
     constexpr int StepsPerSecond = 60;
     constexpr int StepsBetweenRequests = 8;
     for (int step = 0; step < Seconds * StepsPerSecond; ++step) {
@@ -288,16 +297,17 @@
     }
     for (const auto &[id, node] : fleet.nodes()) {
         if (!node.mesh_->isRelay()) {
-            BOOST_TEST(node.taken_ < 60 * Seconds, id.value() << ": " << node.taken_);
+            BOOST_TEST(node.received_ < 60 * Seconds, id.value() << ": " << node.received_);
         }
     }
-    BOOST_TEST(fleet.longest_ <= PacketPayload);
-    // 0.53 GB in a minute of a day, of which notes from each to all were the most.
+    BOOST_TEST(fleet.maxDatagramBytes_ <= PacketPayload);
+    // Direct reports from each instance to all others took 0.53 GB a minute, most of the traffic
+    // between failure domains.
     constexpr double BytesPerSecond = 0.53e9 / 60;
     BOOST_TEST(static_cast<double>(fleet.bytesBetweenDomains_) / Seconds < BytesPerSecond);
 }
 
-BOOST_AUTO_TEST_CASE(fewInstancesTellEachOtherDirectly)
+BOOST_AUTO_TEST_CASE(smallFleetSendsReportsDirectly)
 {
     Fleet fleet(9, 18);
     for (auto &[id, node] : fleet.nodes()) {
@@ -308,7 +318,7 @@
     BOOST_TEST(fleet.firstError() == "");
 }
 
-BOOST_AUTO_TEST_CASE(eachKnowsTheSumOfAllOthersAndNothingTwice)
+BOOST_AUTO_TEST_CASE(eachInstanceKnowsTheLoadOfAllOthersOnce)
 {
     Fleet fleet(60, 30);
     for (auto &[id, node] : fleet.nodes()) {
@@ -324,9 +334,10 @@
     BOOST_TEST(fleet.firstError() == "");
 }
 
-// Half a fleet goes on sending to engines that a crash took away: those who met it told it, but in
-// another failure domain only the relays heard of it.
-BOOST_AUTO_TEST_CASE(endpointsThatWereNotReachedAreToldToAllDomains)
+// Guards against unreached endpoints that are reported only within a failure domain. After a crash
+// of engines, half of a fleet continued to send to them, since only the relays of the other failure
+// domains got the reports.
+BOOST_AUTO_TEST_CASE(unreachedEndpointsAreReportedToAllDomains)
 {
     Fleet fleet(LargeFleet, LargeEngines);
     for (auto &[id, node] : fleet.nodes()) {
@@ -346,13 +357,14 @@
     }
 }
 
-// A relay dies, and for seconds its domain's prompts are sent to engines that look idle.
-BOOST_AUTO_TEST_CASE(theLossOfARelayIsOverWithinASecond)
+// Guards against the loss of a relay that leaves its failure domain without current load: for
+// seconds it would send prompts to engines that only look idle.
+BOOST_AUTO_TEST_CASE(lossOfARelayIsRepairedWithinASecond)
 {
     Fleet fleet(LargeFleet, LargeEngines);
     fleet.run(millis(4'000));
     const InstanceId dead = fleet.relays().front();
-    fleet.nodes().at(dead).lives_ = false;
+    fleet.nodes().at(dead).alive_ = false;
     fleet.run(millis(1'000));
     for (int source = 20; source < LargeFleet; source += 29) {
         if (fleet.node(source).member_.id_ != dead) {
@@ -370,28 +382,29 @@
     }
 }
 
-// Relays and others die, restart with nothing, are cut off and come back, while datagrams are lost,
-// late and repeated: what is known may be wrong for a moment, but not after three calm seconds.
-BOOST_AUTO_TEST_CASE(afterAnyTroubleTheSumsAreRight)
+// Guards against sums that stay wrong after relays and other instances die, restart without state,
+// or are isolated while datagrams are lost, late and duplicated. They have to be right after three
+// quiet seconds.
+BOOST_AUTO_TEST_CASE(sumsAreRightAfterFaults)
 {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         Fleet fleet(40, 20, seed);
         std::mt19937_64 &random = fleet.random();
         fleet.run(millis(1'500));
-        for (int trouble = 0; trouble < 12; ++trouble) {
+        for (int fault = 0; fault < 12; ++fault) {
             fleet.lossShare_ = random() % 2 == 0 ? 0.2 : 0;
-            fleet.repeatShare_ = random() % 2 == 0 ? 0.2 : 0;
+            fleet.duplicateShare_ = random() % 2 == 0 ? 0.2 : 0;
             fleet.jitterMillis_ = random() % 2 == 0 ? 120 : 0;
-            fleet.cutOff_.clear();
+            fleet.partitioned_.clear();
             for (auto &[id, node] : fleet.nodes()) {
                 const std::uint64_t what = random() % 10;
                 if (what == 0) {
-                    fleet.cutOff_.insert(id);
+                    fleet.partitioned_.insert(id);
                 } else if (what == 1) {
-                    node.lives_ = false;
+                    node.alive_ = false;
                 } else if (what <= 3) {
                     fleet.start(node);
-                    node.lives_ = true;
+                    node.alive_ = true;
                     node.own_ = {};
                 } else if (what <= 6) {
                     fleet.changeLoad(node);
@@ -400,24 +413,23 @@
             fleet.run(millis(static_cast<int>(random() % 900)));
         }
         fleet.lossShare_ = 0;
-        fleet.repeatShare_ = 0;
+        fleet.duplicateShare_ = 0;
         fleet.jitterMillis_ = 0;
-        fleet.cutOff_.clear();
-        // Relays that were cut off are passed over for some seconds, others work meanwhile.
+        fleet.partitioned_.clear();
+        // Relays that were isolated stay excluded for some seconds; others relay in the meantime.
         fleet.run(millis(8'000));
         BOOST_TEST(fleet.firstError() == "", "seed " << seed << ": " << fleet.firstError());
     }
 }
 
-// Anybody may send datagrams: none may end the process, and one that cannot be read changes
-// nothing.
-BOOST_AUTO_TEST_CASE(whatIsNoDigestIsDroppedWhole)
+// Guards against forged datagrams: none may crash the process, and a malformed one has no effect.
+BOOST_AUTO_TEST_CASE(malformedDigestIsDropped)
 {
     LoadDigest digest;
     digest.sender_ = InstanceId("front-1");
     digest.domain_ = DomainId("domain-1");
     digest.lifetime_ = 3;
-    digest.number_ = 7;
+    digest.sequence_ = 7;
     digest.members_ = 4;
     digest.loads_[engineId(1)].queued_.add(2, 900);
     digest.loads_[engineId(2)].slotUse_ = {3, 1};
@@ -430,7 +442,7 @@
     const std::string bytes = digestPrefix(42) + encodeDigest(digest);
     const auto whole = decodeDigest(bytes);
     BOOST_REQUIRE(whole.has_value());
-    BOOST_TEST(whole->countedNote_ == 42U);
+    BOOST_TEST(whole->includedReport_ == 42U);
     BOOST_TEST((whole->digest_.loads_ == digest.loads_));
     BOOST_TEST((whole->digest_.leaders_ == digest.leaders_));
     BOOST_TEST((whole->digest_.readParts_ == digest.readParts_));
@@ -451,22 +463,22 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aStrangersWordIsNotTaken)
+BOOST_AUTO_TEST_CASE(unknownSenderIsRejected)
 {
     Fleet fleet(40, 20);
     Fleet::Node &node = fleet.node(7);
-    LoadReport note {InstanceId("stranger"), 1, 1};
-    note.queued_[engineId(1)].add(0, 5'000);
-    BOOST_TEST((node.mesh_->onDatagram(encodeLoadReport(note), node.table_, fleet.now())
+    LoadReport report {InstanceId("stranger"), 1, 1};
+    report.queued_[engineId(1)].add(0, 5'000);
+    BOOST_TEST((node.mesh_->onDatagram(encodeLoadReport(report), node.table_, fleet.now())
                 == ReceiveResult::UnknownSender));
     BOOST_TEST(
         (node.mesh_->onDatagram("neither", node.table_, fleet.now()) == ReceiveResult::Malformed));
     BOOST_TEST(node.table_.find(engineId(1))->foreignQueued_.all() == 0);
 }
 
-// All of an instance's work stops for good: it stood in for silent relays, and the instances
-// between these and itself left the list meanwhile.
-BOOST_AUTO_TEST_CASE(aListThatShrinksUnderAStandInEndsNothing)
+// Guards against an instance that stops working for good: it relayed in place of silent relays, and
+// the instances ranked between these and itself left the list in the meantime.
+BOOST_AUTO_TEST_CASE(shrinkingMemberListDoesNotStopAFallbackRelay)
 {
     const DomainId domain("domain");
     constexpr int Count = 12;
@@ -476,47 +488,47 @@
         members.push_back({InstanceId("front-" + std::to_string(number)), domain, NarrowLink});
     }
     for (const MeshMember &self : members) {
-        for (const std::size_t left : {std::size_t {3}, std::size_t {1}, std::size_t {0}}) {
-            RelayChoice choice(self.id_, domain);
-            choice.setMembers(members);
+        for (const std::size_t remaining : {std::size_t {3}, std::size_t {1}, std::size_t {0}}) {
+            RelaySelector selector(self.id_, domain);
+            selector.setMembers(members);
             TimePoint now = TimePoint {} + millis(1'000'000);
-            const auto hearsNothing = [](const InstanceId &, TimePoint) { return false; };
-            const auto hearsAll = [](const InstanceId &, TimePoint) { return true; };
+            const auto receivesNothing = [](const InstanceId &, TimePoint) { return false; };
+            const auto receivesAll = [](const InstanceId &, TimePoint) { return true; };
             for (int tick = 0; tick < 200; ++tick) {
-                choice.choose(hearsNothing, now += millis(50));
+                selector.update(receivesNothing, now += millis(50));
             }
-            choice.setMembers(
-                {members.begin(), members.begin() + static_cast<std::ptrdiff_t>(left)});
+            selector.setMembers(
+                {members.begin(), members.begin() + static_cast<std::ptrdiff_t>(remaining)});
             for (int tick = 0; tick < 100; ++tick) {
-                choice.choose(hearsAll, now += millis(50));
+                selector.update(receivesAll, now += millis(50));
             }
-            BOOST_TEST((left == 0 || choice.isRelay() || !choice.followed().empty()));
+            BOOST_TEST((remaining == 0 || selector.isRelay() || !selector.followed().empty()));
         }
     }
 }
 
-BOOST_AUTO_TEST_CASE(oneOfALargeFleetLeads)
+BOOST_AUTO_TEST_CASE(largeFleetHasOnePreferredLeader)
 {
     Fleet fleet(60, 10);
     for (auto &[id, node] : fleet.nodes()) {
-        node.own_.mayLead_ = true;
+        node.own_.canLead_ = true;
     }
     fleet.run(millis(4'000));
     std::vector<InstanceId> leaders;
     for (auto &[id, node] : fleet.nodes()) {
-        if (node.mesh_->leads()) {
+        if (node.mesh_->isPreferredLeader()) {
             leaders.push_back(id);
         }
     }
     BOOST_REQUIRE(leaders.size() == 1U);
-    fleet.nodes().at(leaders.front()).own_.leads_ = true;
+    fleet.nodes().at(leaders.front()).own_.isLeader_ = true;
     const InstanceId before = leaders.front();
     fleet.run(millis(500));
-    fleet.nodes().at(before).lives_ = false;
+    fleet.nodes().at(before).alive_ = false;
     fleet.run(millis(5'000));
     leaders.clear();
     for (auto &[id, node] : fleet.nodes()) {
-        if (node.lives_ && node.mesh_->leads()) {
+        if (node.alive_ && node.mesh_->isPreferredLeader()) {
             leaders.push_back(id);
         }
     }
--- a/libs/gateway/tests/peerloadtest.cpp
+++ b/libs/gateway/tests/peerloadtest.cpp
@@ -9,14 +9,15 @@
 using namespace almondridge::gateway;
 using namespace almondridge::gateway::testing;
 
-BOOST_AUTO_TEST_SUITE(NotesOfPeers)
+BOOST_AUTO_TEST_SUITE(LoadReports)
 
 /**
- * Each of 68 instances sends a subject's prompts for the first time now and then. Taken for cached
- * at its first engine, a part that nobody had read yet was estimated at 23 ms and took 509, and
- * the prompts behind it were late too. The instances tell each other which parts were read where.
+ * Guards against estimates that take an unread prompt part for cached. Each of 68 instances
+ * occasionally sends the first prompt with a shared part; taken for cached, it was estimated at 23
+ * ms and took 509 ms, which made the prompts queued behind it late as well. Instances therefore
+ * report which parts were read where.
  */
-BOOST_AUTO_TEST_CASE(whichPartsWereReadWhereIsToldToTheOthers)
+BOOST_AUTO_TEST_CASE(partsThatEnginesReadAreReportedToPeers)
 {
     const EndpointTable table = fleet(12, 6);
     const Prompt prompt = promptWith(1);
@@ -26,72 +27,74 @@
     BOOST_TEST(first.partsUnknown_);
     BOOST_TEST(first.newTokens_ > prompt.ownTokens());
     reader.onPromptRead(table.find(*first.prefill_)->listed_, prompt, at(0));
-    LoadReport note {InstanceId("reader"), 1, 1};
-    note.readParts_ = reader.takeReadParts();
-    BOOST_TEST(note.readParts_.size() == 1U); // Nobody else asks with the prompt's own part.
+    LoadReport report {InstanceId("reader"), 1, 1};
+    report.readParts_ = reader.takeReadParts();
+    BOOST_TEST(report.readParts_.size() == 1U); // No other prompt shares the prompt's own part.
     BOOST_TEST(reader.takeReadParts().empty());
-    other.onPartsTold(decodeLoadReport(encodeLoadReport(note))->readParts_, at(0));
-    BOOST_TEST(other.takeReadParts().empty()); // Hearsay is not passed on.
+    other.onPartsTold(decodeLoadReport(encodeLoadReport(report))->readParts_, at(0));
+    BOOST_TEST(other.takeReadParts().empty()); // Received parts are not forwarded.
     const PromptPlan second = *planFor(other, table, prompt);
     BOOST_TEST((second.prefill_ == first.prefill_));
     BOOST_TEST(!second.partsUnknown_);
     BOOST_TEST(second.newTokens_ == prompt.ownTokens());
 }
 
-/** What the other instances have sent counts like our own, or nine of them would herd. */
-BOOST_AUTO_TEST_CASE(theQueuesOfOtherInstancesCount)
+/**
+ * Guards against ignoring other instances' load: nine instances would send to the same idle engine.
+ */
+BOOST_AUTO_TEST_CASE(queuesOfOtherInstancesCount)
 {
     EndpointTable table = fleet(12, 6);
     const Placement placement({DomainId("a")});
     const auto home = *planFor(placement, table, promptWith(1))->prefill_;
     PeerLoads loads;
-    LoadReport note {InstanceId("other"), 1, 1};
-    note.queued_[home].add(1, 50'000);
-    loads.onReport(*decodeLoadReport(encodeLoadReport(note)), table, at(0));
+    LoadReport report {InstanceId("other"), 1, 1};
+    report.queued_[home].add(1, 50'000);
+    loads.onReport(*decodeLoadReport(encodeLoadReport(report)), table, at(0));
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != home));
-    loads.forgetSilent(table, at(5'000));
+    loads.removeExpired(table, at(5'000));
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == home));
 }
 
-/** Datagrams overtake each other, and a restarted peer counts anew. */
-BOOST_AUTO_TEST_CASE(anOlderNoteDoesNotReplaceANewerOne)
+/** Guards against reordered datagrams. A restarted peer starts its sequence numbers anew. */
+BOOST_AUTO_TEST_CASE(olderReportDoesNotReplaceNewerOne)
 {
     EndpointTable table = fleet(1, 1);
     const EndpointId id("engine-0");
     PeerLoads loads;
-    const auto hear = [&](std::uint64_t lifetime, std::uint64_t number, std::int64_t tokens) {
-        LoadReport note {InstanceId("other"), lifetime, number};
-        note.queued_[id].add(0, tokens);
-        loads.onReport(note, table, at(0));
+    const auto receive = [&](std::uint64_t lifetime, std::uint64_t number, std::int64_t tokens) {
+        LoadReport report {InstanceId("other"), lifetime, number};
+        report.queued_[id].add(0, tokens);
+        loads.onReport(report, table, at(0));
         return table.find(id)->foreignQueued_.all();
     };
-    BOOST_TEST(hear(1, 2, 500) == 500);
-    BOOST_TEST(hear(1, 1, 900) == 500);
-    BOOST_TEST(hear(2, 1, 70) == 70);
-    BOOST_TEST(hear(1, 3, 900) == 70);
+    BOOST_TEST(receive(1, 2, 500) == 500);
+    BOOST_TEST(receive(1, 1, 900) == 500);
+    BOOST_TEST(receive(2, 1, 70) == 70);
+    BOOST_TEST(receive(1, 3, 900) == 70);
 }
 
 /**
- * Of all instances one asks for the right to give orders. When it falls silent or loses the store
- * the next one does, without a vote.
+ * Guards against several instances or none asking for the right to give orders. One asks; when it
+ * falls silent or loses the store, the next one does, without a vote.
  */
-BOOST_AUTO_TEST_CASE(oneInstanceLeadsUntilItIsSilentOrCutOff)
+BOOST_AUTO_TEST_CASE(oneInstanceIsPreferredLeaderUntilItIsSilentOrLosesTheStore)
 {
     EndpointTable table;
     constexpr int Count = 9;
     std::array<PeerLoads, Count> views;
     const auto name = [](int number) { return InstanceId("instance-" + std::to_string(number)); };
-    const auto hear = [&](int sender, bool mayLead, std::uint64_t number, TimePoint now) {
+    const auto receive = [&](int sender, bool canLead, std::uint64_t number, TimePoint now) {
         for (int self = 0; self < Count; ++self) {
             if (self != sender) {
-                views[self].onReport({name(sender), 1, number, {}, mayLead}, table, now);
+                views[self].onReport({name(sender), 1, number, {}, canLead}, table, now);
             }
         }
     };
     const auto leader = [&] {
         int found = -1;
         for (int self = 0; self < Count; ++self) {
-            if (views[self].leads(name(self))) {
+            if (views[self].isPreferredLeader(name(self))) {
                 BOOST_TEST(found == -1);
                 found = self;
             }
@@ -99,68 +102,68 @@
         return found;
     };
     for (int sender = 0; sender < Count; ++sender) {
-        hear(sender, true, 1, at(0));
+        receive(sender, true, 1, at(0));
     }
     const int first = leader();
     BOOST_REQUIRE(first >= 0);
-    hear(first, false, 2, at(100));
+    receive(first, false, 2, at(100));
     int others = 0;
     for (int self = 0; self < Count; ++self) {
-        others += self != first && views[self].leads(name(self)) ? 1 : 0;
+        others += self != first && views[self].isPreferredLeader(name(self)) ? 1 : 0;
     }
     BOOST_TEST(others == 1);
-    hear(first, true, 3, at(200));
+    receive(first, true, 3, at(200));
     BOOST_TEST(leader() == first);
 }
 
 /**
- * The lease has a holder, and an instance starts that comes before it in the order. If it asked,
- * the store could hand the lease on, and for seconds nobody could give orders.
+ * Guards against an instance that asks for the lease while another one holds it, because it ranks
+ * first. The store could then pass the lease on, and no instance could give orders for seconds.
  */
-BOOST_AUTO_TEST_CASE(nobodyAsksWhileAnotherInstanceLeads)
+BOOST_AUTO_TEST_CASE(noInstanceAsksWhileAnotherOneIsLeader)
 {
     EndpointTable table;
     PeerLoads loads;
-    LoadReport note {InstanceId("holder"), 1, 1};
-    note.mayLead_ = true;
-    note.leads_ = true;
-    loads.onReport(note, table, at(0));
+    LoadReport report {InstanceId("holder"), 1, 1};
+    report.canLead_ = true;
+    report.isLeader_ = true;
+    loads.onReport(report, table, at(0));
     for (int number = 0; number < 20; ++number) {
-        BOOST_TEST(!loads.leads(InstanceId("instance-" + std::to_string(number))));
+        BOOST_TEST(!loads.isPreferredLeader(InstanceId("instance-" + std::to_string(number))));
     }
-    loads.forgetSilent(table, at(4'000));
-    BOOST_TEST(loads.leads(InstanceId("instance-1")));
+    loads.removeExpired(table, at(4'000));
+    BOOST_TEST(loads.isPreferredLeader(InstanceId("instance-1")));
 }
 
 /**
- * An engine that changes its stage answers 503 with nothing running, so it looks idle and draws
- * every request of the instances that do not know of its order.
+ * Guards against sending work to an engine that is changing its stage. It answers 503 and runs
+ * nothing, so it looks idle to instances that do not know of the order.
  */
-BOOST_AUTO_TEST_CASE(anEngineThatChangesGetsNoWorkFromAnyInstance)
+BOOST_AUTO_TEST_CASE(changingEngineGetsNoWorkFromAnyInstance)
 {
     EndpointTable table = fleet(0, 2);
     PeerLoads loads;
-    LoadReport note {InstanceId("leader"), 1, 1};
-    note.changingMillis_[EndpointId("engine-0")] = 3'000;
-    loads.onReport(note, table, at(0));
+    LoadReport report {InstanceId("leader"), 1, 1};
+    report.changingMillis_[EndpointId("engine-0")] = 3'000;
+    loads.onReport(report, table, at(0));
     BOOST_TEST(table.usable(Models, at(2'900)).size() == 1U);
     BOOST_TEST(table.usable(Models, at(3'100)).size() == 2U);
-    loads.onReport({InstanceId("leader"), 1, 2, note.changingMillis_}, table, at(4'000));
+    loads.onReport({InstanceId("leader"), 1, 2, report.changingMillis_}, table, at(4'000));
     table.list(engine(0, Stage::Prefill), at(5'000));
     BOOST_TEST(table.usable(Models, at(5'000)).size() == 2U);
 }
 
 /**
- * A datagram of somebody else's has the form of a note and counts beyond any int. Read as negative
- * ones they would make a full engine look idle to this instance until the next note.
+ * Guards against a forged report with counts beyond the range of int. Converted to negative values,
+ * they would make a full engine look idle until the next report.
  */
-BOOST_AUTO_TEST_CASE(countsThatNoInstanceCanHaveAreCutToTheMost)
+BOOST_AUTO_TEST_CASE(impossibleCountsAreClamped)
 {
-    LoadReport note;
-    note.sender_ = InstanceId("peer");
-    note.number_ = 1;
-    note.slotUse_[EndpointId("engine-0")] = {1, 1};
-    nlohmann::json json = nlohmann::json::from_cbor(encodeLoadReport(note));
+    LoadReport report;
+    report.sender_ = InstanceId("peer");
+    report.sequence_ = 1;
+    report.slotUse_[EndpointId("engine-0")] = {1, 1};
+    nlohmann::json json = nlohmann::json::from_cbor(encodeLoadReport(report));
     constexpr std::size_t SlotUseField = 11;
     json[SlotUseField]["engine-0"] = {3'000'000'000U, 18'446'744'073'709'551'615ULL};
     std::string bytes;
@@ -171,14 +174,14 @@
     BOOST_TEST(read->slotUse_.at(EndpointId("engine-0")).late_ == 100'000);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNoNoteIsIgnored)
+BOOST_AUTO_TEST_CASE(malformedReportIsIgnored)
 {
-    LoadReport note {InstanceId("other"), 1, 1};
-    note.queued_[EndpointId("e")].add(9, 3);
-    note.changingMillis_[EndpointId("f")] = 2'900;
-    const std::string bytes = encodeLoadReport(note);
-    BOOST_TEST((decodeLoadReport(bytes)->queued_ == note.queued_));
-    BOOST_TEST((decodeLoadReport(bytes)->changingMillis_ == note.changingMillis_));
+    LoadReport report {InstanceId("other"), 1, 1};
+    report.queued_[EndpointId("e")].add(9, 3);
+    report.changingMillis_[EndpointId("f")] = 2'900;
+    const std::string bytes = encodeLoadReport(report);
+    BOOST_TEST((decodeLoadReport(bytes)->queued_ == report.queued_));
+    BOOST_TEST((decodeLoadReport(bytes)->changingMillis_ == report.changingMillis_));
     for (std::size_t length = 0; length < bytes.size(); ++length) {
         BOOST_TEST(!decodeLoadReport(bytes.substr(0, length)).has_value());
     }
--- a/libs/gateway/tests/placementtest.cpp
+++ b/libs/gateway/tests/placementtest.cpp
@@ -176,7 +176,7 @@
     for (int peer = 0; peer < 8; ++peer) {
         LoadReport note;
         note.sender_ = InstanceId("peer-" + std::to_string(peer));
-        note.number_ = 1;
+        note.sequence_ = 1;
         note.queued_[EndpointId("engine-0")].add(1, Placement::handoverTokens(prompt));
         loads.onReport(note, table, at(0));
     }
@@ -224,7 +224,7 @@
     PeerLoads loads;
     LoadReport note;
     note.sender_ = InstanceId("peer");
-    note.number_ = 1;
+    note.sequence_ = 1;
     note.slotUse_[id] = {20, 44};
     loads.onReport(*decodeLoadReport(encodeLoadReport(note)), table, at(0));
     BOOST_TEST(choose().waitMillis_ == 210); // The late ones of the peer wait behind.
