--- a/libs/gateway/include/almondridge/gateway/loaddigest.h
+++ b/libs/gateway/include/almondridge/gateway/loaddigest.h
@@ -60,8 +60,11 @@
     std::vector<InstanceId> leaders_ {}; ///< Instances that are entitled to give orders.
     /** The highest-ranked instance that could become leader; empty: none. */
     InstanceId candidate_ {};
+    /** Engines that are carrying out an order, and about how many milliseconds they still need. */
     std::map<EndpointId, std::int64_t> changingMillis_ {};
+    /** Endpoints that an instance recently could not reach. */
     std::vector<EndpointId> unreached_ {};
+    /** Keys of shared prompt parts that engines have recently read. */
     std::vector<PromptMemory::Key> readParts_ {};
 };
 
--- a/libs/gateway/include/almondridge/gateway/peerload.h
+++ b/libs/gateway/include/almondridge/gateway/peerload.h
@@ -35,6 +35,7 @@
     std::map<EndpointId, std::int64_t> changingMillis_ {};
     bool canLead_ = false;  ///< The sender could become leader, since it reaches the store.
     bool isLeader_ = false; ///< The sender is entitled to give orders.
+    /** Prompt tokens of the sender that engines have not read yet. */
     std::map<EndpointId, PromptQueue> queued_ {};
     /** Requests of the sender at engines that run the decode stage. */
     std::map<EndpointId, SlotUse> slotUse_ {};
--- a/libs/gateway/include/almondridge/gateway/slotuse.h
+++ b/libs/gateway/include/almondridge/gateway/slotuse.h
@@ -10,7 +10,7 @@
 struct SlotUse
 {
     int inTime_ = 0; ///< Requests that can still meet their deadline; they go first.
-    int late_ = 0;
+    int late_ = 0;   ///< Requests that can no longer meet it.
 
     int all() const noexcept { return inTime_ + late_; }
     void add(bool late) { ++(late ? late_ : inTime_); }
--- a/libs/gateway/src/loadmesh.cpp
+++ b/libs/gateway/src/loadmesh.cpp
@@ -93,7 +93,7 @@
     if (isDirect()) {
         relaySelector_.disable();
     } else if (relaySelector_.update(hasReceived, now)) {
-        lastReportAt_ = {}; // A report tells the relay that this instance follows it.
+        lastReportAt_ = {}; // A report informs the relay that this instance follows it.
     }
     updateStreams(table, now);
 }
--- a/libs/gateway/tests/stageplantest.cpp
+++ b/libs/gateway/tests/stageplantest.cpp
@@ -104,8 +104,8 @@
  */
 BOOST_AUTO_TEST_CASE(splitConvergesToTheBestOneForAnyFleetSize)
 {
-    const auto use = [](int readers, int generators, const StageDemand &demand) {
-        return std::max(demand.prefill_ / readers, demand.decode_ / generators);
+    const auto use = [](int prefillEngines, int decodeEngines, const StageDemand &demand) {
+        return std::max(demand.prefill_ / prefillEngines, demand.decode_ / decodeEngines);
     };
     constexpr double FarOffRatio = 1 / (1 - 0.4);
     for (const int count : {9, 18, 60}) {
@@ -117,14 +117,14 @@
                 StagePlan plan({});
                 applyPlanFor(table, plan, demand, -2'000, 80'000);
                 double best = 1e9;
-                for (int readers = 3; readers <= count - 3; ++readers) {
-                    best = std::min(best, use(readers, count - readers, demand));
+                for (int prefillEngines = 3; prefillEngines <= count - 3; ++prefillEngines) {
+                    best = std::min(best, use(prefillEngines, count - prefillEngines, demand));
                 }
                 // Prefill engines are added only if the split is far off at the beginning.
                 const bool corrected = demand.decode_ / (count - begin) > demand.prefill_ / begin
                                        || use(begin, count - begin, demand) > FarOffRatio * best;
-                const int readers = countPrefill(table);
-                BOOST_TEST(use(readers, count - readers, demand)
+                const int prefillEngines = countPrefill(table);
+                BOOST_TEST(use(prefillEngines, count - prefillEngines, demand)
                                <= (corrected ? 1.14 : FarOffRatio) * best,
                            count << " engines, share " << share << ", from " << begin);
                 BOOST_TEST(applyPlanFor(table, plan, demand, 80'000, 100'000) == 0);
@@ -164,9 +164,9 @@
         const StageDemand demand = swing % 2 == 0 ? StageDemand {3.4, 3.6} : StageDemand {6, 1};
         applyPlanFor(table, plan, demand, from, from + 3'000);
     }
-    const int readers = countPrefill(table);
-    BOOST_TEST(readers >= 5);
-    BOOST_TEST(readers <= 6);
+    const int prefillEngines = countPrefill(table);
+    BOOST_TEST(prefillEngines >= 5);
+    BOOST_TEST(prefillEngines <= 6);
     BOOST_TEST(applyPlanFor(table, plan, {6, 1}, 30'000, 36'000) == 0);
 }
 
@@ -225,8 +225,8 @@
  */
 BOOST_AUTO_TEST_CASE(eachFailureDomainKeepsAnEngineOfEachStage)
 {
-    for (const int readers : {0, 3, 9}) {
-        EndpointTable table = fleet(readers, 9 - readers);
+    for (const int prefillEngines : {0, 3, 9}) {
+        EndpointTable table = fleet(prefillEngines, 9 - prefillEngines);
         StagePlan plan({});
         applyPlan(table, plan, None, at(-2'000));
         applyPlan(table, plan, None, at(0));
