--- /dev/null
+++ b/libs/gateway/include/almondridge/gateway/sizecontroller.h
@@ -0,0 +1,67 @@
+/**
+ * Orders and releases endpoints as the plan requires, while this instance is entitled to give
+ * orders.
+ */
+#pragma once
+
+#include "almondridge/gateway/authoritykeeper.h"
+#include "almondridge/gateway/gateway.h"
+#include "almondridge/gateway/sizeplan.h"
+
+#include <functional>
+#include <map>
+
+namespace almondridge::gateway {
+
+/** Result of an order. */
+enum class OrderOutcome {
+    Granted,
+    NoCapacity, ///< The platform has no endpoints of the kind available in the failure domain.
+    StaleFence, ///< The platform has seen a higher fencing token.
+    Unanswered, ///< No answer; the order may still be carried out later.
+};
+
+inline constexpr std::array<EnumName<OrderOutcome>, 4> OrderOutcomeNames {{
+    {OrderOutcome::Granted, "taken"},
+    {OrderOutcome::NoCapacity, "none-there"},
+    {OrderOutcome::StaleFence, "overtaken"},
+    {OrderOutcome::Unanswered, "unanswered"},
+}};
+
+/** Platform API that orders and releases endpoints. */
+class SizeApi
+{
+public:
+    virtual ~SizeApi() = default;
+    /** Orders a number of endpoints under this right to give orders; done gets the result. */
+    virtual void order(const OrderRight &right, const ServiceId &service, const SizeOrder &order,
+                       std::function<void(OrderOutcome)> done) = 0;
+};
+
+class SizeController
+{
+public:
+    SizeController(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
+                   SizeApi &api, SizePlanSettings settings);
+
+    void start() { planAll(); }
+    void stop() { timer_.stop(); }
+    /** Whether the endpoint may be released soon. */
+    bool mayBeReleased(const Endpoint &endpoint) const;
+
+private:
+    void planAll();
+    SizePlan &planOf(const ServiceId &service);
+    void planService(const ServiceTraits &service, const OrderRight &right, TimePoint now);
+    void sendOrder(const OrderRight &right, const ServiceId &service, const SizeOrder &order);
+
+    Gateway &gateway_;
+    AuthorityKeeper &authority_;
+    SizeApi &api_;
+    SizePlanSettings settings_;
+    std::map<ServiceId, SizePlan> plans_;
+    async::Timer timer_;
+    Fence fence_ = 0; ///< Fencing token of the latest orders.
+};
+
+} // namespace almondridge::gateway
--- /dev/null
+++ b/libs/gateway/src/stagecontroller.cpp
@@ -0,0 +1,186 @@
+#include "almondridge/gateway/stagecontroller.h"
+
+#include "almondridge/base/log.h"
+
+namespace almondridge::gateway {
+namespace {
+
+/** Interval between two evaluations of the plan. */
+constexpr Duration PlanInterval = millis(500);
+/**
+ * Limits how long connecting for an order may take, so that the connection does not outlive the
+ * right to give the order.
+ */
+constexpr std::int64_t OrderConnectMillis = 300;
+constexpr int Accepted = 202;
+constexpr int StaleFence = 412;
+constexpr int Conflict = 409;
+
+} // namespace
+
+StageController::StageController(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
+                                 AuthorityKeeper &authority, StageControllerSettings settings)
+    : gateway_(gateway)
+    , dialect_(dialect)
+    , authority_(authority)
+    , settings_(std::move(settings))
+    , client_(loop)
+    , planTimer_(loop)
+{ }
+
+StageController::~StageController() = default;
+
+void StageController::start()
+{
+    running_ = true;
+    planAll();
+}
+
+void StageController::stop()
+{
+    running_ = false;
+    planTimer_.stop();
+}
+
+StagePlan &StageController::planOf(const ServiceId &service)
+{
+    return plans_.try_emplace(service, settings_.plan_).first->second;
+}
+
+void StageController::planAll()
+{
+    const TimePoint now = BootClock::now();
+    planTimer_.startAt(now + PlanInterval, [this] { planAll(); });
+    if (gateway_.config() == nullptr) {
+        return;
+    }
+    for (const ServiceTraits &service : gateway_.config()->services()) {
+        if (!service.engine_) {
+            continue;
+        }
+        StagePlan &plan = planOf(service.id_);
+        plan.observe(gateway_.endpoints(), service.id_,
+                     gateway_.stageLoad(service.id_, settings_.demand_(service.id_)), now);
+        if (!authority_.right()) {
+            continue;
+        }
+        for (const StageChange &change :
+             plan.plan(gateway_.endpoints(), service.id_, now, settings_.mayBeReleased_)) {
+            logEvent(LogLevel::Info, "stage_change",
+                     {{"engine", change.engine_.value()},
+                      {"stage", nameOf(StageNames, change.stage_)},
+                      {"readers_busy", plan.peak().prefill_},
+                      {"generators_busy", plan.peak().decode_}});
+            fetchReport(service.id_, change);
+        }
+    }
+}
+
+/** Sends one request to an engine. done gets status 0 if no complete answer came. */
+void StageController::sendRequest(const EndpointId &engine, std::string text,
+                                  const std::function<void(int, const std::string &)> &done)
+{
+    async::ExchangeRequest request;
+    request.peer_ = engine.value();
+    request.address_ = gateway_.endpoints().find(engine)->listed_.address_;
+    request.text_ = std::move(text);
+    request.connectBy_ = BootClock::now() + millis(OrderConnectMillis);
+    client_.start(std::move(request),
+                  async::gatherAnswer([done](const async::ExchangeResult &result) {
+                      done(result.failure_ ? 0 : result.status_, result.body_);
+                  }));
+}
+
+/**
+ * An order has to state how many orders the engine has accepted so far, which only the engine
+ * itself knows.
+ */
+void StageController::fetchReport(const ServiceId &service, const StageChange &change)
+{
+    const Endpoint *engine = gateway_.endpoints().find(change.engine_);
+    sendRequest(change.engine_, dialect_.reportText(engine->listed_.address_),
+                [this, service, change](int, const std::string &body) {
+                    const auto report = dialect_.readReport(body);
+                    if (report) {
+                        updateStartTime(change.engine_, *report);
+                    }
+                    const bool fits =
+                        report && !report->changing_ && report->stage_ != change.stage_;
+                    if (!fits) {
+                        logEvent(LogLevel::Info, "order_not_given",
+                                 {{"engine", change.engine_.value()},
+                                  {"why", report ? "changing-or-changed" : "unreadable"}});
+                        planOf(service).onRefused(change.engine_, BootClock::now());
+                        return;
+                    }
+                    sendOrder(service, change, *report);
+                });
+}
+
+/** The engine's report may show a restart before its list entry does. */
+void StageController::updateStartTime(const EndpointId &id, const EngineReport &report)
+{
+    const Endpoint *engine = gateway_.endpoints().find(id);
+    if (engine != nullptr && engine->listedNow_
+        && report.startedAtMillis_ > engine->listed_.startedAtMillis_) {
+        ListedEndpoint listed = engine->listed_;
+        listed.startedAtMillis_ = report.startedAtMillis_;
+        gateway_.listEndpoint(listed);
+    }
+}
+
+void StageController::sendOrder(const ServiceId &service, const StageChange &change,
+                                const EngineReport &report)
+{
+    // Checked again because the right may have lapsed during the request for the report.
+    const auto right = authority_.right();
+    const Endpoint *engine = gateway_.endpoints().find(change.engine_);
+    if (!right || engine == nullptr || !running_) {
+        return;
+    }
+    ++orders_;
+    logEvent(LogLevel::Info, "order",
+             {{"engine", change.engine_.value()},
+              {"stage", nameOf(StageNames, change.stage_)},
+              {"fence", right->fence_},
+              {"expect", report.orders_}});
+    const StageOrder order {engine->listed_.address_,    change.engine_, change.stage_,
+                            settings_.instance_.value(), right->fence_,  report.orders_};
+    // An order without an answer may still be carried out later. The expected number of orders in
+    // it makes a late or repeated execution harmless.
+    sendRequest(change.engine_, dialect_.orderText(order),
+                [this, service, id = change.engine_](int status, const std::string &) {
+                    onOrderAnswer(service, id, status);
+                });
+}
+
+void StageController::onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status)
+{
+    logEvent(LogLevel::Info, "order_answer", {{"engine", engine.value()}, {"status", status}});
+    const TimePoint now = BootClock::now();
+    if (status == Accepted) {
+        onAccepted(service, engine, now);
+    }
+    if (status == StaleFence) {
+        authority_.onOvertaken();
+    }
+    if (status == StaleFence || status == Conflict) {
+        planOf(service).onRefused(engine, now);
+    }
+}
+
+/**
+ * The engine refuses requests until it has changed, or until its list entry shows the new stage.
+ */
+void StageController::onAccepted(const ServiceId &service, const EndpointId &engine, TimePoint now)
+{
+    const ServiceTraits *traits = gateway_.config()->service(service);
+    if (traits == nullptr || !traits->engine_) {
+        return;
+    }
+    const TimePoint until = now + millis(traits->engine_->switchMillis_);
+    gateway_.endpoints().onChanging(engine, until);
+    settings_.onOrderAccepted_(engine, until);
+}
+
+} // namespace almondridge::gateway
