--- a/libs/gateway/include/almondridge/gateway/crashevidence.h
+++ b/libs/gateway/include/almondridge/gateway/crashevidence.h
@@ -74,7 +74,7 @@
 };
 
 /** What an instance tells others. Ages instead of times: clocks of machines differ. */
-struct CrashNews
+struct CrashUpdate
 {
     struct Crash
     {
@@ -114,7 +114,7 @@
      * was held against it.
      */
     bool onCompleted(RequestKey key, TimePoint now);
-    void onNews(const CrashNews &news, TimePoint now);
+    void onUpdate(const CrashUpdate &news, TimePoint now);
 
     Assessment assess(RequestKey key, TimePoint now) const;
 
@@ -131,11 +131,11 @@
     void releaseLease(RequestKey key, std::uint64_t holder);
 
     /** What is to be told in this round: each piece of news is told in a few rounds. */
-    CrashNews takeNews(TimePoint now);
+    CrashUpdate takeUpdate(TimePoint now);
     /** What matters most of all that is known, for instances that were away. */
-    CrashNews mostImportant(TimePoint now) const;
+    CrashUpdate mostImportant(TimePoint now) const;
     /** All crashes with this request in flight. */
-    CrashNews newsOf(RequestKey key, TimePoint now) const;
+    CrashUpdate crashesOf(RequestKey key, TimePoint now) const;
     /**
      * Requests that came under strong suspicion with this instance's part in it, that more is held
      * against, or that were cleared, since the last call: a fleet that loses power at once has
@@ -183,9 +183,9 @@
     bool isRenewed(const RunLease &known, const RunLease &told) const;
     bool isLive(const RunLease &lease, TimePoint now) const;
     bool worthTelling(const Suspect &suspect, const Sighting &sighting, TimePoint now) const;
-    void tellSightings(Suspect &suspect, RequestKey key, TimePoint now, CrashNews &news);
+    void tellSightings(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &news);
     void tellCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight, TimePoint now,
-                   CrashNews &news) const;
+                   CrashUpdate &news) const;
     std::vector<RequestKey> mostSuspiciousFirst(TimePoint now) const;
     void keepWithinBounds(TimePoint now);
     void dropLeastSuspicious(TimePoint now);
--- a/libs/gateway/include/almondridge/gateway/crashgossip.h
+++ b/libs/gateway/include/almondridge/gateway/crashgossip.h
@@ -16,13 +16,13 @@
 namespace almondridge::gateway {
 
 /** Whether a datagram is one of these rather than one of the load's. */
-bool isCrashNews(std::string_view datagram);
+bool isCrashDatagram(std::string_view datagram);
 
 struct CrashMessage
 {
     InstanceId sender_;
     bool asks_ = false; ///< The sender has just started and wants all that matters.
-    CrashNews news_;
+    CrashUpdate news_;
 };
 
 std::string encodeCrashMessage(const CrashMessage &message);
--- a/libs/gateway/include/almondridge/gateway/endpoints.h
+++ b/libs/gateway/include/almondridge/gateway/endpoints.h
@@ -67,14 +67,14 @@
 {
     ListedEndpoint listed_;
     std::uint64_t idHash_ = 0;   ///< For its place in orders of endpoints.
-    bool listedNow_ = true;      ///< False: its entry is gone and it gets no new work.
+    bool isListed_ = true;      ///< False: its entry is gone and it gets no new work.
     std::uint64_t lifetime_ = 0; ///< Counts the restarts that this instance has seen.
 
     SlotUse slotUse_;           ///< By requests of ours without a whole answer, of this lifetime.
-    SlotUse foreignSlotUse_;    ///< By the other instances'; told of engines that generate.
+    SlotUse peerSlotUse_;    ///< By the other instances'; told of engines that generate.
     int openSends_ = 0;         ///< Ours of all lifetimes: the entry is needed until they end.
     PromptQueue queued_;        ///< Of this instance's requests.
-    PromptQueue foreignQueued_; ///< Of the other instances', as they told.
+    PromptQueue peerQueued_; ///< Of the other instances', as they told.
     double readingSpeed_ = 1;   ///< Against what is expected of a usual engine.
     LoadSample load_;
     TimePoint loadAt_ {};
@@ -82,17 +82,17 @@
     int failures_ = 0;           ///< In a row.
     RecentCount recentSends_;    ///< Requests of ours.
     RecentCount recentFailures_; ///< Of these, those that came to nothing.
-    double toldFailures_ = 0;    ///< The other instances' recent ones, as they told.
+    double peerFailures_ = 0;    ///< The other instances' recent ones, as they told.
     TimePoint distrustedUntil_ {};
     TimePoint changingUntil_ {}; ///< It carries out an order until about then, and refuses work.
     /** Requests of ours without a whole answer, of this lifetime. */
     int outstanding() const noexcept { return slotUse_.all(); }
     /** Slots that requests of all instances take or wait for, as far as is known. */
-    SlotUse usedByAll() const noexcept;
+    SlotUse fleetSlotUse() const noexcept;
     /** Prompt tokens of all instances that it has still to read, up to an urgency. */
-    std::int64_t queuedByAll(int urgency = Urgencies - 1) const noexcept;
+    std::int64_t fleetQueuedTokens(int urgency = UrgencyLevels - 1) const noexcept;
     /** Recent failures of all instances' requests, as far as is known. */
-    double failuresOfAll(TimePoint now) const { return recentFailures_.at(now) + toldFailures_; }
+    double failuresOfAll(TimePoint now) const { return recentFailures_.at(now) + peerFailures_; }
     /** Nothing is known of it that fades or ends, and nobody has a request there. */
     bool isIdle(TimePoint now) const noexcept;
     /** In a word, for metrics. */
@@ -105,38 +105,38 @@
      * stands: with requests as tests, each instance loses one at each of the engines that a cut
      * or a crash took away, again and again.
      */
-    bool awaitsTest_ = false;
+    bool awaitsProbe_ = false;
     TimePoint testAt_ {}; ///< When a connection is tried; far away while one is.
-    int failedTests_ = 0;
+    int failedProbes_ = 0;
     TimePoint reachedAt_ {};   ///< When a test last reached it.
     TimePoint unreachedAt_ {}; ///< When a request of ours last found it away or silent.
     TimePoint soundAt_ {};     ///< When it last answered one.
 };
 
 /** What an answer, or its absence, says of an endpoint. */
-enum class Evidence {
-    Sound,       ///< A whole answer of its own.
+enum class HealthSignal {
+    Healthy,       ///< A whole answer of its own.
     Overloaded,  ///< It refused for want of room.
-    Unwilling,   ///< It refused though it has room: it changes, or is another one than listed.
+    Declined,   ///< It refused though it has room: it changes, or is another one than listed.
     ServerError, ///< An answer 5xx of its own.
     Broken,      ///< Connection reset or cut, or bytes that are no answer.
     Unreachable, ///< No connection could be made.
-    Silent,      ///< No answer in the time that any sound endpoint needs.
+    TimedOut,      ///< No answer in the time that any sound endpoint needs.
 };
 
-inline constexpr std::array<EnumName<Evidence>, 7> EvidenceNames {{
-    {Evidence::Sound, "sound"},
-    {Evidence::Overloaded, "overloaded"},
-    {Evidence::Unwilling, "unwilling"},
-    {Evidence::ServerError, "server-error"},
-    {Evidence::Broken, "broken"},
-    {Evidence::Unreachable, "unreachable"},
-    {Evidence::Silent, "silent"},
+inline constexpr std::array<EnumName<HealthSignal>, 7> HealthSignalNames {{
+    {HealthSignal::Healthy, "sound"},
+    {HealthSignal::Overloaded, "overloaded"},
+    {HealthSignal::Declined, "unwilling"},
+    {HealthSignal::ServerError, "server-error"},
+    {HealthSignal::Broken, "broken"},
+    {HealthSignal::Unreachable, "unreachable"},
+    {HealthSignal::TimedOut, "silent"},
 }};
 
 /** What a new word of an endpoint came to. */
-enum class Listing {
-    Same,      ///< Nothing new, or the word of an earlier lifetime.
+enum class ListingChange {
+    Unchanged,      ///< Nothing new, or the word of an earlier lifetime.
     Changed,   ///< It changes what may be sent there.
     Restarted, ///< It has started again and holds nothing of before.
 };
@@ -148,7 +148,7 @@
      * Adds or changes an entry. After a restart all that was known of the endpoint is forgotten;
      * an entry of an earlier lifetime, which may come late, changes nothing.
      */
-    Listing list(const ListedEndpoint &listed, TimePoint now);
+    ListingChange list(const ListedEndpoint &listed, TimePoint now);
     /** Its entry is gone. It is forgotten once nothing is outstanding. */
     bool unlist(const EndpointId &id);
 
@@ -169,14 +169,14 @@
      */
     const Active &active() const noexcept { return active_; }
     /** Takes those out of the active ones that are idle by now. */
-    void forgetIdle(TimePoint now);
+    void deactivateIdle(TimePoint now);
 
     /** An order was given to it, or a peer said so. */
     void onChanging(const EndpointId &id, TimePoint until);
     void onSent(const EndpointId &id, int urgency, std::int64_t promptTokens, TimePoint now);
-    void onRead(const EndpointId &id, int urgency, std::int64_t promptTokens);
+    void onPrefilled(const EndpointId &id, int urgency, std::int64_t promptTokens);
     /** A prompt that a usual engine reads in the expected time, its queue included, took this. */
-    void onReadTime(const EndpointId &id, double expectedMillis, double milliseconds);
+    void onPrefillTime(const EndpointId &id, double expectedMillis, double milliseconds);
     void onClosed(const EndpointId &id, int urgency);
     /** The same for a request that was sent before the endpoint restarted. */
     void onClosedOfEarlierLifetime(const EndpointId &id);
@@ -184,18 +184,18 @@
     /** A request that it took has heard nothing for long: a connection tells whether it is gone. */
     void onSuspected(const EndpointId &id, TimePoint now);
     /** A peer could not reach it: it is tested, unless it has answered us a moment ago. */
-    void onUnreachedByPeer(const EndpointId &id, TimePoint now);
-    /** Endpoints to try a connection to now. The result of each is told by onTested(). */
-    std::vector<EndpointId> takeTests(TimePoint now);
-    void onTested(const EndpointId &id, bool reached, TimePoint now);
+    void onPeerReportedUnreachable(const EndpointId &id, TimePoint now);
+    /** Endpoints to try a connection to now. The result of each is told by onProbed(). */
+    std::vector<EndpointId> takeDueProbes(TimePoint now);
+    void onProbed(const EndpointId &id, bool reached, TimePoint now);
     /** Those that get no work, as they fail far more often than the others of their stage. */
-    std::vector<const Endpoint *> leftOut(TimePoint now) const;
+    std::vector<const Endpoint *> outliers(TimePoint now) const;
     /** Endpoints that requests of this instance found away or silent a moment ago. */
-    std::vector<EndpointId> unreached(TimePoint now) const;
+    std::vector<EndpointId> recentlyUnreachable(TimePoint now) const;
     /** An engine with room could not fetch what another had read: either may be to blame. */
     void onHandoverRefused(const EndpointId &source, const EndpointId &target, TimePoint now);
     /** True when it was trusted and is not any more, or the other way round. */
-    bool onEvidence(const EndpointId &id, Evidence evidence, TimePoint now);
+    bool onHealthSignal(const EndpointId &id, HealthSignal evidence, TimePoint now);
 
 private:
     void forgetIfDone(const EndpointId &id);
--- a/libs/gateway/include/almondridge/gateway/gateway.h
+++ b/libs/gateway/include/almondridge/gateway/gateway.h
@@ -10,8 +10,8 @@
 #include "almondridge/gateway/crashevidence.h"
 #include "almondridge/gateway/dialect.h"
 #include "almondridge/gateway/endpoints.h"
-#include "almondridge/gateway/promptmemory.h"
-#include "almondridge/gateway/sendbudget.h"
+#include "almondridge/gateway/promptcacheindex.h"
+#include "almondridge/gateway/retrybudget.h"
 #include "almondridge/gateway/stageplan.h"
 #include "almondridge/observe/metrics.h"
 
@@ -27,7 +27,7 @@
 struct GatewaySettings
 {
     DomainId domain_;
-    SendBudgetLimits secondSends_;
+    RetryBudgetLimits secondSends_;
     std::int64_t connectMillis_ = 400; ///< Until a connection to an endpoint counts as refused.
     std::size_t maxKeptConnections_ = 512;
     /** Until a key that was taken away must not work any more, in touch or not; 0: no bound. */
@@ -65,9 +65,9 @@
     void setInstances(int count);
     EndpointTable &endpoints() noexcept;
     /** Shared parts that came to engines by this instance since the last call. */
-    std::vector<PromptMemory::Key> takeReadParts();
+    std::vector<PromptCacheIndex::Key> takeNewCachedParts();
     /** The same as another instance told. */
-    void onPartsTold(const std::vector<PromptMemory::Key> &parts);
+    void onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts);
     /** What this instance's callers asked of each service's engines in the last seconds. */
     std::map<ServiceId, StageDemand> demand() const;
     /** The demand with what requests of the service cost, as this instance has learnt. */
--- a/libs/gateway/include/almondridge/gateway/loaddigest.h
+++ b/libs/gateway/include/almondridge/gateway/loaddigest.h
@@ -9,7 +9,7 @@
 #include "almondridge/base/enumnames.h"
 #include "almondridge/base/ids.h"
 #include "almondridge/gateway/demandmeter.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 #include "almondridge/gateway/promptqueue.h"
 #include "almondridge/gateway/slotuse.h"
 
@@ -60,7 +60,7 @@
     InstanceId candidate_ {}; ///< First in the order of those that could have it; empty: none.
     std::map<EndpointId, std::int64_t> changingMillis_ {};
     std::vector<EndpointId> unreached_ {};
-    std::vector<PromptMemory::Key> readParts_ {};
+    std::vector<PromptCacheIndex::Key> readParts_ {};
 };
 
 /** Bytes that an endpoint's load takes in a digest. */
--- a/libs/gateway/include/almondridge/gateway/loadmesh.h
+++ b/libs/gateway/include/almondridge/gateway/loadmesh.h
@@ -56,13 +56,13 @@
     /** The same at once, whatever has changed since: for an order that was given. */
     std::vector<MeshDatagram> tellNow(LoadNote own, EndpointTable &table, TimePoint now);
     /** Shared parts that came to engines by this instance; they are told with the next note. */
-    void addReadParts(const std::vector<PromptMemory::Key> &parts);
+    void addReadParts(const std::vector<PromptCacheIndex::Key> &parts);
     /** When tick() has something to do next, at the latest. */
     TimePoint nextTick(TimePoint now) const;
 
     Reception onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now);
     /** Shared parts that others told since the last call. */
-    std::vector<PromptMemory::Key> takeToldParts();
+    std::vector<PromptCacheIndex::Key> takeToldParts();
 
     /** Whether no other instance leads, and none that comes before this one could. */
     bool leads() const;
@@ -79,12 +79,12 @@
     /** Parts to tell, each twice: a lost datagram is made good by the next. */
     struct PartsToTell
     {
-        std::vector<PromptMemory::Key> fresh_;
-        std::vector<PromptMemory::Key> toldOnce_;
+        std::vector<PromptCacheIndex::Key> fresh_;
+        std::vector<PromptCacheIndex::Key> toldOnce_;
 
-        void add(const std::vector<PromptMemory::Key> &parts);
+        void add(const std::vector<PromptCacheIndex::Key> &parts);
         /** Those that wait, at most so many of them, and what was told once before. */
-        std::vector<PromptMemory::Key> take(std::size_t most);
+        std::vector<PromptCacheIndex::Key> take(std::size_t most);
     };
 
     struct OwnNote
@@ -111,7 +111,7 @@
     void addLeaders(const LoadNote &note, LoadDigest &digest) const;
     void addLeaders(const LoadDigest &other, LoadDigest &digest) const;
     std::vector<LoadDigest> digestsOf(LoadDigest first, std::vector<LoadTable> loads,
-                                      const std::vector<PromptMemory::Key> &parts);
+                                      const std::vector<PromptCacheIndex::Key> &parts);
     Reception onNote(const LoadNote &note, EndpointTable &table, TimePoint now);
     Reception onDigest(const ReceivedDigest &received, EndpointTable &table, TimePoint now);
     const OwnNote *ownNote(std::uint64_t number) const;
@@ -135,7 +135,7 @@
     PartsToTell notedParts_;
     PartsToTell domainParts_;
     PartsToTell allParts_;
-    std::vector<PromptMemory::Key> toldParts_;
+    std::vector<PromptCacheIndex::Key> toldParts_;
     std::vector<EndpointId>
         foreignUnreached_; ///< Told by relays of other domains, to be passed on.
 
--- a/libs/gateway/include/almondridge/gateway/peerload.h
+++ b/libs/gateway/include/almondridge/gateway/peerload.h
@@ -13,7 +13,7 @@
 #include "almondridge/gateway/demandmeter.h"
 #include "almondridge/gateway/endpoints.h"
 #include "almondridge/gateway/loaddigest.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <cstdint>
 #include <map>
@@ -42,7 +42,7 @@
     /** Endpoints that the sender could not reach a moment ago. */
     std::vector<EndpointId> unreached_ {};
     /** Shared parts that came to engines by the sender lately. */
-    std::vector<PromptMemory::Key> readParts_ {};
+    std::vector<PromptCacheIndex::Key> readParts_ {};
     InstanceId follows_ {}; ///< The relay that is to tell the sender of all; empty: none.
 };
 
--- a/libs/gateway/include/almondridge/gateway/placement.h
+++ b/libs/gateway/include/almondridge/gateway/placement.h
@@ -10,7 +10,7 @@
 
 #include "almondridge/gateway/dialect.h"
 #include "almondridge/gateway/endpoints.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 #include "almondridge/gateway/requestcosts.h"
 
 #include <optional>
@@ -35,11 +35,11 @@
     std::optional<EndpointId> prefill_; ///< Empty: read where it is generated.
     EndpointId decode_;
     int urgency_ = 0;
-    std::int64_t newTokens_ = 0;         ///< To be read where it is read first.
-    std::int64_t aheadTokens_ = 0;       ///< What is read there before it.
-    bool partsUnknown_ = false;          ///< Whether its shared parts are cached there is a guess.
+    std::int64_t uncachedTokens_ = 0;         ///< To be read where it is read first.
+    std::int64_t queuedTokens_ = 0;       ///< What is read there before it.
+    bool cacheHitUnknown_ = false;          ///< Whether its shared parts are cached there is a guess.
     std::optional<EndpointId> copyFrom_; ///< Has shared parts cached that the reader lacks.
-    double readMillis_ = 0;              ///< Estimate until it is read, queue included.
+    double prefillMillis_ = 0;              ///< Estimate until it is read, queue included.
 };
 
 /** What is asked of a placement. */
@@ -48,15 +48,15 @@
     ServiceId service_;
     const Prompt *prompt_ = nullptr;
     int priority_ = 0;    ///< Of its route; 0 is the most urgent.
-    TimePoint inTime_ {}; ///< The first event is in time until then.
+    TimePoint firstEventDeadline_ {}; ///< The first event is in time until then.
     std::vector<EndpointId> excluded_ {};
     const RequestCosts *costs_ = &RequestCosts::assumed(); ///< Of the service's requests.
     double slotWaitMillis_ = 0; ///< Once it is read, as far as is known now.
-    bool inPlace_ = false;      ///< It is read where it is generated, whoever else could read it.
+    bool prefillInPlace_ = false;      ///< It is read where it is generated, whoever else could read it.
 };
 
 /** What is asked of an engine that generates. */
-struct GeneratorQuery
+struct DecodeQuery
 {
     ServiceId service_;
     DomainId source_; ///< Where the prompt was read.
@@ -64,7 +64,7 @@
     const RequestCosts *costs_ = &RequestCosts::assumed(); ///< Of the service's requests.
 };
 
-struct GeneratorChoice
+struct DecodeChoice
 {
     EndpointId engine_;
     double waitMillis_ = 0;     ///< For a slot, of a request that can be in time still.
@@ -76,7 +76,7 @@
 struct QuietChoice
 {
     EndpointId endpoint_;
-    bool isLastOfSeveral_ = false; ///< All others that do the same work are out of service.
+    bool isLastUsable_ = false; ///< All others that do the same work are out of service.
 };
 
 class Placement
@@ -88,11 +88,11 @@
     std::optional<PromptPlan> planPrompt(const EndpointTable &table, const PromptQuery &query,
                                          TimePoint now) const;
     /** An engine to generate for a prompt that was read. ticket: any number. */
-    std::optional<GeneratorChoice> chooseGenerator(const EndpointTable &table,
-                                                   const GeneratorQuery &query,
+    std::optional<DecodeChoice> chooseDecodeEngine(const EndpointTable &table,
+                                                   const DecodeQuery &query,
                                                    std::uint64_t ticket, TimePoint now) const;
     /** Whether an engine that generates could take one more request, by its last word. */
-    bool someGeneratorHasRoom(const EndpointTable &table, const ServiceId &service,
+    bool anyDecodeEngineHasRoom(const EndpointTable &table, const ServiceId &service,
                               const std::vector<EndpointId> &excluded, TimePoint now) const;
     /** What a read prompt adds to the queue of the engine that fetches it, in tokens to read. */
     static std::int64_t handoverTokens(const Prompt &prompt);
@@ -103,21 +103,21 @@
 
     /** Where a request that may end its endpoint takes the fewest others along; it needs no other
      * endpoint there. ticket: any number. */
-    std::optional<QuietChoice> chooseQuietest(const EndpointTable &table, const ServiceId &service,
+    std::optional<QuietChoice> chooseLeastLoaded(const EndpointTable &table, const ServiceId &service,
                                               const std::vector<EndpointId> &excluded,
                                               std::uint64_t ticket, TimePoint now) const;
 
     /** A prompt is read there: its parts are in the engine's cache from now on. */
-    void onPromptRead(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now);
+    void onPromptSent(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now);
     /** Shared parts that came to engines by this instance since the last call. */
-    std::vector<PromptMemory::Key> takeReadParts() { return std::exchange(readParts_, {}); }
+    std::vector<PromptCacheIndex::Key> takeNewCachedParts() { return std::exchange(readParts_, {}); }
     /** The same as another instance told. */
-    void onPartsTold(const std::vector<PromptMemory::Key> &parts, TimePoint now);
+    void onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts, TimePoint now);
     /**
      * How long it took to read a prompt whose shared parts nobody had told of: tells whether they
      * were cached all the same, and so how the next such prompt is estimated.
      */
-    void onUnknownRead(const RequestCosts &costs, const Endpoint &engine, const Prompt &prompt,
+    void onUnknownPartsPrefilled(const RequestCosts &costs, const Endpoint &engine, const Prompt &prompt,
                        std::int64_t aheadTokens, double milliseconds);
 
 private:
@@ -145,8 +145,8 @@
     Offer bestGenerator(const Candidates &engines, const PromptQuery &query) const;
 
     PlacementSettings settings_;
-    PromptMemory memory_;
-    std::vector<PromptMemory::Key> readParts_;
+    PromptCacheIndex memory_;
+    std::vector<PromptCacheIndex::Key> readParts_;
     double unknownCached_ = 0.5; ///< Share of unknown parts that proved to be cached.
 };
 
--- a/libs/gateway/include/almondridge/gateway/promptmemory.h
+++ b/libs/gateway/include/almondridge/gateway/promptcacheindex.h
@@ -15,10 +15,10 @@
 
 namespace almondridge::gateway {
 
-class PromptMemory
+class PromptCacheIndex
 {
 public:
-    explicit PromptMemory(std::size_t capacity);
+    explicit PromptCacheIndex(std::size_t capacity);
 
     /**
      * Names a part at an engine; all instances and builds agree on it. Another lifetime of the
--- a/libs/gateway/include/almondridge/gateway/requestcosts.h
+++ b/libs/gateway/include/almondridge/gateway/requestcosts.h
@@ -21,11 +21,11 @@
     static const RequestCosts &assumed();
 
     /** A prompt was read by an engine that had nothing else to read, in this time. */
-    void onReadAlone(std::int64_t tokens, double milliseconds);
+    void onUncontendedPrefill(std::int64_t tokens, double milliseconds);
     /** Until so many tokens are read by an engine that has nothing else to read. */
-    double readMillis(std::int64_t tokens) const;
+    double prefillMillis(std::int64_t tokens) const;
     /** What reading them takes from the engine's other prompts. */
-    double readingMillis(std::int64_t tokens) const;
+    double prefillComputeMillis(std::int64_t tokens) const;
 
     /** A request of a route was generated; from its first event to its last one. */
     void onGenerated(const std::string &route, double milliseconds);
--- a/libs/gateway/include/almondridge/gateway/sendbudget.h
+++ b/libs/gateway/include/almondridge/gateway/retrybudget.h
@@ -11,17 +11,17 @@
 
 namespace almondridge::gateway {
 
-struct SendBudgetLimits
+struct RetryBudgetLimits
 {
     double ratio_ = 0.2; ///< Second sends for each request.
     double slack_ = 10;  ///< Of all instances together, in each window.
     std::int64_t windowMillis_ = 10'000;
 };
 
-class SendBudget
+class RetryBudget
 {
 public:
-    explicit SendBudget(const SendBudgetLimits &limits);
+    explicit RetryBudget(const RetryBudgetLimits &limits);
 
     /** The most instances that there may be; the constant is divided by it. */
     void setInstances(int count);
@@ -40,7 +40,7 @@
 
     Slice &current(TimePoint now);
 
-    SendBudgetLimits limits_;
+    RetryBudgetLimits limits_;
     int instances_ = 1;
     std::deque<Slice> slices_;
 };
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -147,9 +147,9 @@
 
 std::optional<EndpointId> Call::quietestEndpoint() const
 {
-    const auto choice = gateway_.placement_.chooseQuietest(
+    const auto choice = gateway_.placement_.chooseLeastLoaded(
         gateway_.table_, input_.service_, excluded_, gateway_.random_(), BootClock::now());
-    const bool spared = choice && choice->isLastOfSeveral_ && suspicion_ == Suspicion::Strong;
+    const bool spared = choice && choice->isLastUsable_ && suspicion_ == Suspicion::Strong;
     return choice && !spared ? std::optional(choice->endpoint_) : std::nullopt;
 }
 
@@ -172,7 +172,7 @@
 void Call::noteBreak()
 {
     if (attempt_.exchange_ != 0) {
-        gateway_.crashes_.onBroke(attempt_.endpoint_, attempt_.lifetime_, key());
+        gateway_.crashes_.onConnectionBroken(attempt_.endpoint_, attempt_.lifetime_, key());
     }
 }
 
@@ -227,17 +227,17 @@
     attempt_.exchange_ = gateway_.client_.start(std::move(request), std::move(events));
 }
 
-Evidence Call::refusalEvidence() const
+HealthSignal Call::refusalEvidence() const
 {
     if (attempt_.facts_.misdirected_) {
-        return Evidence::Unwilling;
+        return HealthSignal::Declined;
     }
     if (!attempt_.facts_.load_) {
-        return Evidence::Overloaded;
+        return HealthSignal::Overloaded;
     }
     const LoadSample &load = *attempt_.facts_.load_;
     const bool hasRoom = load.waiting_ == 0 && 2 * load.running_ < load.slots_;
-    return hasRoom ? Evidence::Unwilling : Evidence::Overloaded;
+    return hasRoom ? HealthSignal::Declined : HealthSignal::Overloaded;
 }
 
 void Call::logNotRun() const
@@ -263,12 +263,12 @@
 void Call::promptWasRead()
 {
     if (!endpointRestarted()) {
-        gateway_.table_.onRead(attempt_.endpoint_, attempt_.urgency_, attempt_.promptTokens_);
+        gateway_.table_.onPrefilled(attempt_.endpoint_, attempt_.urgency_, attempt_.promptTokens_);
     }
     attempt_.promptTokens_ = 0;
 }
 
-void Call::closeAttempt(std::optional<Evidence> evidence)
+void Call::closeAttempt(std::optional<HealthSignal> evidence)
 {
     silence_.stop();
     if (attempt_.exchange_ == 0) {
@@ -280,23 +280,23 @@
         gateway_.table_.onClosedOfEarlierLifetime(attempt_.endpoint_);
         return;
     }
-    if (evidence && gateway_.table_.onEvidence(attempt_.endpoint_, *evidence, BootClock::now())) {
+    if (evidence && gateway_.table_.onHealthSignal(attempt_.endpoint_, *evidence, BootClock::now())) {
         logEvent(LogLevel::Warning, "endpoint_trust",
                  {{"endpoint", attempt_.endpoint_.value()},
-                  {"evidence", nameOf(EvidenceNames, *evidence)},
-                  {"trusted", *evidence == Evidence::Sound ? "yes" : "no"},
+                  {"evidence", nameOf(HealthSignalNames, *evidence)},
+                  {"trusted", *evidence == HealthSignal::Healthy ? "yes" : "no"},
                   {"request", facts().requestId_}});
     }
     gateway_.table_.onClosed(attempt_.endpoint_, attempt_.urgency_);
 }
 
-void Call::cancelAttempt(std::optional<Evidence> evidence)
+void Call::cancelAttempt(std::optional<HealthSignal> evidence)
 {
     gateway_.client_.cancel(attempt_.exchange_);
     closeAttempt(evidence);
 }
 
-void Call::leaveEndpoint(std::optional<Evidence> evidence)
+void Call::leaveEndpoint(std::optional<HealthSignal> evidence)
 {
     excluded_.push_back(attempt_.endpoint_);
     cancelAttempt(evidence);
--- a/libs/gateway/src/call.h
+++ b/libs/gateway/src/call.h
@@ -83,14 +83,14 @@
     virtual void abandonEndpoints() { }
 
     /** The attempt is over; evidence, if any, tells whether its endpoint can be trusted. */
-    void closeAttempt(std::optional<Evidence> evidence);
-    void cancelAttempt(std::optional<Evidence> evidence);
+    void closeAttempt(std::optional<HealthSignal> evidence);
+    void cancelAttempt(std::optional<HealthSignal> evidence);
     /** What a refusal says of its endpoint: whether it is full, or takes no requests at all. */
-    Evidence refusalEvidence() const;
+    HealthSignal refusalEvidence() const;
     /** The endpoint said that it did not run the request: one line with its words. */
     void logNotRun() const;
     /** The attempt came to nothing: this request does not go to its endpoint again. */
-    void leaveEndpoint(std::optional<Evidence> evidence);
+    void leaveEndpoint(std::optional<HealthSignal> evidence);
     void promptWasRead();
     /** Whether what becomes of the attempt says nothing of its endpoint any more. */
     bool endpointRestarted() const;
--- a/libs/gateway/src/crashevidence.cpp
+++ b/libs/gateway/src/crashevidence.cpp
@@ -44,17 +44,17 @@
 /** Numbers in one message: a packet. */
 constexpr std::size_t MostItems = 90;
 
-std::size_t itemsOf(const CrashNews &news)
+std::size_t itemsOf(const CrashUpdate &news)
 {
     constexpr std::size_t ItemsOfACrash = 3;
     std::size_t items = 2 * news.cleared_.size() + 3 * news.leases_.size();
-    for (const CrashNews::Crash &crash : news.crashes_) {
+    for (const CrashUpdate::Crash &crash : news.crashes_) {
         items += ItemsOfACrash + crash.inFlight_.size();
     }
     return items;
 }
 
-bool hasRoom(const CrashNews &news)
+bool hasRoom(const CrashUpdate &news)
 {
     return itemsOf(news) < MostItems;
 }
@@ -164,18 +164,18 @@
     return true;
 }
 
-void CrashEvidence::onNews(const CrashNews &news, TimePoint now)
+void CrashEvidence::onUpdate(const CrashUpdate &news, TimePoint now)
 {
-    for (const CrashNews::Cleared &cleared : news.cleared_) {
+    for (const CrashUpdate::Cleared &cleared : news.cleared_) {
         clear(cleared.key_, now - millis(cleared.ageMillis_));
     }
-    for (const CrashNews::Crash &told : news.crashes_) {
+    for (const CrashUpdate::Crash &told : news.crashes_) {
         addCrash({told.key_, told.group_, told.groupSize_, now - millis(told.ageMillis_)});
         for (const RequestKey key : told.inFlight_) {
             addSighting(key, told.key_, now);
         }
     }
-    for (const CrashNews::LeaseTaken &told : news.leases_) {
+    for (const CrashUpdate::LeaseTaken &told : news.leases_) {
         const RunLease lease {told.holder_, now - millis(told.ageMillis_)};
         const auto known = leases_.find(told.key_);
         const bool better = known == leases_.end() || !isLive(known->second.lease_, now)
@@ -300,10 +300,10 @@
 }
 
 void CrashEvidence::tellCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight,
-                              TimePoint now, CrashNews &news) const
+                              TimePoint now, CrashUpdate &news) const
 {
     auto place = std::find_if(news.crashes_.begin(), news.crashes_.end(),
-                              [&](const CrashNews::Crash &one) { return one.key_ == crash.key_; });
+                              [&](const CrashUpdate::Crash &one) { return one.key_ == crash.key_; });
     if (place == news.crashes_.end()) {
         const std::int64_t age = std::max<std::int64_t>(0, toMillis(now - crash.at_));
         place = news.crashes_.insert(place, {crash.key_, crash.group_, crash.groupSize_, age, {}});
@@ -313,7 +313,7 @@
     }
 }
 
-void CrashEvidence::tellSightings(Suspect &suspect, RequestKey key, TimePoint now, CrashNews &news)
+void CrashEvidence::tellSightings(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &news)
 {
     for (Sighting &sighting : suspect.sightings_) {
         const auto crash = crashes_.find(sighting.crash_);
@@ -325,9 +325,9 @@
     }
 }
 
-CrashNews CrashEvidence::takeNews(TimePoint now)
+CrashUpdate CrashEvidence::takeUpdate(TimePoint now)
 {
-    CrashNews news;
+    CrashUpdate news;
     for (auto &[key, known] : leases_) {
         if (known.roundsLeft_ > 0 && hasRoom(news)) {
             --known.roundsLeft_;
@@ -375,9 +375,9 @@
     return keys;
 }
 
-CrashNews CrashEvidence::mostImportant(TimePoint now) const
+CrashUpdate CrashEvidence::mostImportant(TimePoint now) const
 {
-    CrashNews news;
+    CrashUpdate news;
     for (const RequestKey key : mostSuspiciousFirst(now)) {
         for (const Sighting &sighting : suspects_.at(key).sightings_) {
             const auto crash = crashes_.find(sighting.crash_);
@@ -394,9 +394,9 @@
     return news;
 }
 
-CrashNews CrashEvidence::newsOf(RequestKey key, TimePoint now) const
+CrashUpdate CrashEvidence::crashesOf(RequestKey key, TimePoint now) const
 {
-    CrashNews news;
+    CrashUpdate news;
     const auto suspect = suspects_.find(key);
     if (suspect == suspects_.end()) {
         return news;
--- a/libs/gateway/src/crashgossip.cpp
+++ b/libs/gateway/src/crashgossip.cpp
@@ -53,7 +53,7 @@
     return fits ? std::optional(static_cast<std::int64_t>(value)) : std::nullopt;
 }
 
-std::optional<CrashNews::Crash> readCrash(const Json &json)
+std::optional<CrashUpdate::Crash> readCrash(const Json &json)
 {
     constexpr std::size_t Numbers = 4;
     if (!isRow(json, Numbers) || json.size() != Numbers + 1 || !json[Numbers].is_array()) {
@@ -64,7 +64,7 @@
     if (!size || !age || !isRow(json[Numbers], json[Numbers].size())) {
         return std::nullopt;
     }
-    CrashNews::Crash crash {static_cast<CrashKey>(json[0].get<std::uint64_t>()),
+    CrashUpdate::Crash crash {static_cast<CrashKey>(json[0].get<std::uint64_t>()),
                             static_cast<CrashGroup>(json[1].get<std::uint64_t>()),
                             static_cast<int>(*size), *age};
     for (const Json &key : json[Numbers]) {
@@ -90,26 +90,26 @@
     return true;
 }
 
-std::optional<CrashNews::Cleared> readCleared(const Json &json)
+std::optional<CrashUpdate::Cleared> readCleared(const Json &json)
 {
     const auto age = isRow(json, 2) ? bounded(json[1], 0, LongestAgeMillis) : std::nullopt;
     return age ? std::optional(
-               CrashNews::Cleared {static_cast<RequestKey>(json[0].get<std::uint64_t>()), *age})
+               CrashUpdate::Cleared {static_cast<RequestKey>(json[0].get<std::uint64_t>()), *age})
                : std::nullopt;
 }
 
-std::optional<CrashNews::LeaseTaken> readLease(const Json &json)
+std::optional<CrashUpdate::LeaseTaken> readLease(const Json &json)
 {
     const auto age = isRow(json, 3) ? bounded(json[2], 0, LongestAgeMillis) : std::nullopt;
     return age ? std::optional(
-               CrashNews::LeaseTaken {static_cast<RequestKey>(json[0].get<std::uint64_t>()),
+               CrashUpdate::LeaseTaken {static_cast<RequestKey>(json[0].get<std::uint64_t>()),
                                       json[1].get<std::uint64_t>(), *age})
                : std::nullopt;
 }
 
 } // namespace
 
-bool isCrashNews(std::string_view datagram)
+bool isCrashDatagram(std::string_view datagram)
 {
     return !datagram.empty() && datagram.front() == Mark;
 }
@@ -117,7 +117,7 @@
 std::string encodeCrashMessage(const CrashMessage &message)
 {
     Json crashes = Json::array();
-    for (const CrashNews::Crash &crash : message.news_.crashes_) {
+    for (const CrashUpdate::Crash &crash : message.news_.crashes_) {
         Json inFlight = Json::array();
         for (const RequestKey key : crash.inFlight_) {
             inFlight.push_back(number(key));
@@ -127,11 +127,11 @@
                            static_cast<std::uint64_t>(crash.ageMillis_), std::move(inFlight)});
     }
     Json cleared = Json::array();
-    for (const CrashNews::Cleared &one : message.news_.cleared_) {
+    for (const CrashUpdate::Cleared &one : message.news_.cleared_) {
         cleared.push_back({number(one.key_), static_cast<std::uint64_t>(one.ageMillis_)});
     }
     Json leases = Json::array();
-    for (const CrashNews::LeaseTaken &one : message.news_.leases_) {
+    for (const CrashUpdate::LeaseTaken &one : message.news_.leases_) {
         leases.push_back(
             {number(one.key_), one.holder_, static_cast<std::uint64_t>(one.ageMillis_)});
     }
@@ -149,7 +149,7 @@
 std::optional<CrashMessage> decodeCrashMessage(std::string_view datagram)
 {
     const std::optional<Json> json =
-        isCrashNews(datagram) ? fromCbor(datagram.substr(1)) : std::nullopt;
+        isCrashDatagram(datagram) ? fromCbor(datagram.substr(1)) : std::nullopt;
     if (!json || !json->is_array() || json->size() != at(Field::Count)
         || !(*json)[at(Field::Sender)].is_string() || !(*json)[at(Field::Asks)].is_boolean()) {
         return std::nullopt;
@@ -207,7 +207,7 @@
     }
     if (now >= tellAt_) {
         tellAt_ = now + TellInterval;
-        const CrashNews news = evidence_.takeNews(now);
+        const CrashUpdate news = evidence_.takeUpdate(now);
         if (!news.empty()) {
             tell({self_, false, news},
                  peers_.size() <= FewPeers ? peers_ : drawPeers(PeersOfARound), out);
@@ -216,7 +216,7 @@
     if (now >= repeatAt_) {
         repeatAt_ = now + RepeatInterval;
         evidence_.forgetOld(now);
-        const CrashNews news = evidence_.mostImportant(now);
+        const CrashUpdate news = evidence_.mostImportant(now);
         if (!news.empty()) {
             tell({self_, false, news}, drawPeers(PeersOfARepeat), out);
         }
@@ -240,7 +240,7 @@
         return Reception::Taken;
     }
     heard_ = true;
-    evidence_.onNews(message->news_, now);
+    evidence_.onUpdate(message->news_, now);
     return Reception::Taken;
 }
 
--- a/libs/gateway/src/crashguard.cpp
+++ b/libs/gateway/src/crashguard.cpp
@@ -26,7 +26,7 @@
 /** One that was told to leave may close its connections, and is not sought for long. */
 bool isExpectedToServe(const Endpoint *endpoint)
 {
-    return endpoint != nullptr && endpoint->listedNow_ && !endpoint->listed_.draining_;
+    return endpoint != nullptr && endpoint->isListed_ && !endpoint->listed_.draining_;
 }
 
 } // namespace
@@ -36,7 +36,7 @@
     , number_(std::random_device {}())
 { }
 
-void CrashGuard::onBroke(const EndpointId &id, std::uint64_t lifetime, RequestKey key)
+void CrashGuard::onConnectionBroken(const EndpointId &id, std::uint64_t lifetime, RequestKey key)
 {
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (!isExpectedToServe(endpoint) || endpoint->lifetime_ != lifetime) {
@@ -52,11 +52,11 @@
     if (!underTest) {
         const TimePoint by = BootClock::now() + millis(gateway_.settings_.connectMillis_);
         gateway_.client_.open(id.value(), endpoint->listed_.address_, by,
-                              [this, id](bool reached) { onTested(id, reached); });
+                              [this, id](bool reached) { onProbed(id, reached); });
     }
 }
 
-void CrashGuard::onTested(const EndpointId &id, bool reached)
+void CrashGuard::onProbed(const EndpointId &id, bool reached)
 {
     const auto node = tested_.extract(id);
     const Endpoint *endpoint = gateway_.table_.find(id);
@@ -67,7 +67,7 @@
     onCrashed(*endpoint, node.mapped().inFlight_);
 }
 
-void CrashGuard::onUnreached(const EndpointId &id)
+void CrashGuard::onConnectFailed(const EndpointId &id)
 {
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (isExpectedToServe(endpoint) && endpoint->outstanding() > 0
@@ -92,7 +92,7 @@
         key, EndpointCrash {key, groupOf(endpoint.listed_), groupSize(endpoint), now});
     evidence_.onCrash(place->second, {inFlight.begin(), inFlight.end()}, now);
     if (added) {
-        gateway_.table_.onEvidence(id, Evidence::Unreachable, now);
+        gateway_.table_.onHealthSignal(id, HealthSignal::Unreachable, now);
         gateway_.metrics_.count("endpoints_crashed_total");
         logEvent(LogLevel::Warning, "endpoint_crashed",
                  {{"endpoint", id.value()},
--- a/libs/gateway/src/crashguard.h
+++ b/libs/gateway/src/crashguard.h
@@ -20,9 +20,9 @@
     explicit CrashGuard(GatewayState &gateway);
 
     /** A request's connection to an endpoint broke, or was silent until the request ended. */
-    void onBroke(const EndpointId &id, std::uint64_t lifetime, RequestKey key);
+    void onConnectionBroken(const EndpointId &id, std::uint64_t lifetime, RequestKey key);
     /** A connection to the endpoint could not be made. */
-    void onUnreached(const EndpointId &id);
+    void onConnectFailed(const EndpointId &id);
     void onCompleted(RequestKey key);
 
     Assessment assess(RequestKey key) const;
@@ -41,7 +41,7 @@
         std::set<RequestKey> inFlight_;
     };
 
-    void onTested(const EndpointId &id, bool reached);
+    void onProbed(const EndpointId &id, bool reached);
     void onCrashed(const Endpoint &endpoint, std::set<RequestKey> inFlight);
     int groupSize(const Endpoint &endpoint) const;
 
--- a/libs/gateway/src/digeststream.cpp
+++ b/libs/gateway/src/digeststream.cpp
@@ -34,13 +34,13 @@
     if (endpoint == nullptr) {
         return;
     }
-    endpoint->foreignQueued_.remove(before.queued_);
-    endpoint->foreignSlotUse_.remove(before.slotUse_);
+    endpoint->peerQueued_.remove(before.queued_);
+    endpoint->peerSlotUse_.remove(before.slotUse_);
     // Never below zero: the endpoint may have been listed after it was told of.
-    endpoint->toldFailures_ = std::max(0.0, endpoint->toldFailures_ - before.failures_);
-    endpoint->foreignQueued_.add(after.queued_);
-    endpoint->foreignSlotUse_.add(after.slotUse_);
-    endpoint->toldFailures_ += after.failures_;
+    endpoint->peerFailures_ = std::max(0.0, endpoint->peerFailures_ - before.failures_);
+    endpoint->peerQueued_.add(after.queued_);
+    endpoint->peerSlotUse_.add(after.slotUse_);
+    endpoint->peerFailures_ += after.failures_;
 }
 
 void DigestStream::clear(EndpointTable &table)
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -1,6 +1,6 @@
 #include "almondridge/gateway/endpoints.h"
 
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <algorithm>
 #include <set>
@@ -11,7 +11,7 @@
 /** How far one piece of evidence goes. */
 struct EvidenceRule
 {
-    Evidence evidence_;
+    HealthSignal evidence_;
     int weight_;     ///< Added to the failures in a row; 0 clears them.
     int distrustAt_; ///< From this many on it gets no work.
 };
@@ -22,13 +22,13 @@
  * more of them: a sound service fails some of its calls for reasons of its own.
  */
 constexpr std::array<EvidenceRule, 7> EvidenceRules {{
-    {Evidence::Sound, 0, 0},
-    {Evidence::Overloaded, 0, 0},
-    {Evidence::Unwilling, 8, 8},
-    {Evidence::ServerError, 1, 8},
-    {Evidence::Broken, 4, 8},
-    {Evidence::Unreachable, 0, 0}, // A connection of its own tests it.
-    {Evidence::Silent, 8, 8},
+    {HealthSignal::Healthy, 0, 0},
+    {HealthSignal::Overloaded, 0, 0},
+    {HealthSignal::Declined, 8, 8},
+    {HealthSignal::ServerError, 1, 8},
+    {HealthSignal::Broken, 4, 8},
+    {HealthSignal::Unreachable, 0, 0}, // A connection of its own tests it.
+    {HealthSignal::TimedOut, 8, 8},
 }};
 
 /** First time without work; doubles with each further failure. */
@@ -55,7 +55,7 @@
 /** Forgotten endpoints whose last start is remembered: far more than leave within minutes. */
 constexpr std::size_t RememberedStarts = 2'048;
 
-const EvidenceRule &ruleFor(Evidence evidence)
+const EvidenceRule &ruleFor(HealthSignal evidence)
 {
     return *std::find_if(EvidenceRules.begin(), EvidenceRules.end(),
                          [&](const EvidenceRule &rule) { return rule.evidence_ == evidence; });
@@ -72,30 +72,30 @@
 
 } // namespace
 
-SlotUse Endpoint::usedByAll() const noexcept
+SlotUse Endpoint::fleetSlotUse() const noexcept
 {
     SlotUse use = slotUse_;
-    use.add(foreignSlotUse_);
+    use.add(peerSlotUse_);
     return use;
 }
 
-std::int64_t Endpoint::queuedByAll(int urgency) const noexcept
+std::int64_t Endpoint::fleetQueuedTokens(int urgency) const noexcept
 {
-    return queued_.ahead(urgency) + foreignQueued_.ahead(urgency);
+    return queued_.ahead(urgency) + peerQueued_.ahead(urgency);
 }
 
 bool Endpoint::isIdle(TimePoint now) const noexcept
 {
-    const bool hasRequests = openSends_ > 0 || usedByAll().all() > 0 || queuedByAll() > 0;
+    const bool hasRequests = openSends_ > 0 || fleetSlotUse().all() > 0 || fleetQueuedTokens() > 0;
     const bool hasFailures = recentFailures_.at(now) >= ForgottenFailures
-                             || toldFailures_ >= ForgottenFailures
+                             || peerFailures_ >= ForgottenFailures
                              || unreachedAt_ + UnreachedIsNews > now;
-    return !hasRequests && !hasFailures && !awaitsTest_ && changingUntil_ <= now;
+    return !hasRequests && !hasFailures && !awaitsProbe_ && changingUntil_ <= now;
 }
 
 std::string_view Endpoint::stateName(TimePoint now) const noexcept
 {
-    if (!listedNow_) {
+    if (!isListed_) {
         return "leaving";
     }
     if (listed_.draining_) {
@@ -104,23 +104,23 @@
     if (changingUntil_ > now) {
         return "changing";
     }
-    if (awaitsTest_) {
+    if (awaitsProbe_) {
         return "unreachable";
     }
     return distrustedUntil_ > now || probing_ ? "distrusted" : "usable";
 }
 
-Listing EndpointTable::list(const ListedEndpoint &listed, TimePoint now)
+ListingChange EndpointTable::list(const ListedEndpoint &listed, TimePoint now)
 {
     const std::int64_t known = knownStart(listed.id_);
     // Old entries come late and in any order: only a later start is news.
     if (listed.startedAtMillis_ != 0 && listed.startedAtMillis_ < known) {
-        return Listing::Same;
+        return ListingChange::Unchanged;
     }
     const auto [place, added] = endpoints_.try_emplace(listed.id_);
     Endpoint &endpoint = place->second;
     const bool restarted = !added && known != 0 && listed.startedAtMillis_ > known;
-    const bool changed = added || !endpoint.listedNow_ || endpoint.listed_ != listed;
+    const bool changed = added || !endpoint.isListed_ || endpoint.listed_ != listed;
     if (restarted) {
         restart(endpoint, now);
     } else if (!added && endpoint.listed_.stage_ != listed.stage_) {
@@ -128,15 +128,15 @@
     }
     endpoint.listed_ = listed;
     endpoint.listed_.startedAtMillis_ = std::max(known, listed.startedAtMillis_);
-    endpoint.listedNow_ = true;
+    endpoint.isListed_ = true;
     if (added) {
         endpoint.loadAt_ = now;
         endpoint.idHash_ = nameHash(listed.id_.value());
     }
     if (restarted) {
-        return Listing::Restarted;
+        return ListingChange::Restarted;
     }
-    return changed ? Listing::Changed : Listing::Same;
+    return changed ? ListingChange::Changed : ListingChange::Unchanged;
 }
 
 /** The latest start that was told of an endpoint, known or forgotten; 0: none. */
@@ -163,10 +163,10 @@
 bool EndpointTable::unlist(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
-    if (found == endpoints_.end() || !found->second.listedNow_) {
+    if (found == endpoints_.end() || !found->second.isListed_) {
         return false;
     }
-    found->second.listedNow_ = false;
+    found->second.isListed_ = false;
     forgetIfDone(id);
     return true;
 }
@@ -187,7 +187,7 @@
     return found != endpoints_.end() ? &found->second : nullptr;
 }
 
-void EndpointTable::forgetIdle(TimePoint now)
+void EndpointTable::deactivateIdle(TimePoint now)
 {
     std::erase_if(active_, [&](const auto &entry) { return entry.second->isIdle(now); });
 }
@@ -196,7 +196,7 @@
 {
     std::vector<const Endpoint *> found;
     for (const auto &[id, endpoint] : endpoints_) {
-        if (endpoint.listedNow_ && !endpoint.listed_.draining_
+        if (endpoint.isListed_ && !endpoint.listed_.draining_
             && endpoint.listed_.service_ == service) {
             found.push_back(&endpoint);
         }
@@ -209,7 +209,7 @@
     std::vector<const Endpoint *> found = listed(service);
     std::erase_if(found, [&](const Endpoint *endpoint) {
         // Distrusted until a time, and then until the one request that tests it was answered.
-        return endpoint->distrustedUntil_ > now || endpoint->probing_ || endpoint->awaitsTest_
+        return endpoint->distrustedUntil_ > now || endpoint->probing_ || endpoint->awaitsProbe_
                || endpoint->changingUntil_ > now;
     });
     return found;
@@ -224,7 +224,7 @@
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::leftOut(TimePoint now) const
+std::vector<const Endpoint *> EndpointTable::outliers(TimePoint now) const
 {
     std::set<ServiceId> services;
     for (const auto &[id, endpoint] : active_) {
@@ -287,7 +287,7 @@
     if (endpoint == nullptr) {
         return;
     }
-    endpoint->slotUse_.add(urgency >= LateUrgencies);
+    endpoint->slotUse_.add(urgency >= FirstLateUrgency);
     ++endpoint->openSends_;
     endpoint->recentSends_.add(1, now);
     endpoint->queued_.add(urgency, promptTokens);
@@ -296,7 +296,7 @@
     }
 }
 
-void EndpointTable::onRead(const EndpointId &id, int urgency, std::int64_t promptTokens)
+void EndpointTable::onPrefilled(const EndpointId &id, int urgency, std::int64_t promptTokens)
 {
     Endpoint *endpoint = find(id);
     if (endpoint != nullptr) {
@@ -304,7 +304,7 @@
     }
 }
 
-void EndpointTable::onReadTime(const EndpointId &id, double expectedMillis, double milliseconds)
+void EndpointTable::onPrefillTime(const EndpointId &id, double expectedMillis, double milliseconds)
 {
     Endpoint *endpoint = find(id);
     if (endpoint == nullptr || expectedMillis < LeastSampleMillis || milliseconds <= 0) {
@@ -320,7 +320,7 @@
     if (endpoint == nullptr) {
         return;
     }
-    endpoint->slotUse_.remove(urgency >= LateUrgencies);
+    endpoint->slotUse_.remove(urgency >= FirstLateUrgency);
     --endpoint->openSends_;
     if (endpoint->outstanding() == 0) {
         endpoint->probing_ = false;
@@ -339,7 +339,7 @@
 void EndpointTable::forgetIfDone(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
-    if (found == endpoints_.end() || found->second.listedNow_ || found->second.openSends_ > 0) {
+    if (found == endpoints_.end() || found->second.isListed_ || found->second.openSends_ > 0) {
         return;
     }
     if (lastStarts_.size() >= RememberedStarts) {
@@ -363,16 +363,16 @@
 
 void EndpointTable::awaitTest(Endpoint &endpoint, TimePoint testAt)
 {
-    if (!endpoint.awaitsTest_) {
-        endpoint.awaitsTest_ = true;
+    if (!endpoint.awaitsProbe_) {
+        endpoint.awaitsProbe_ = true;
         endpoint.testAt_ = testAt;
     }
 }
 
 void EndpointTable::endTest(Endpoint &endpoint)
 {
-    endpoint.awaitsTest_ = false;
-    endpoint.failedTests_ = 0;
+    endpoint.awaitsProbe_ = false;
+    endpoint.failedProbes_ = 0;
 }
 
 void EndpointTable::onSuspected(const EndpointId &id, TimePoint now)
@@ -382,7 +382,7 @@
     }
 }
 
-void EndpointTable::onUnreachedByPeer(const EndpointId &id, TimePoint now)
+void EndpointTable::onPeerReportedUnreachable(const EndpointId &id, TimePoint now)
 {
     Endpoint *endpoint = find(id);
     // News is told in several notes, and by several peers: one test answers them all.
@@ -392,11 +392,11 @@
     }
 }
 
-std::vector<EndpointId> EndpointTable::takeTests(TimePoint now)
+std::vector<EndpointId> EndpointTable::takeDueProbes(TimePoint now)
 {
     std::vector<EndpointId> due;
     for (const auto &[id, endpoint] : active_) {
-        if (endpoint->awaitsTest_ && endpoint->listedNow_ && endpoint->testAt_ <= now) {
+        if (endpoint->awaitsProbe_ && endpoint->isListed_ && endpoint->testAt_ <= now) {
             due.push_back(id);
         }
     }
@@ -406,10 +406,10 @@
     return due;
 }
 
-void EndpointTable::onTested(const EndpointId &id, bool reached, TimePoint now)
+void EndpointTable::onProbed(const EndpointId &id, bool reached, TimePoint now)
 {
     Endpoint *endpoint = find(id);
-    if (endpoint == nullptr || !endpoint->awaitsTest_) {
+    if (endpoint == nullptr || !endpoint->awaitsProbe_) {
         return;
     }
     if (reached) {
@@ -417,20 +417,20 @@
         endpoint->reachedAt_ = now;
         return;
     }
-    ++endpoint->failedTests_;
+    ++endpoint->failedProbes_;
     constexpr int MostDoublings = 3;
-    const Duration pause = FirstTest * (1 << std::min(endpoint->failedTests_, MostDoublings));
+    const Duration pause = FirstTest * (1 << std::min(endpoint->failedProbes_, MostDoublings));
     endpoint->testAt_ = now + std::min(pause, LongestTest);
 }
 
-std::vector<EndpointId> EndpointTable::unreached(TimePoint now) const
+std::vector<EndpointId> EndpointTable::recentlyUnreachable(TimePoint now) const
 {
     std::vector<EndpointId> found;
     for (const auto &[id, endpoint] : active_) {
         const bool isNews = endpoint->unreachedAt_ != TimePoint {}
                             && endpoint->unreachedAt_ + UnreachedIsNews > now
                             && endpoint->unreachedAt_ > endpoint->soundAt_;
-        if (isNews && endpoint->listedNow_) {
+        if (isNews && endpoint->isListed_) {
             found.push_back(id);
         }
     }
@@ -447,26 +447,26 @@
     }
 }
 
-bool EndpointTable::onEvidence(const EndpointId &id, Evidence evidence, TimePoint now)
+bool EndpointTable::onHealthSignal(const EndpointId &id, HealthSignal evidence, TimePoint now)
 {
     Endpoint *endpoint = find(id);
     if (endpoint == nullptr) {
         return false;
     }
-    const bool wasTrusted = endpoint->distrustedUntil_ == TimePoint {} && !endpoint->awaitsTest_;
+    const bool wasTrusted = endpoint->distrustedUntil_ == TimePoint {} && !endpoint->awaitsProbe_;
     const EvidenceRule &rule = ruleFor(evidence);
     endpoint->probing_ = false;
-    if (evidence == Evidence::Unreachable || evidence == Evidence::Silent) {
+    if (evidence == HealthSignal::Unreachable || evidence == HealthSignal::TimedOut) {
         endpoint->unreachedAt_ = now;
     }
-    if (evidence == Evidence::Unreachable) {
+    if (evidence == HealthSignal::Unreachable) {
         awaitTest(*endpoint, now + FirstTest);
         return wasTrusted;
     }
-    if (evidence == Evidence::Silent) {
+    if (evidence == HealthSignal::TimedOut) {
         awaitTest(*endpoint, now); // Hung or gone: a connection tells in a moment.
     }
-    if (evidence == Evidence::Sound) {
+    if (evidence == HealthSignal::Healthy) {
         endTest(*endpoint);
         endpoint->soundAt_ = now;
     }
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -68,14 +68,14 @@
     return state_->table_;
 }
 
-std::vector<PromptMemory::Key> Gateway::takeReadParts()
+std::vector<PromptCacheIndex::Key> Gateway::takeNewCachedParts()
 {
-    return state_->placement_.takeReadParts();
+    return state_->placement_.takeNewCachedParts();
 }
 
-void Gateway::onPartsTold(const std::vector<PromptMemory::Key> &parts)
+void Gateway::onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts)
 {
-    state_->placement_.onPartsTold(parts, BootClock::now());
+    state_->placement_.onPeerCachedParts(parts, BootClock::now());
 }
 
 std::map<ServiceId, StageDemand> Gateway::demand() const
@@ -91,7 +91,7 @@
 StageLoad Gateway::stageLoad(const ServiceId &service, const StageDemand &demand) const
 {
     const RequestCosts &costs = state_->costs_[service];
-    return {demand, costs.readingMillis(1), costs.meanGenerateMillis()};
+    return {demand, costs.prefillComputeMillis(1), costs.meanGenerateMillis()};
 }
 
 CrashEvidence &Gateway::crashEvidence() noexcept
@@ -183,8 +183,8 @@
 
 void Gateway::listEndpoint(const ListedEndpoint &listed)
 {
-    const Listing news = state_->table_.list(listed, BootClock::now());
-    if (news == Listing::Same) {
+    const ListingChange news = state_->table_.list(listed, BootClock::now());
+    if (news == ListingChange::Unchanged) {
         return;
     }
     if (state_->endpointLines_.take(BootClock::now())) {
@@ -195,11 +195,11 @@
                   {"domain", listed.domain_.value()},
                   {"state", listed.draining_ ? "draining" : "ready"},
                   {"stage", nameOf(StageNames, listed.stage_)},
-                  {"restarted", news == Listing::Restarted ? "yes" : "no"},
+                  {"restarted", news == ListingChange::Restarted ? "yes" : "no"},
                   {"started_at", listed.startedAtMillis_}});
     }
     // After a restart the kept connections lead to a process that is gone.
-    if (listed.draining_ || news == Listing::Restarted) {
+    if (listed.draining_ || news == ListingChange::Restarted) {
         state_->client_.dropKept(listed.id_.value());
     }
 }
@@ -223,7 +223,7 @@
     }
 }
 
-SendBudget &GatewayState::budget(const ServiceId &service)
+RetryBudget &GatewayState::budget(const ServiceId &service)
 {
     const auto [place, added] = budgets_.try_emplace(service, settings_.secondSends_);
     if (added) {
@@ -394,28 +394,28 @@
 void GatewayState::testEndpoints()
 {
     const TimePoint now = BootClock::now();
-    for (const EndpointId &id : table_.takeTests(now)) {
+    for (const EndpointId &id : table_.takeDueProbes(now)) {
         const net::Address address = table_.find(id)->listed_.address_;
         client_.dropKept(id.value());
         client_.open(id.value(), address, now + millis(settings_.connectMillis_),
-                     [this, id](bool reached) { onTested(id, reached); });
+                     [this, id](bool reached) { onProbed(id, reached); });
     }
     tests_.startAt(now + TestInterval, [this] { testEndpoints(); });
 }
 
-void GatewayState::onTested(const EndpointId &id, bool reached)
+void GatewayState::onProbed(const EndpointId &id, bool reached)
 {
     const Endpoint *endpoint = table_.find(id);
     if (endpoint == nullptr) {
         return;
     }
-    if (reached || endpoint->failedTests_ == 0) {
+    if (reached || endpoint->failedProbes_ == 0) {
         logEvent(LogLevel::Info, "endpoint_test",
                  {{"endpoint", id.value()}, {"reached", reached ? "yes" : "no"}});
     }
-    table_.onTested(id, reached, BootClock::now());
+    table_.onProbed(id, reached, BootClock::now());
     if (!reached) {
-        crashes_.onUnreached(id);
+        crashes_.onConnectFailed(id);
     }
 }
 
@@ -424,14 +424,14 @@
     const TimePoint now = BootClock::now();
     leftOutTimer_.startAt(now + LeftOutInterval, [this] { logLeftOut(); });
     std::set<EndpointId> present;
-    for (const Endpoint *endpoint : table_.leftOut(now)) {
+    for (const Endpoint *endpoint : table_.outliers(now)) {
         const EndpointId &id = endpoint->listed_.id_;
         present.insert(id);
         if (!leftOut_.contains(id)) {
             logEvent(LogLevel::Warning, "endpoint_left_out",
                      {{"endpoint", id.value()},
                       {"own_failures", endpoint->recentFailures_.at(now)},
-                      {"told_failures", endpoint->toldFailures_},
+                      {"told_failures", endpoint->peerFailures_},
                       {"own_sends", endpoint->recentSends_.at(now)},
                       {"instances", instances_}});
         }
--- a/libs/gateway/src/gatewaystate.h
+++ b/libs/gateway/src/gatewaystate.h
@@ -40,10 +40,10 @@
     void onWritten(const async::CallId &id);
     void refuse(const async::CallId &id, int status, std::string_view reason);
     const ServiceId &pickService(const Route &route);
-    SendBudget &budget(const ServiceId &service);
+    RetryBudget &budget(const ServiceId &service);
     /** Tries connections to endpoints that could not be reached, when they are due. */
     void testEndpoints();
-    void onTested(const EndpointId &id, bool reached);
+    void onProbed(const EndpointId &id, bool reached);
     /** One line for each endpoint that is left out from now on, or is not any more. */
     void logLeftOut();
     /** Forgets a call once the stack that it is on has unwound. */
@@ -57,7 +57,7 @@
     EndpointTable table_;
     Placement placement_;
     CrashGuard crashes_ {*this};
-    std::map<ServiceId, SendBudget> budgets_;
+    std::map<ServiceId, RetryBudget> budgets_;
     std::shared_ptr<const Config> config_;
     KeyLease keyLease_;
     Gateway::OnBegan onBegan_;
--- a/libs/gateway/src/loaddigest.cpp
+++ b/libs/gateway/src/loaddigest.cpp
@@ -170,7 +170,7 @@
         if (!part.is_number_unsigned()) {
             return false;
         }
-        digest.readParts_.push_back(part.get<PromptMemory::Key>());
+        digest.readParts_.push_back(part.get<PromptCacheIndex::Key>());
     }
     return true;
 }
--- a/libs/gateway/src/loadexchange.cpp
+++ b/libs/gateway/src/loadexchange.cpp
@@ -99,9 +99,9 @@
             onDropped(reception);
         }
     }
-    const std::vector<PromptMemory::Key> parts = mesh_.takeToldParts();
+    const std::vector<PromptCacheIndex::Key> parts = mesh_.takeToldParts();
     if (!parts.empty()) {
-        gateway_.onPartsTold(parts);
+        gateway_.onPeerCachedParts(parts);
     }
 }
 
@@ -116,7 +116,7 @@
     if (handler != handlers_.end()) {
         return handler->second(datagram, now);
     }
-    if (!isCrashNews(datagram)) {
+    if (!isCrashDatagram(datagram)) {
         return mesh_.onDatagram(datagram, gateway_.endpoints(), now);
     }
     std::vector<MeshDatagram> answers;
@@ -180,7 +180,7 @@
         }
     }
     note.demand_ = gateway_.demand();
-    note.unreached_ = gateway_.endpoints().unreached(now);
+    note.unreached_ = gateway_.endpoints().recentlyUnreachable(now);
     if (note.unreached_.size() > MostUnreachedTold) {
         note.unreached_.resize(MostUnreachedTold);
     }
@@ -191,9 +191,9 @@
 {
     const TimePoint now = BootClock::now();
     timer_.startAt(mesh_.nextTick(now), [this] { tick(); });
-    gateway_.endpoints().forgetIdle(now);
+    gateway_.endpoints().deactivateIdle(now);
     std::erase_if(changing_, [&](const auto &entry) { return entry.second <= now; });
-    mesh_.addReadParts(gateway_.takeReadParts());
+    mesh_.addReadParts(gateway_.takeNewCachedParts());
     send(mesh_.tick(currentNote(now), gateway_.endpoints(), now));
     send(crashes_.tick(now));
 }
--- a/libs/gateway/src/loadmesh.cpp
+++ b/libs/gateway/src/loadmesh.cpp
@@ -31,19 +31,19 @@
     , choice_(self_, domain_)
 { }
 
-void LoadMesh::PartsToTell::add(const std::vector<PromptMemory::Key> &parts)
+void LoadMesh::PartsToTell::add(const std::vector<PromptCacheIndex::Key> &parts)
 {
     const std::size_t room = MostPartsToTell - std::min(MostPartsToTell, fresh_.size());
     const auto taken = static_cast<std::ptrdiff_t>(std::min(room, parts.size()));
     fresh_.insert(fresh_.end(), parts.begin(), parts.begin() + taken);
 }
 
-std::vector<PromptMemory::Key> LoadMesh::PartsToTell::take(std::size_t most)
+std::vector<PromptCacheIndex::Key> LoadMesh::PartsToTell::take(std::size_t most)
 {
     const auto end = fresh_.begin() + static_cast<std::ptrdiff_t>(std::min(most, fresh_.size()));
-    std::vector<PromptMemory::Key> now(fresh_.begin(), end);
+    std::vector<PromptCacheIndex::Key> now(fresh_.begin(), end);
     fresh_.erase(fresh_.begin(), end);
-    std::vector<PromptMemory::Key> parts = std::exchange(toldOnce_, now);
+    std::vector<PromptCacheIndex::Key> parts = std::exchange(toldOnce_, now);
     parts.insert(parts.end(), now.begin(), now.end());
     return parts;
 }
@@ -142,7 +142,7 @@
            || isWorthANote(note, last_, isDirect() ? FleetSize::Few : FleetSize::Many);
 }
 
-void LoadMesh::addReadParts(const std::vector<PromptMemory::Key> &parts)
+void LoadMesh::addReadParts(const std::vector<PromptCacheIndex::Key> &parts)
 {
     notedParts_.add(parts);
 }
@@ -151,7 +151,7 @@
 {
     LoadNote note = own;
     note.number_ = ++noteNumber_;
-    const std::vector<PromptMemory::Key> parts = notedParts_.take(MostPartsInNote);
+    const std::vector<PromptCacheIndex::Key> parts = notedParts_.take(MostPartsInNote);
     note.readParts_ = parts;
     if (isRelay()) {
         domainParts_.add(parts);
@@ -265,7 +265,7 @@
         table.onChanging(engine, now + millis(std::min(left, LongestChangeMillis)));
     }
     for (const EndpointId &endpoint : digest.unreached_) {
-        table.onUnreachedByPeer(endpoint, now);
+        table.onPeerReportedUnreachable(endpoint, now);
     }
     toldParts_.insert(toldParts_.end(), digest.readParts_.begin(), digest.readParts_.end());
     if (isRelay() && stream.isInUse()) {
@@ -275,7 +275,7 @@
     return Reception::Taken;
 }
 
-std::vector<PromptMemory::Key> LoadMesh::takeToldParts()
+std::vector<PromptCacheIndex::Key> LoadMesh::takeToldParts()
 {
     return std::exchange(toldParts_, {});
 }
--- a/libs/gateway/src/loadmeshrelay.cpp
+++ b/libs/gateway/src/loadmeshrelay.cpp
@@ -80,7 +80,7 @@
 
 /** Numbered digests: the lists in the first one, and more where one packet would not do. */
 std::vector<LoadDigest> LoadMesh::digestsOf(LoadDigest first, std::vector<LoadTable> loads,
-                                            const std::vector<PromptMemory::Key> &parts)
+                                            const std::vector<PromptCacheIndex::Key> &parts)
 {
     std::vector<LoadDigest> digests;
     if (first.unreached_.size() + first.changingMillis_.size() > MostListedBesideLoads) {
@@ -176,8 +176,8 @@
     }
     addAbsent(std::exchange(foreignUnreached_, {}), digest.unreached_, MostUnreachedTold);
     for (const auto &[id, endpoint] : table.active()) {
-        EndpointLoad load {endpoint->foreignQueued_, endpoint->foreignSlotUse_,
-                           endpoint->toldFailures_};
+        EndpointLoad load {endpoint->peerQueued_, endpoint->peerSlotUse_,
+                           endpoint->peerFailures_};
         if (!load.isNone()) {
             sums[id].add(load);
         }
--- a/libs/gateway/src/patience.cpp
+++ b/libs/gateway/src/loadshedding.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/patience.h"
+#include "almondridge/gateway/loadshedding.h"
 
 #include <algorithm>
 #include <cmath>
@@ -21,7 +21,7 @@
 
 } // namespace
 
-TimePoint callerLeavesAt(const Route &route, TimePoint askedAt, TimePoint deadline)
+TimePoint expectedAbandonTime(const Route &route, TimePoint askedAt, TimePoint deadline)
 {
     const std::int64_t patience =
         std::max({LeastPatienceMillis, PatientObjectives * route.objectiveMillis_,
@@ -29,13 +29,13 @@
     return std::min(askedAt + millis(patience), deadline);
 }
 
-std::optional<std::int64_t> returnAfterMillis(double readMillis, TimePoint leavesAt, TimePoint now)
+std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint leavesAt, TimePoint now)
 {
     const auto left = static_cast<double>(toMillis(leavesAt - now));
-    if (readMillis <= SureAt * left) {
+    if (prefillMillis <= SureAt * left) {
         return std::nullopt;
     }
-    return std::llround(std::clamp(readMillis - left, ShortestReturnMillis, LongestReturnMillis));
+    return std::llround(std::clamp(prefillMillis - left, ShortestReturnMillis, LongestReturnMillis));
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/modelcall.cpp
+++ b/libs/gateway/src/modelcall.cpp
@@ -1,6 +1,6 @@
 #include "modelcall.h"
 
-#include "almondridge/gateway/patience.h"
+#include "almondridge/gateway/loadshedding.h"
 
 #include <algorithm>
 #include <utility>
@@ -22,10 +22,10 @@
     query.service_ = input_.service_;
     query.prompt_ = &prompt();
     query.priority_ = priority();
-    query.inTime_ = inTimeUntil();
+    query.firstEventDeadline_ = inTimeUntil();
     query.costs_ = &costs();
     query.excluded_ = excluded_;
-    query.inPlace_ = inPlaceOnly_;
+    query.prefillInPlace_ = inPlaceOnly_;
     return query;
 }
 
@@ -37,17 +37,17 @@
         return;
     }
     PromptQuery query = promptQuery();
-    const auto generator = chooseGenerator(gateway_.settings_.domain_);
+    const auto generator = chooseDecodeEngine(gateway_.settings_.domain_);
     if (generator) {
         query.slotWaitMillis_ = generator->waitMillis_;
     }
     const auto plan = gateway_.placement_.planPrompt(gateway_.table_, query, now);
-    countDemand(plan ? plan->newTokens_ : prompt().ownTokens());
+    countDemand(plan ? plan->uncachedTokens_ : prompt().ownTokens());
     if (!plan) {
         giveUp("no-engine");
         return;
     }
-    if (plan->urgency_ >= LateUrgencies && generator && isRefusedBy(*generator)) {
+    if (plan->urgency_ >= FirstLateUrgency && generator && isRefusedBy(*generator)) {
         giveUp("generators-full");
         return;
     }
@@ -80,10 +80,10 @@
 
 void ModelCall::countRead(const PromptPlan &plan)
 {
-    readTokens_ = plan.newTokens_;
-    readEstimateMillis_ = plan.readMillis_;
-    aheadTokens_ = plan.aheadTokens_;
-    partsUnknown_ = plan.partsUnknown_;
+    readTokens_ = plan.uncachedTokens_;
+    readEstimateMillis_ = plan.prefillMillis_;
+    queuedTokens_ = plan.queuedTokens_;
+    cacheHitUnknown_ = plan.cacheHitUnknown_;
     urgency_ = plan.urgency_;
 }
 
@@ -105,7 +105,7 @@
     const double memory = engine.kvTokens_ > 0 ? static_cast<double>(prompt().tokens_)
                                                      / static_cast<double>(engine.kvTokens_)
                                                : 0;
-    gateway_.demand_[input_.service_].onRequest(costs().readingMillis(newTokens) / MillisPerSecond,
+    gateway_.demand_[input_.service_].onRequest(costs().prefillComputeMillis(newTokens) / MillisPerSecond,
                                                 costs().generateMillis(route().name_)
                                                     / MillisPerSecond * std::max(slot, memory),
                                                 BootClock::now());
@@ -114,8 +114,8 @@
 /** Tells the caller at once when to come back, and the engine reads for those that stay. */
 bool ModelCall::comesTooLate(const PromptPlan &plan, TimePoint now)
 {
-    const TimePoint leaves = callerLeavesAt(route(), input_.request_.startedAt_, deadline());
-    const auto after = returnAfterMillis(plan.readMillis_, leaves, now);
+    const TimePoint leaves = expectedAbandonTime(route(), input_.request_.startedAt_, deadline());
+    const auto after = shedRetryAfterMillis(plan.prefillMillis_, leaves, now);
     if (after) {
         retryAfterMillis_ = after;
     }
@@ -123,7 +123,7 @@
 }
 
 /** A late request would wait too long behind the others: its caller is told when to come back. */
-bool ModelCall::isRefusedBy(const GeneratorChoice &generator)
+bool ModelCall::isRefusedBy(const DecodeChoice &generator)
 {
     if (begun_ || !generator.full_) {
         return false;
@@ -147,7 +147,7 @@
 std::optional<net::Address> ModelCall::readerOfThisPrompt(const EndpointId &generator) const
 {
     const Endpoint *reader = gateway_.table_.find(prefillEngine_);
-    const bool mayHaveIt = reader != nullptr && reader->listedNow_ && !reader->awaitsTest_
+    const bool mayHaveIt = reader != nullptr && reader->isListed_ && !reader->awaitsProbe_
                            && reader->lifetime_ == prefillLifetime_ && prefillEngine_ != generator;
     return mayHaveIt ? std::optional(reader->listed_.address_) : std::nullopt;
 }
@@ -160,14 +160,14 @@
     const Endpoint &reader = *gateway_.table_.find(prefillEngine_);
     prefillLifetime_ = reader.lifetime_;
     prefillDomain_ = reader.listed_.domain_;
-    gateway_.placement_.onPromptRead(reader.listed_, prompt(), BootClock::now());
+    gateway_.placement_.onPromptSent(reader.listed_, prompt(), BootClock::now());
     SendOrder order;
     order.urgency_ = plan.urgency_;
     order.prefillOnly_ = true;
     order.copyPartsFrom_ = partsSource(plan);
-    send(prefillEngine_, order, plan.newTokens_);
+    send(prefillEngine_, order, plan.uncachedTokens_);
     const Duration patience =
-        SilentAtLeast + millis(static_cast<std::int64_t>(SilentAfterEstimates * plan.readMillis_));
+        SilentAtLeast + millis(static_cast<std::int64_t>(SilentAfterEstimates * plan.prefillMillis_));
     watchSilence(BootClock::now() + patience);
 }
 
@@ -176,7 +176,7 @@
     phase_ = ModelPhase::Waiting;
     ++runs_;
     countRead(plan);
-    gateway_.placement_.onPromptRead(gateway_.table_.find(plan.decode_)->listed_, prompt(),
+    gateway_.placement_.onPromptSent(gateway_.table_.find(plan.decode_)->listed_, prompt(),
                                      BootClock::now());
     fetches_ = false;
     SendOrder order;
@@ -184,7 +184,7 @@
     order.resumeAfter_ = events_.lastId();
     const auto reader = readerOfThisPrompt(plan.decode_);
     order.copyPartsFrom_ = reader ? reader : partsSource(plan);
-    send(plan.decode_, order, plan.newTokens_);
+    send(plan.decode_, order, plan.uncachedTokens_);
     watchStream();
 }
 
@@ -204,9 +204,9 @@
         streamEnded();
         return;
     }
-    const Evidence evidence =
-        attempt_.head_.status_ >= 500 ? Evidence::ServerError : Evidence::Sound;
-    if (evidence == Evidence::ServerError && mayRunAgain()) {
+    const HealthSignal evidence =
+        attempt_.head_.status_ >= 500 ? HealthSignal::ServerError : HealthSignal::Healthy;
+    if (evidence == HealthSignal::ServerError && mayRunAgain()) {
         leaveEndpoint(evidence);
         sendResume();
         return;
@@ -226,23 +226,23 @@
                                    : std::string();
     if (handle.empty()) {
         retryAfterMillis_ = attempt_.facts_.retryAfterMillis_;
-        attempt_.facts_.notRun_ ? prefillRefused() : prefillFailed(Evidence::ServerError);
+        attempt_.facts_.notRun_ ? prefillRefused() : prefillFailed(HealthSignal::ServerError);
         return;
     }
     const Endpoint *engine = gateway_.table_.find(attempt_.endpoint_);
     readAt_ = BootClock::now();
     handle_ = PromptHandle {engine->listed_.address_, handle};
     const auto tookMillis = static_cast<double>(toMillis(readAt_ - attempt_.sentAt_));
-    if (partsUnknown_) {
-        gateway_.placement_.onUnknownRead(costs(), *engine, prompt(), aheadTokens_, tookMillis);
+    if (cacheHitUnknown_) {
+        gateway_.placement_.onUnknownPartsPrefilled(costs(), *engine, prompt(), queuedTokens_, tookMillis);
     } else {
-        if (aheadTokens_ == 0) {
-            costs().onReadAlone(readTokens_, tookMillis);
+        if (queuedTokens_ == 0) {
+            costs().onUncontendedPrefill(readTokens_, tookMillis);
         }
-        gateway_.table_.onReadTime(attempt_.endpoint_,
-                                   costs().readMillis(aheadTokens_ + readTokens_), tookMillis);
+        gateway_.table_.onPrefillTime(attempt_.endpoint_,
+                                   costs().prefillMillis(queuedTokens_ + readTokens_), tookMillis);
     }
-    closeAttempt(Evidence::Sound);
+    closeAttempt(HealthSignal::Healthy);
     sendToDecode();
 }
 
@@ -258,7 +258,7 @@
  * The prompt may have been read, but not for us: it is read where it is generated, as a second
  * reading apart could count as another run of the request.
  */
-void ModelCall::prefillFailed(Evidence evidence)
+void ModelCall::prefillFailed(HealthSignal evidence)
 {
     leaveEndpoint(evidence);
     inPlaceOnly_ = true;
@@ -272,10 +272,10 @@
         return;
     }
     if (phase_ == ModelPhase::Prefilling) {
-        prefillFailed(Evidence::Broken);
+        prefillFailed(HealthSignal::Broken);
         return;
     }
-    streamBroke(failure, Evidence::Broken);
+    streamBroke(failure, HealthSignal::Broken);
 }
 
 /**
@@ -287,7 +287,7 @@
 {
     const bool wasPrefill = phase_ == ModelPhase::Prefilling;
     runs_ -= wasPrefill ? 0 : 1;
-    leaveEndpoint(Evidence::Unreachable);
+    leaveEndpoint(HealthSignal::Unreachable);
     if (!mayTryAnother()) {
         giveUp("engine-unreachable");
         return;
@@ -333,7 +333,7 @@
 {
     if (phase_ == ModelPhase::Prefilling) {
         trail_ += ":silent";
-        prefillFailed(Evidence::Silent);
+        prefillFailed(HealthSignal::TimedOut);
         return;
     }
     if (phase_ == ModelPhase::Idle) {
--- a/libs/gateway/src/modelcall.h
+++ b/libs/gateway/src/modelcall.h
@@ -32,14 +32,14 @@
     void placeAlone(PromptPlan plan);
     PromptQuery promptQuery() const;
     bool comesTooLate(const PromptPlan &plan, TimePoint now);
-    bool isRefusedBy(const GeneratorChoice &generator);
+    bool isRefusedBy(const DecodeChoice &generator);
     void sendPrefill(const PromptPlan &plan);
     std::optional<net::Address> partsSource(const PromptPlan &plan) const;
     std::optional<net::Address> readerOfThisPrompt(const EndpointId &generator) const;
     void sendInPlace(const PromptPlan &plan);
     void sendToDecode();
     TimePoint inTimeUntil() const;
-    std::optional<GeneratorChoice> chooseGenerator(const DomainId &source) const;
+    std::optional<DecodeChoice> chooseDecodeEngine(const DomainId &source) const;
     void sendResume();
     void goOn();
     bool engineIsGone() const;
@@ -56,11 +56,11 @@
 
     void prefillEnded();
     void prefillRefused();
-    void prefillFailed(Evidence evidence);
+    void prefillFailed(HealthSignal evidence);
     void neverArrived();
     void notRun();
     void streamEnded();
-    void streamBroke(async::ExchangeFailure failure, Evidence evidence);
+    void streamBroke(async::ExchangeFailure failure, HealthSignal evidence);
     void countRead(const PromptPlan &plan);
     void countDemand(std::int64_t newTokens);
     void passEvents(std::string_view events);
@@ -76,8 +76,8 @@
     std::uint64_t prefillLifetime_ = 0;
     DomainId prefillDomain_;
     EventSplitter events_;
-    std::int64_t aheadTokens_ = 0; ///< Read before this prompt, where it is read.
-    bool partsUnknown_ = false;    ///< Whether its shared parts were cached there was a guess.
+    std::int64_t queuedTokens_ = 0; ///< Read before this prompt, where it is read.
+    bool cacheHitUnknown_ = false;    ///< Whether its shared parts were cached there was a guess.
     bool fetches_ = false;         ///< The attempt is to fetch the prompt that was read elsewhere.
     bool inPlaceOnly_ = false;
     bool demandCounted_ = false;
--- a/libs/gateway/src/modelstream.cpp
+++ b/libs/gateway/src/modelstream.cpp
@@ -27,7 +27,7 @@
         giveUp(KeyWithdrawnCause);
         return;
     }
-    auto choice = chooseGenerator(prefillDomain_);
+    auto choice = chooseDecodeEngine(prefillDomain_);
     if (!choice || isQuarantined()) {
         giveUp("no-engine");
         return;
@@ -44,7 +44,7 @@
     phase_ = ModelPhase::Waiting;
     ++runs_;
     SendOrder order;
-    order.urgency_ = std::clamp(priority(), 0, LateUrgencies - 1) + (late ? LateUrgencies : 0);
+    order.urgency_ = std::clamp(priority(), 0, FirstLateUrgency - 1) + (late ? FirstLateUrgency : 0);
     order.prompt_ = handle_;
     fetches_ = true;
     send(choice->engine_, order, Placement::handoverTokens(prompt()));
@@ -56,14 +56,14 @@
     return input_.request_.startedAt_ + millis(route().objectiveMillis_);
 }
 
-std::optional<GeneratorChoice> ModelCall::chooseGenerator(const DomainId &source) const
+std::optional<DecodeChoice> ModelCall::chooseDecodeEngine(const DomainId &source) const
 {
-    GeneratorQuery query;
+    DecodeQuery query;
     query.service_ = input_.service_;
     query.source_ = source;
     query.excluded_ = excluded_;
     query.costs_ = &costs();
-    return gateway_.placement_.chooseGenerator(gateway_.table_, query, gateway_.random_(),
+    return gateway_.placement_.chooseDecodeEngine(gateway_.table_, query, gateway_.random_(),
                                                BootClock::now());
 }
 
@@ -150,8 +150,8 @@
 {
     retryAfterMillis_ = attempt_.facts_.retryAfterMillis_;
     logNotRun();
-    const Evidence evidence = refusalEvidence();
-    if (fetches_ && !attempt_.facts_.misdirected_ && evidence == Evidence::Unwilling) {
+    const HealthSignal evidence = refusalEvidence();
+    if (fetches_ && !attempt_.facts_.misdirected_ && evidence == HealthSignal::Declined) {
         // It has room: the memory was not there any more, or could not be moved in time. Blamed
         // alone, sound engines were left out for the lapsed handles of others.
         gateway_.table_.onHandoverRefused(prefillEngine_, attempt_.endpoint_, BootClock::now());
@@ -180,7 +180,7 @@
 void ModelCall::streamEnded()
 {
     if (!attempt_.facts_.signed_ && !begun_) {
-        streamBroke(async::ExchangeFailure::Garbled, Evidence::Broken);
+        streamBroke(async::ExchangeFailure::Garbled, HealthSignal::Broken);
         return;
     }
     const std::string rest = events_.rest();
@@ -191,12 +191,12 @@
         costs().onGenerated(route().name_,
                             static_cast<double>(toMillis(BootClock::now() - firstByteAt_)));
     }
-    closeAttempt(Evidence::Sound);
+    closeAttempt(HealthSignal::Healthy);
     gateway_.server_.endStream(input_.request_.id_);
     finish(Outcome::Answered, 200, "");
 }
 
-void ModelCall::streamBroke(async::ExchangeFailure failure, Evidence evidence)
+void ModelCall::streamBroke(async::ExchangeFailure failure, HealthSignal evidence)
 {
     mayHaveRun_ = true;
     countBegan(BootClock::now());
@@ -226,14 +226,14 @@
     others.push_back(attempt_.endpoint_);
     const bool leave =
         engineIsGone()
-        || gateway_.placement_.someGeneratorHasRoom(gateway_.table_, input_.service_, others, now);
+        || gateway_.placement_.anyDecodeEngineHasRoom(gateway_.table_, input_.service_, others, now);
     if (!leave || !mayRunAgain()) {
         watchSilence(now + TakeoverInterval);
         return;
     }
     mayHaveRun_ = true;
     noteBreak();
-    leaveEndpoint(Evidence::Silent);
+    leaveEndpoint(HealthSignal::TimedOut);
     abandonEndpoints();
     sendResume();
 }
@@ -241,7 +241,7 @@
 bool ModelCall::engineIsGone() const
 {
     const Endpoint *engine = gateway_.table_.find(attempt_.endpoint_);
-    return engine == nullptr || !engine->listedNow_ || engine->failedTests_ > 0
+    return engine == nullptr || !engine->isListed_ || engine->failedProbes_ > 0
            || endpointRestarted();
 }
 
--- a/libs/gateway/src/peerload.cpp
+++ b/libs/gateway/src/peerload.cpp
@@ -1,7 +1,7 @@
 #include "almondridge/gateway/peerload.h"
 
 #include "almondridge/base/cbor.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <algorithm>
 #include <array>
@@ -215,7 +215,7 @@
         if (!part.is_number_unsigned()) {
             return std::nullopt;
         }
-        note.readParts_.push_back(part.get<PromptMemory::Key>());
+        note.readParts_.push_back(part.get<PromptCacheIndex::Key>());
     }
     return note;
 }
@@ -255,17 +255,17 @@
 {
     for (const auto &[id, queue] : note.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignQueued_.add(queue);
+            endpoint->peerQueued_.add(queue);
         }
     }
     for (const auto &[id, use] : note.slotUse_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignSlotUse_.add(use);
+            endpoint->peerSlotUse_.add(use);
         }
     }
     for (const auto &[id, failures] : note.failures_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->toldFailures_ += failures;
+            endpoint->peerFailures_ += failures;
         }
     }
 }
@@ -274,18 +274,18 @@
 {
     for (const auto &[id, queue] : note.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignQueued_.remove(queue);
+            endpoint->peerQueued_.remove(queue);
         }
     }
     for (const auto &[id, use] : note.slotUse_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignSlotUse_.remove(use);
+            endpoint->peerSlotUse_.remove(use);
         }
     }
     for (const auto &[id, failures] : note.failures_) {
         if (Endpoint *endpoint = table.find(id)) {
             // Never below zero: the endpoint may have been listed after the note.
-            endpoint->toldFailures_ = std::max(0.0, endpoint->toldFailures_ - failures);
+            endpoint->peerFailures_ = std::max(0.0, endpoint->peerFailures_ - failures);
         }
     }
 }
@@ -308,7 +308,7 @@
         table.onChanging(endpoint, now + millis(std::min(left, LongestChangeMillis)));
     }
     for (const EndpointId &endpoint : note.unreached_) {
-        table.onUnreachedByPeer(endpoint, now);
+        table.onPeerReportedUnreachable(endpoint, now);
     }
     return true;
 }
--- a/libs/gateway/src/placement.cpp
+++ b/libs/gateway/src/placement.cpp
@@ -67,7 +67,7 @@
 double generatorFullness(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
-    return std::max(static_cast<double>(endpoint.usedByAll().all()) / slots,
+    return std::max(static_cast<double>(endpoint.fleetSlotUse().all()) / slots,
                     fullness(endpoint, now));
 }
 
@@ -112,9 +112,9 @@
 {
     const Endpoint *engine_ = nullptr;
     int urgency_ = 0;
-    std::int64_t newTokens_ = 0;
-    std::int64_t aheadTokens_ = 0;
-    bool partsUnknown_ = false; ///< Whether the shared parts are cached is a guess.
+    std::int64_t uncachedTokens_ = 0;
+    std::int64_t queuedTokens_ = 0;
+    bool cacheHitUnknown_ = false; ///< Whether the shared parts are cached is a guess.
     double millis_ = 0;         ///< Until the prompt is read.
     double cost_ = 0;           ///< The same, and what it takes from other prompts.
 
@@ -131,7 +131,7 @@
 
 double Placement::millisPerToken(const RequestCosts &costs, const Endpoint &engine) const
 {
-    double millis = costs.readingMillis(1);
+    double millis = costs.prefillComputeMillis(1);
     if (engine.readingSpeed_ < SlowSpeed) {
         millis /= engine.readingSpeed_;
     }
@@ -148,10 +148,10 @@
     offer.engine_ = &engine;
     if (mayHold && cached < shared) {
         // Read there before this instance was listening, or never: as often as it proved so.
-        offer.partsUnknown_ = true;
+        offer.cacheHitUnknown_ = true;
         cached += std::llround(unknownCached_ * static_cast<double>(shared - cached));
     }
-    offer.newTokens_ = std::max<std::int64_t>(1, prompt.tokens_ - cached);
+    offer.uncachedTokens_ = std::max<std::int64_t>(1, prompt.tokens_ - cached);
     return offer;
 }
 
@@ -163,11 +163,11 @@
     offer.urgency_ = urgency;
     // All that can be in time counts as ahead, also what is less urgent: an engine reads several
     // prompts at once, and does not stop those that it has begun.
-    const int counted = urgency < LateUrgencies ? LateUrgencies - 1 : Urgencies - 1;
-    offer.aheadTokens_ = engine.queuedByAll(counted);
-    offer.millis_ = query.costs_->readMillis(0)
-                    + perToken * static_cast<double>(offer.aheadTokens_ + offer.newTokens_);
-    const std::int64_t again = offer.newTokens_ - query.prompt_->ownTokens();
+    const int counted = urgency < FirstLateUrgency ? FirstLateUrgency - 1 : UrgencyLevels - 1;
+    offer.queuedTokens_ = engine.fleetQueuedTokens(counted);
+    offer.millis_ = query.costs_->prefillMillis(0)
+                    + perToken * static_cast<double>(offer.queuedTokens_ + offer.uncachedTokens_);
+    const std::int64_t again = offer.uncachedTokens_ - query.prompt_->ownTokens();
     offer.cost_ =
         offer.millis_
         + ReadAgainWeight * perToken * static_cast<double>(std::max<std::int64_t>(0, again));
@@ -244,11 +244,11 @@
         }
         return best;
     };
-    const int inTime = std::clamp(query.priority_, 0, LateUrgencies - 1);
+    const int inTime = std::clamp(query.priority_, 0, FirstLateUrgency - 1);
     const Offer best = bestAt(inTime);
-    const auto left = static_cast<double>(toMillis(query.inTime_ - now) - settings_.handoverMillis_)
+    const auto left = static_cast<double>(toMillis(query.firstEventDeadline_ - now) - settings_.handoverMillis_)
                       - query.slotWaitMillis_;
-    return best.engine_ == nullptr || best.millis_ <= left ? best : bestAt(LateUrgencies + inTime);
+    return best.engine_ == nullptr || best.millis_ <= left ? best : bestAt(FirstLateUrgency + inTime);
 }
 
 Placement::Offer Placement::bestGenerator(const Candidates &engines, const PromptQuery &query) const
@@ -260,7 +260,7 @@
             continue;
         }
         const Offer offer =
-            rank(*engine, query, false, std::clamp(query.priority_, 0, LateUrgencies - 1));
+            rank(*engine, query, false, std::clamp(query.priority_, 0, FirstLateUrgency - 1));
         const bool isFirstOfEqual = offer.cost_ == best.cost_ && weight > weightOfBest;
         if (offer.betterThan(best) || isFirstOfEqual) {
             best = offer;
@@ -310,7 +310,7 @@
         return std::nullopt;
     }
     const Offer reader = bestReader(engines, query, now);
-    const bool isInPlace = query.inPlace_ || reader.engine_ == nullptr;
+    const bool isInPlace = query.prefillInPlace_ || reader.engine_ == nullptr;
     const Offer inPlace = isInPlace ? bestGenerator(engines, query) : Offer();
     const Offer &reads = reader.engine_ != nullptr ? reader : inPlace;
     PromptPlan plan;
@@ -319,19 +319,19 @@
     }
     plan.decode_ = (isInPlace ? inPlace.engine_ : generator)->listed_.id_;
     plan.urgency_ = reads.urgency_;
-    plan.newTokens_ = reads.newTokens_;
-    plan.aheadTokens_ = reads.aheadTokens_;
-    plan.partsUnknown_ = reads.partsUnknown_;
+    plan.uncachedTokens_ = reads.uncachedTokens_;
+    plan.queuedTokens_ = reads.queuedTokens_;
+    plan.cacheHitUnknown_ = reads.cacheHitUnknown_;
     const Endpoint *source = partsSource(engines, *reads.engine_, *query.prompt_, now);
     if (source != nullptr) {
         plan.copyFrom_ = source->listed_.id_;
     }
-    plan.readMillis_ = reads.millis_;
+    plan.prefillMillis_ = reads.millis_;
     return plan;
 }
 
-std::optional<GeneratorChoice> Placement::chooseGenerator(const EndpointTable &table,
-                                                          const GeneratorQuery &query,
+std::optional<DecodeChoice> Placement::chooseDecodeEngine(const EndpointTable &table,
+                                                          const DecodeQuery &query,
                                                           std::uint64_t ticket, TimePoint now) const
 {
     // Moving a prompt between failure domains takes twice as long and is dearer: another domain's
@@ -346,22 +346,22 @@
                   [](const Endpoint *one) { return one->listed_.stage_ == Stage::Prefill; });
     const Endpoint *best = cheapest(engines, ticket, [&](const Endpoint &one) {
         const double waitMillis =
-            static_cast<double>(one.queuedByAll()) * millisPerToken(*query.costs_, one);
+            static_cast<double>(one.fleetQueuedTokens()) * millisPerToken(*query.costs_, one);
         return generatorFullness(one, now) + waitMillis / WaitOfAFullEngine
                + (one.listed_.domain_ == query.source_ ? 0 : OtherDomainCost);
     });
     if (best == nullptr) {
         return std::nullopt;
     }
-    const SlotUse use = best->usedByAll();
+    const SlotUse use = best->fleetSlotUse();
     const int slots = best->listed_.slots_;
     const double slotMillis = query.costs_->meanGenerateMillis();
-    return GeneratorChoice {best->listed_.id_, slotWaitMillis(use.inTime_ + 1, slots, slotMillis),
+    return DecodeChoice {best->listed_.id_, slotWaitMillis(use.inTime_ + 1, slots, slotMillis),
                             slotWaitMillis(use.all() + 1, slots, slotMillis),
                             use.all() >= 2 * std::max(1, slots)};
 }
 
-bool Placement::someGeneratorHasRoom(const EndpointTable &table, const ServiceId &service,
+bool Placement::anyDecodeEngineHasRoom(const EndpointTable &table, const ServiceId &service,
                                      const std::vector<EndpointId> &excluded, TimePoint now) const
 {
     // An engine that is full answers every request with its load; one that has not been heard of
@@ -394,7 +394,7 @@
     return best != nullptr ? std::optional(best->listed_.id_) : std::nullopt;
 }
 
-std::optional<QuietChoice> Placement::chooseQuietest(const EndpointTable &table,
+std::optional<QuietChoice> Placement::chooseLeastLoaded(const EndpointTable &table,
                                                      const ServiceId &service,
                                                      const std::vector<EndpointId> &excluded,
                                                      std::uint64_t ticket, TimePoint now) const
@@ -422,10 +422,10 @@
     return prompt.tokens_ / MovedPerRead;
 }
 
-void Placement::onPromptRead(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now)
+void Placement::onPromptSent(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now)
 {
     for (std::size_t index = 0; index < prompt.parts_.size(); ++index) {
-        const PromptMemory::Key key = PromptMemory::keyOf(engine, prompt.parts_[index].id_);
+        const PromptCacheIndex::Key key = PromptCacheIndex::keyOf(engine, prompt.parts_[index].id_);
         const bool shared = index + 1 < prompt.parts_.size();
         if (memory_.remember(key, now) && shared && readParts_.size() < MostPartsToTell) {
             readParts_.push_back(key);
@@ -433,21 +433,21 @@
     }
 }
 
-void Placement::onPartsTold(const std::vector<PromptMemory::Key> &parts, TimePoint now)
+void Placement::onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts, TimePoint now)
 {
-    for (const PromptMemory::Key part : parts) {
+    for (const PromptCacheIndex::Key part : parts) {
         memory_.remember(part, now);
     }
 }
 
-void Placement::onUnknownRead(const RequestCosts &costs, const Endpoint &engine,
+void Placement::onUnknownPartsPrefilled(const RequestCosts &costs, const Endpoint &engine,
                               const Prompt &prompt, std::int64_t aheadTokens, double milliseconds)
 {
     const auto shared = static_cast<double>(prompt.tokens_ - prompt.ownTokens());
     if (shared < LeastTellingTokens) {
         return;
     }
-    const double read = (milliseconds - costs.readMillis(0)) / millisPerToken(costs, engine)
+    const double read = (milliseconds - costs.prefillMillis(0)) / millisPerToken(costs, engine)
                         - static_cast<double>(aheadTokens + prompt.ownTokens());
     const double cached = read < shared / 2 ? 1 : 0;
     unknownCached_ += UnknownWeight * (cached - unknownCached_);
--- a/libs/gateway/src/promptmemory.cpp
+++ b/libs/gateway/src/promptcacheindex.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 namespace almondridge::gateway {
 namespace {
@@ -41,17 +41,17 @@
     return mix(nameHash ^ mix(key));
 }
 
-PromptMemory::PromptMemory(std::size_t capacity)
+PromptCacheIndex::PromptCacheIndex(std::size_t capacity)
     : capacity_(capacity)
 { }
 
-PromptMemory::Key PromptMemory::keyOf(const ListedEndpoint &engine, std::uint64_t part)
+PromptCacheIndex::Key PromptCacheIndex::keyOf(const ListedEndpoint &engine, std::uint64_t part)
 {
     const auto start = static_cast<std::uint64_t>(engine.startedAtMillis_);
     return rendezvousWeight(engine.id_.value(), part ^ mix(start));
 }
 
-bool PromptMemory::remember(Key key, TimePoint now)
+bool PromptCacheIndex::remember(Key key, TimePoint now)
 {
     const auto found = entries_.find(key);
     if (found != entries_.end()) {
@@ -67,17 +67,17 @@
     return true;
 }
 
-bool PromptMemory::holds(const ListedEndpoint &engine, std::uint64_t part) const
+bool PromptCacheIndex::holds(const ListedEndpoint &engine, std::uint64_t part) const
 {
     return entries_.contains(keyOf(engine, part));
 }
 
-std::int64_t PromptMemory::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt) const
+std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt) const
 {
     return cachedTokens(engine, prompt, TimePoint::max());
 }
 
-std::int64_t PromptMemory::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt,
+std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt,
                                         TimePoint before) const
 {
     std::int64_t tokens = 0;
--- a/libs/gateway/src/promptqueue.cpp
+++ b/libs/gateway/src/promptqueue.cpp
@@ -18,14 +18,14 @@
 
 void PromptQueue::add(const PromptQueue &other)
 {
-    for (int urgency = 0; urgency < Urgencies; ++urgency) {
+    for (int urgency = 0; urgency < UrgencyLevels; ++urgency) {
         add(urgency, other.tokens_[static_cast<std::size_t>(urgency)]);
     }
 }
 
 void PromptQueue::remove(const PromptQueue &other)
 {
-    for (int urgency = 0; urgency < Urgencies; ++urgency) {
+    for (int urgency = 0; urgency < UrgencyLevels; ++urgency) {
         remove(urgency, other.tokens_[static_cast<std::size_t>(urgency)]);
     }
 }
--- a/libs/gateway/src/relaychoice.cpp
+++ b/libs/gateway/src/relaychoice.cpp
@@ -1,6 +1,6 @@
 #include "almondridge/gateway/relaychoice.h"
 
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <algorithm>
 #include <utility>
--- a/libs/gateway/src/requestcosts.cpp
+++ b/libs/gateway/src/requestcosts.cpp
@@ -83,7 +83,7 @@
     fixedMillis_ = std::clamp(fixed, 0.0, MostFixedMillis);
 }
 
-void RequestCosts::onReadAlone(std::int64_t tokens, double milliseconds)
+void RequestCosts::onUncontendedPrefill(std::int64_t tokens, double milliseconds)
 {
     const auto count = static_cast<double>(tokens);
     const double longest = MostFixedMillis + MostMillisPerToken * count;
@@ -91,16 +91,16 @@
         return;
     }
     reads_.fade(KeptReads);
-    reads_.add(count, milliseconds, milliseconds > readMillis(tokens) ? SlowReadWeight : 1);
+    reads_.add(count, milliseconds, milliseconds > prefillMillis(tokens) ? SlowReadWeight : 1);
     fit();
 }
 
-double RequestCosts::readMillis(std::int64_t tokens) const
+double RequestCosts::prefillMillis(std::int64_t tokens) const
 {
-    return fixedMillis_ + readingMillis(tokens);
+    return fixedMillis_ + prefillComputeMillis(tokens);
 }
 
-double RequestCosts::readingMillis(std::int64_t tokens) const
+double RequestCosts::prefillComputeMillis(std::int64_t tokens) const
 {
     return millisPerToken_ * static_cast<double>(tokens);
 }
--- a/libs/gateway/src/sendbudget.cpp
+++ b/libs/gateway/src/retrybudget.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/sendbudget.h"
+#include "almondridge/gateway/retrybudget.h"
 
 #include <algorithm>
 
@@ -15,16 +15,16 @@
 
 } // namespace
 
-SendBudget::SendBudget(const SendBudgetLimits &limits)
+RetryBudget::RetryBudget(const RetryBudgetLimits &limits)
     : limits_(limits)
 { }
 
-void SendBudget::setInstances(int count)
+void RetryBudget::setInstances(int count)
 {
     instances_ = std::max(1, count);
 }
 
-SendBudget::Slice &SendBudget::current(TimePoint now)
+RetryBudget::Slice &RetryBudget::current(TimePoint now)
 {
     const Duration length = millis(limits_.windowMillis_ / SlicesPerWindow);
     while (!slices_.empty() && slices_.front().end_ + millis(limits_.windowMillis_) <= now) {
@@ -36,12 +36,12 @@
     return slices_.back();
 }
 
-void SendBudget::onRequest(TimePoint now)
+void RetryBudget::onRequest(TimePoint now)
 {
     current(now).requests_ += 1;
 }
 
-double SendBudget::left(TimePoint now)
+double RetryBudget::left(TimePoint now)
 {
     current(now);
     double requests = 0;
@@ -54,7 +54,7 @@
     return allowed - sends;
 }
 
-bool SendBudget::take(TimePoint now)
+bool RetryBudget::take(TimePoint now)
 {
     if (left(now) < 1) {
         return false;
--- a/libs/gateway/src/servicecall.cpp
+++ b/libs/gateway/src/servicecall.cpp
@@ -86,11 +86,11 @@
         return;
     }
     if (status >= 500) {
-        leaveEndpoint(Evidence::ServerError);
+        leaveEndpoint(HealthSignal::ServerError);
         mayRunAgain() ? sendNext() : passOn();
         return;
     }
-    closeAttempt(Evidence::Sound);
+    closeAttempt(HealthSignal::Healthy);
     passOn();
 }
 
@@ -98,12 +98,12 @@
 {
     if (failure == async::ExchangeFailure::NotSent) {
         --runs_;
-        leaveEndpoint(Evidence::Unreachable);
+        leaveEndpoint(HealthSignal::Unreachable);
         mayTryAnother() ? sendNext() : giveUp();
         return;
     }
     countBegan(attempt_.sentAt_);
-    leaveEndpoint(Evidence::Broken);
+    leaveEndpoint(HealthSignal::Broken);
     mayHaveRun_ = true;
     if (mayRunAgain()) {
         sendNext();
@@ -119,7 +119,7 @@
     }
     mayHaveRun_ = true;
     countBegan(attempt_.sentAt_);
-    leaveEndpoint(Evidence::Silent);
+    leaveEndpoint(HealthSignal::TimedOut);
     sendNext();
 }
 
--- a/libs/gateway/src/stagekeeper.cpp
+++ b/libs/gateway/src/stagekeeper.cpp
@@ -114,7 +114,7 @@
 void StageKeeper::learnStart(const EndpointId &id, const EngineReport &report)
 {
     const Endpoint *engine = gateway_.endpoints().find(id);
-    if (engine != nullptr && engine->listedNow_
+    if (engine != nullptr && engine->isListed_
         && report.startedAtMillis_ > engine->listed_.startedAtMillis_) {
         ListedEndpoint listed = engine->listed_;
         listed.startedAtMillis_ = report.startedAtMillis_;
--- a/libs/gateway/src/stageplan.cpp
+++ b/libs/gateway/src/stageplan.cpp
@@ -86,7 +86,7 @@
     int count = 0;
     for (const Endpoint *engine : engines) {
         if (engine->listed_.stage_ == Stage::Prefill) {
-            queued += engine->queuedByAll();
+            queued += engine->fleetQueuedTokens();
             ++count;
         }
     }
@@ -100,7 +100,7 @@
     int count = 0;
     for (const Endpoint *engine : engines) {
         if (engine->listed_.stage_ == Stage::Decode) {
-            wait += slotWaitMillis(engine->usedByAll().all(), engine->listed_.slots_, slotMillis);
+            wait += slotWaitMillis(engine->fleetSlotUse().all(), engine->listed_.slots_, slotMillis);
             ++count;
         }
     }
--- a/libs/gateway/tests/crashevidencetest.cpp
+++ b/libs/gateway/tests/crashevidencetest.cpp
@@ -49,7 +49,7 @@
     CrashEvidence evidence;
     for (std::int64_t told = 0; told < 5; ++told) {
         const TimePoint now = Start + millis(told * 700);
-        evidence.onNews(
+        evidence.onUpdate(
             {{{static_cast<CrashKey>(1), static_cast<CrashGroup>(1), 12, told * 700, {request(7)}}},
              {},
              {}},
@@ -77,14 +77,14 @@
     CrashEvidence evidence;
     evidence.onCompleted(request(7), Start + millis(3'000));
     for (std::uint64_t crash = 1; crash <= 3; ++crash) {
-        evidence.onNews(
+        evidence.onUpdate(
             {{{static_cast<CrashKey>(crash), static_cast<CrashGroup>(1), 12, 1'500, {request(7)}}},
              {},
              {}},
             Start + millis(4'000));
     }
     BOOST_TEST(evidence.assess(request(7), Start + millis(4'000)).crashes_ == 0);
-    BOOST_TEST(evidence.takeNews(Start + millis(4'000)).cleared_.size() == 1);
+    BOOST_TEST(evidence.takeUpdate(Start + millis(4'000)).cleared_.size() == 1);
 }
 
 /** A release may mend the endpoints: one run tells, and a failed one doubles the wait. */
@@ -215,7 +215,7 @@
     BOOST_TEST(evidence.acquireLease(request(7), 5, Start));
     BOOST_TEST(!evidence.acquireLease(request(7), 5, Start));
     BOOST_TEST(evidence.holdsLease(request(7), 5, Start));
-    evidence.onNews({{}, {}, {{request(7), 3, 10}}}, Start + millis(100));
+    evidence.onUpdate({{}, {}, {{request(7), 3, 10}}}, Start + millis(100));
     BOOST_TEST(!evidence.holdsLease(request(7), 5, Start + millis(100)));
     BOOST_TEST(evidence.acquireLease(request(7), 5, Start + millis(60'000)));
 }
@@ -239,9 +239,9 @@
         const TimePoint now = Start + millis(renewal * 9'000);
         here.renewLease(request(7), 5, now);
         for (int round = 0; round < 10; ++round) {
-            there.onNews(here.takeNews(now), now);
+            there.onUpdate(here.takeUpdate(now), now);
         }
-        BOOST_TEST(there.takeNews(now).leases_.size() == 1);
+        BOOST_TEST(there.takeUpdate(now).leases_.size() == 1);
         BOOST_TEST(!there.acquireLease(request(7), 3, now + millis(9'000)));
     }
     BOOST_TEST(here.holdsLease(request(7), 5, Start + millis(6LL * 9'000)));
--- a/libs/gateway/tests/decisiontest.cpp
+++ b/libs/gateway/tests/decisiontest.cpp
@@ -1,8 +1,8 @@
 #include "../src/eventsplitter.h"
 #include "almondridge/gateway/authority.h"
 #include "almondridge/gateway/config.h"
-#include "almondridge/gateway/patience.h"
-#include "almondridge/gateway/sendbudget.h"
+#include "almondridge/gateway/loadshedding.h"
+#include "almondridge/gateway/retrybudget.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -54,13 +54,13 @@
     Route chat = route("chat", "h", "/");
     chat.objectiveMillis_ = 600;
     chat.gapObjectiveMillis_ = 200;
-    const TimePoint leaves = callerLeavesAt(chat, at(0), at(5'000));
+    const TimePoint leaves = expectedAbandonTime(chat, at(0), at(5'000));
     BOOST_TEST((leaves == at(2'400)));
-    BOOST_TEST((callerLeavesAt(chat, at(0), at(1'000)) == at(1'000)));
-    BOOST_TEST(!returnAfterMillis(3'000, leaves, at(0)).has_value());
-    BOOST_TEST(*returnAfterMillis(3'200, leaves, at(0)) == 800);
-    BOOST_TEST(*returnAfterMillis(60'000, leaves, at(0)) == 1'000);
-    BOOST_TEST(*returnAfterMillis(50, leaves, at(2'390)) == 200);
+    BOOST_TEST((expectedAbandonTime(chat, at(0), at(1'000)) == at(1'000)));
+    BOOST_TEST(!shedRetryAfterMillis(3'000, leaves, at(0)).has_value());
+    BOOST_TEST(*shedRetryAfterMillis(3'200, leaves, at(0)) == 800);
+    BOOST_TEST(*shedRetryAfterMillis(60'000, leaves, at(0)) == 1'000);
+    BOOST_TEST(*shedRetryAfterMillis(50, leaves, at(2'390)) == 200);
 }
 
 BOOST_AUTO_TEST_CASE(eventsAreCutAtTheirEnds)
@@ -83,7 +83,7 @@
     constexpr int RequestsEach = 100;
     double sends = 0;
     for (int instance = 0; instance < Instances; ++instance) {
-        SendBudget budget({0.2, 58, 10'000});
+        RetryBudget budget({0.2, 58, 10'000});
         budget.setInstances(Instances);
         for (int request = 0; request < RequestsEach; ++request) {
             budget.onRequest(at(request * 100LL));
@@ -97,7 +97,7 @@
 
 BOOST_AUTO_TEST_CASE(whatWasSpentComesBackWhenItsWindowHasPassed)
 {
-    SendBudget budget({0, 4, 10'000});
+    RetryBudget budget({0, 4, 10'000});
     BOOST_TEST(budget.take(at(0)));
     BOOST_TEST(budget.take(at(0)));
     BOOST_TEST(budget.take(at(0)));
--- a/libs/gateway/tests/endpointtest.cpp
+++ b/libs/gateway/tests/endpointtest.cpp
@@ -28,24 +28,24 @@
 {
     constexpr int Engines = 10'000;
     EndpointTable table = fleet(Engines / 5, Engines - Engines / 5);
-    table.forgetIdle(at(0));
+    table.deactivateIdle(at(0));
     BOOST_TEST(table.active().empty());
     const EndpointId busy("engine-1");
     const EndpointId away("engine-2");
     const EndpointId told("engine-3");
     table.onSent(busy, 0, 100, at(0));
-    table.onEvidence(away, Evidence::Unreachable, at(0));
-    table.find(told)->foreignSlotUse_.add(false);
-    table.forgetIdle(at(1));
+    table.onHealthSignal(away, HealthSignal::Unreachable, at(0));
+    table.find(told)->peerSlotUse_.add(false);
+    table.deactivateIdle(at(1));
     BOOST_TEST(table.active().size() == 3U);
-    BOOST_TEST(table.unreached(at(1)).size() == 1U);
-    BOOST_TEST(table.takeTests(at(1'000)).size() == 1U);
+    BOOST_TEST(table.recentlyUnreachable(at(1)).size() == 1U);
+    BOOST_TEST(table.takeDueProbes(at(1'000)).size() == 1U);
 
-    table.onRead(busy, 0, 100);
+    table.onPrefilled(busy, 0, 100);
     table.onClosed(busy, 0);
-    table.onTested(away, true, at(1'100));
-    table.find(told)->foreignSlotUse_.remove(false);
-    table.forgetIdle(at(20'000));
+    table.onProbed(away, true, at(1'100));
+    table.find(told)->peerSlotUse_.remove(false);
+    table.deactivateIdle(at(20'000));
     BOOST_TEST(table.active().empty());
 }
 
@@ -78,30 +78,30 @@
     const EndpointId id = listed.id_;
     Placement placement({DomainId("a")});
     const Prompt prompt = promptWith(1);
-    placement.onPromptRead(listed, prompt, at(0));
+    placement.onPromptSent(listed, prompt, at(0));
     table.onSent(id, 1, 30'000, at(0));
-    table.onEvidence(id, Evidence::Silent, at(0));
+    table.onHealthSignal(id, HealthSignal::TimedOut, at(0));
     table.onChanging(id, at(3'000));
     BOOST_TEST(table.usable(Models, at(1)).empty());
 
     ListedEndpoint again = listed;
     again.startedAtMillis_ = 2'000;
-    BOOST_TEST((table.list(again, at(1)) == Listing::Restarted));
+    BOOST_TEST((table.list(again, at(1)) == ListingChange::Restarted));
     BOOST_TEST(table.usable(Models, at(1)).size() == 1U);
     const Endpoint *restarted = table.find(id);
     BOOST_TEST(restarted->outstanding() == 0);
     BOOST_TEST(restarted->queued_.all() == 0);
-    BOOST_TEST(PromptMemory::keyOf(again, 1) != PromptMemory::keyOf(listed, 1));
+    BOOST_TEST(PromptCacheIndex::keyOf(again, 1) != PromptCacheIndex::keyOf(listed, 1));
 
-    BOOST_TEST((table.list(listed, at(2)) == Listing::Same));
+    BOOST_TEST((table.list(listed, at(2)) == ListingChange::Unchanged));
     BOOST_TEST(table.find(id)->listed_.startedAtMillis_ == 2'000);
     table.unlist(id);
     BOOST_TEST((table.find(id) != nullptr)); // The request of before has not ended.
     table.onClosedOfEarlierLifetime(id);
     BOOST_TEST((table.find(id) == nullptr));
-    BOOST_TEST((table.list(listed, at(3)) == Listing::Same));
+    BOOST_TEST((table.list(listed, at(3)) == ListingChange::Unchanged));
     BOOST_TEST(table.listed(Models).empty());
-    BOOST_TEST((table.list(again, at(4)) == Listing::Changed));
+    BOOST_TEST((table.list(again, at(4)) == ListingChange::Changed));
 }
 
 /** An engine that begins to tell when it started has not restarted. */
@@ -112,7 +112,7 @@
     table.list(listed, at(0));
     table.onSent(listed.id_, 1, 30'000, at(0));
     listed.startedAtMillis_ = 1'000;
-    BOOST_TEST((table.list(listed, at(1)) == Listing::Changed));
+    BOOST_TEST((table.list(listed, at(1)) == ListingChange::Changed));
     BOOST_TEST(table.find(listed.id_)->outstanding() == 1);
     listed.startedAtMillis_ = 0;
     table.list(listed, at(2));
@@ -123,13 +123,13 @@
 {
     EndpointTable table = fleet(0, 1);
     const EndpointId id("engine-0");
-    BOOST_TEST(!table.onEvidence(id, Evidence::Broken, at(0)));
-    BOOST_TEST(table.onEvidence(id, Evidence::Broken, at(0)));
+    BOOST_TEST(!table.onHealthSignal(id, HealthSignal::Broken, at(0)));
+    BOOST_TEST(table.onHealthSignal(id, HealthSignal::Broken, at(0)));
     BOOST_TEST(table.usable(Models, at(100)).empty());
     BOOST_TEST(table.usable(Models, at(1'000)).size() == 1U);
     table.onSent(id, 0, 0, at(0));
     BOOST_TEST(table.usable(Models, at(1'000)).empty());
-    BOOST_TEST(table.onEvidence(id, Evidence::Sound, at(1'100)));
+    BOOST_TEST(table.onHealthSignal(id, HealthSignal::Healthy, at(1'100)));
     BOOST_TEST(table.usable(Models, at(1'100)).size() == 1U);
 }
 
@@ -142,21 +142,21 @@
 {
     EndpointTable table = fleet(0, 2);
     const EndpointId id("engine-0");
-    BOOST_TEST(table.onEvidence(id, Evidence::Unreachable, at(0)));
-    BOOST_TEST(table.takeTests(at(100)).empty());
+    BOOST_TEST(table.onHealthSignal(id, HealthSignal::Unreachable, at(0)));
+    BOOST_TEST(table.takeDueProbes(at(100)).empty());
     std::vector<int> triedAt;
     for (int now = 0; now < 6'000; now += 50) {
         BOOST_TEST(table.usable(Models, at(now)).size() == 1U);
-        for (const EndpointId &due : table.takeTests(at(now))) {
+        for (const EndpointId &due : table.takeDueProbes(at(now))) {
             BOOST_TEST((due == id));
             triedAt.push_back(now);
-            table.onTested(id, false, at(now));
+            table.onProbed(id, false, at(now));
         }
     }
     BOOST_TEST(triedAt.size() >= 5U);
     BOOST_TEST(triedAt.size() <= 8U);
-    table.takeTests(at(9'000));
-    table.onTested(id, true, at(9'000));
+    table.takeDueProbes(at(9'000));
+    table.onProbed(id, true, at(9'000));
     BOOST_TEST(table.usable(Models, at(9'000)).size() == 2U);
 }
 
@@ -170,19 +170,19 @@
     PeerLoads loads;
     LoadNote note {InstanceId("peer"), 1, 1};
     note.unreached_ = {EndpointId("engine-0"), EndpointId("engine-1"), EndpointId("unknown")};
-    table.onEvidence(EndpointId("engine-1"), Evidence::Sound, at(900));
+    table.onHealthSignal(EndpointId("engine-1"), HealthSignal::Healthy, at(900));
     loads.onNote(*decodeNote(encodeNote(note)), table, at(1'000));
     BOOST_TEST(table.usable(Models, at(1'000)).size() == 2U);
-    BOOST_TEST((table.takeTests(at(1'000)) == std::vector {EndpointId("engine-0")}));
-    table.onTested(EndpointId("engine-0"), true, at(1'004));
+    BOOST_TEST((table.takeDueProbes(at(1'000)) == std::vector {EndpointId("engine-0")}));
+    table.onProbed(EndpointId("engine-0"), true, at(1'004));
     BOOST_TEST(table.usable(Models, at(1'004)).size() == 3U);
-    BOOST_TEST(table.unreached(at(1'004)).empty()); // Hearsay is not passed on.
+    BOOST_TEST(table.recentlyUnreachable(at(1'004)).empty()); // Hearsay is not passed on.
     note.number_ = 2;
     loads.onNote(note, table, at(1'400)); // The same news again: it was tested.
-    BOOST_TEST(!table.find(EndpointId("engine-0"))->awaitsTest_);
-    table.onEvidence(EndpointId("engine-2"), Evidence::Silent, at(2'000));
-    BOOST_TEST((table.unreached(at(2'500)) == std::vector {EndpointId("engine-2")}));
-    BOOST_TEST(table.unreached(at(4'000)).empty());
+    BOOST_TEST(!table.find(EndpointId("engine-0"))->awaitsProbe_);
+    table.onHealthSignal(EndpointId("engine-2"), HealthSignal::TimedOut, at(2'000));
+    BOOST_TEST((table.recentlyUnreachable(at(2'500)) == std::vector {EndpointId("engine-2")}));
+    BOOST_TEST(table.recentlyUnreachable(at(4'000)).empty());
 }
 
 /**
@@ -199,7 +199,7 @@
         const EndpointId id("engine-" + std::to_string(number));
         for (int request = 0; request < 2; ++request) {
             table.onSent(id, 0, 0, at(0));
-            table.onEvidence(id, Evidence::Sound, at(0));
+            table.onHealthSignal(id, HealthSignal::Healthy, at(0));
             table.onClosed(id, 0);
         }
     }
@@ -211,7 +211,7 @@
     }
     const auto usable = table.usable(Models, at(20));
     BOOST_TEST(usable.size() == 11U);
-    BOOST_TEST(table.leftOut(at(20)).size() == 1U);
+    BOOST_TEST(table.outliers(at(20)).size() == 1U);
     BOOST_TEST(std::none_of(usable.begin(), usable.end(), [](const Endpoint *one) {
         return one->listed_.id_.value() == "engine-1";
     }));
@@ -219,7 +219,7 @@
         loads.onNote({InstanceId("peer-" + std::to_string(peer)), 1, 2}, table, at(3'000));
     }
     BOOST_TEST(table.usable(Models, at(3'000)).size() == 12U);
-    BOOST_TEST(table.leftOut(at(3'000)).empty());
+    BOOST_TEST(table.outliers(at(3'000)).empty());
 }
 
 /** Errors that all endpoints of a service have alike are its own: nobody is left out for them. */
@@ -239,13 +239,13 @@
     EndpointTable table = fleet(0, 1);
     const EndpointId id("engine-0");
     for (int round = 0; round < 20; ++round) {
-        table.onEvidence(id, Evidence::ServerError, at(round));
-        table.onEvidence(id, Evidence::ServerError, at(round));
-        table.onEvidence(id, Evidence::Sound, at(round));
+        table.onHealthSignal(id, HealthSignal::ServerError, at(round));
+        table.onHealthSignal(id, HealthSignal::ServerError, at(round));
+        table.onHealthSignal(id, HealthSignal::Healthy, at(round));
     }
     BOOST_TEST(table.usable(Models, at(20)).size() == 1U);
     for (int error = 0; error < 8; ++error) {
-        table.onEvidence(id, Evidence::ServerError, at(20));
+        table.onHealthSignal(id, HealthSignal::ServerError, at(20));
     }
     BOOST_TEST(table.usable(Models, at(20)).empty());
 }
--- a/libs/gateway/tests/loadmeshtest.cpp
+++ b/libs/gateway/tests/loadmeshtest.cpp
@@ -91,7 +91,7 @@
         node.own_.queued_.clear();
         node.own_.slotUse_.clear();
         for (int request = 0; request < requests; ++request) {
-            node.own_.queued_[anyEngine()].add(static_cast<int>(random_() % Urgencies),
+            node.own_.queued_[anyEngine()].add(static_cast<int>(random_() % UrgencyLevels),
                                                500 + static_cast<std::int64_t>(random_() % 20'000));
             node.own_.slotUse_[anyEngine()].inTime_ += 1;
         }
@@ -118,9 +118,9 @@
                 if (own.contains(engine)) {
                     expected.remove(own.at(engine));
                 }
-                if (endpoint.foreignQueued_ != expected.queued_
-                    || endpoint.foreignSlotUse_ != expected.slotUse_) {
-                    return id.value() + " knows " + std::to_string(endpoint.foreignQueued_.all())
+                if (endpoint.peerQueued_ != expected.queued_
+                    || endpoint.peerSlotUse_ != expected.slotUse_) {
+                    return id.value() + " knows " + std::to_string(endpoint.peerQueued_.all())
                            + " tokens at " + engine.value() + " instead of "
                            + std::to_string(expected.queued_.all());
                 }
@@ -232,7 +232,7 @@
         fleet.run(Step);
         for (auto &[id, node] : fleet.nodes()) {
             if (&node == &source || knowing.contains(id)
-                || node.table_.find(engine)->foreignQueued_.all() < total) {
+                || node.table_.find(engine)->peerQueued_.all() < total) {
                 continue;
             }
             knowing.insert(id);
@@ -340,7 +340,7 @@
     }
     fleet.run(millis(300));
     for (auto &[id, node] : fleet.nodes()) {
-        const std::vector<EndpointId> tests = node.table_.takeTests(fleet.now());
+        const std::vector<EndpointId> tests = node.table_.takeDueProbes(fleet.now());
         BOOST_TEST((&node == &witness || tests.size() == Crashed),
                    id.value() << " tests " << tests.size());
     }
@@ -361,7 +361,7 @@
             fleet.run(millis(200));
             for (auto &[id, other] : fleet.nodes()) {
                 const bool knows =
-                    other.table_.find(engineId(1))->foreignQueued_.all() >= 1'000'000;
+                    other.table_.find(engineId(1))->peerQueued_.all() >= 1'000'000;
                 BOOST_TEST((knows || id == dead || &other == &node), id.value());
             }
             node.own_.queued_.clear();
@@ -461,7 +461,7 @@
         (node.mesh_->onDatagram(encodeNote(note), node.table_, fleet.now()) == Reception::Unknown));
     BOOST_TEST(
         (node.mesh_->onDatagram("neither", node.table_, fleet.now()) == Reception::Unreadable));
-    BOOST_TEST(node.table_.find(engineId(1))->foreignQueued_.all() == 0);
+    BOOST_TEST(node.table_.find(engineId(1))->peerQueued_.all() == 0);
 }
 
 // All of an instance's work stops for good: it stood in for silent relays, and the instances
--- a/libs/gateway/tests/peerloadtest.cpp
+++ b/libs/gateway/tests/peerloadtest.cpp
@@ -23,19 +23,19 @@
     Placement reader({DomainId("a")});
     Placement other({DomainId("a")});
     const PromptPlan first = *planFor(reader, table, prompt);
-    BOOST_TEST(first.partsUnknown_);
-    BOOST_TEST(first.newTokens_ > prompt.ownTokens());
-    reader.onPromptRead(table.find(*first.prefill_)->listed_, prompt, at(0));
+    BOOST_TEST(first.cacheHitUnknown_);
+    BOOST_TEST(first.uncachedTokens_ > prompt.ownTokens());
+    reader.onPromptSent(table.find(*first.prefill_)->listed_, prompt, at(0));
     LoadNote note {InstanceId("reader"), 1, 1};
-    note.readParts_ = reader.takeReadParts();
+    note.readParts_ = reader.takeNewCachedParts();
     BOOST_TEST(note.readParts_.size() == 1U); // Nobody else asks with the prompt's own part.
-    BOOST_TEST(reader.takeReadParts().empty());
-    other.onPartsTold(decodeNote(encodeNote(note))->readParts_, at(0));
-    BOOST_TEST(other.takeReadParts().empty()); // Hearsay is not passed on.
+    BOOST_TEST(reader.takeNewCachedParts().empty());
+    other.onPeerCachedParts(decodeNote(encodeNote(note))->readParts_, at(0));
+    BOOST_TEST(other.takeNewCachedParts().empty()); // Hearsay is not passed on.
     const PromptPlan second = *planFor(other, table, prompt);
     BOOST_TEST((second.prefill_ == first.prefill_));
-    BOOST_TEST(!second.partsUnknown_);
-    BOOST_TEST(second.newTokens_ == prompt.ownTokens());
+    BOOST_TEST(!second.cacheHitUnknown_);
+    BOOST_TEST(second.uncachedTokens_ == prompt.ownTokens());
 }
 
 /** What the other instances have sent counts like our own, or nine of them would herd. */
@@ -63,7 +63,7 @@
         LoadNote note {InstanceId("other"), lifetime, number};
         note.queued_[id].add(0, tokens);
         loads.onNote(note, table, at(0));
-        return table.find(id)->foreignQueued_.all();
+        return table.find(id)->peerQueued_.all();
     };
     BOOST_TEST(hear(1, 2, 500) == 500);
     BOOST_TEST(hear(1, 1, 900) == 500);
--- a/libs/gateway/tests/placementtest.cpp
+++ b/libs/gateway/tests/placementtest.cpp
@@ -55,7 +55,7 @@
     EndpointTable table = fleet(12, 6);
     Placement placement({DomainId("a")});
     const auto home = *planFor(placement, table, promptWith(1))->prefill_;
-    placement.onPromptRead(table.find(home)->listed_, promptWith(1), at(0));
+    placement.onPromptSent(table.find(home)->listed_, promptWith(1), at(0));
     table.onSent(home, 1, 20'000, at(0));
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == home));
     table.onSent(home, 1, 30'000, at(0));
@@ -72,7 +72,7 @@
     Placement placement({DomainId("a")});
     const Prompt prompt = promptWith(1);
     const EndpointId home = *planFor(placement, table, prompt)->prefill_;
-    placement.onPromptRead(table.find(home)->listed_, prompt, at(-5'000));
+    placement.onPromptSent(table.find(home)->listed_, prompt, at(-5'000));
     BOOST_TEST(!planFor(placement, table, prompt)->copyFrom_.has_value()); // It has them itself.
     table.onSent(home, 1, 60'000, at(0));
     const PromptPlan elsewhere = *planFor(placement, table, prompt);
@@ -80,11 +80,11 @@
     BOOST_TEST((elsewhere.copyFrom_ == home));
     // What was sent to be read a moment ago is not there to be copied yet.
     Placement recent({DomainId("a")});
-    recent.onPromptRead(table.find(home)->listed_, prompt, at(-200));
+    recent.onPromptSent(table.find(home)->listed_, prompt, at(-200));
     BOOST_TEST(!planFor(recent, table, prompt)->copyFrom_.has_value());
     // Short parts are read as fast as a copy is set up.
     const Prompt shorter = promptWith(2, 500);
-    placement.onPromptRead(table.find(home)->listed_, shorter, at(-5'000));
+    placement.onPromptSent(table.find(home)->listed_, shorter, at(-5'000));
     BOOST_TEST(!planFor(placement, table, shorter)->copyFrom_.has_value());
 }
 
@@ -97,9 +97,9 @@
     const Endpoint &engine = *table.find(EndpointId("engine-0"));
     const auto readIn = [&](double milliseconds) {
         for (int sample = 0; sample < 40; ++sample) {
-            placement.onUnknownRead(RequestCosts::assumed(), engine, prompt, 0, milliseconds);
+            placement.onUnknownPartsPrefilled(RequestCosts::assumed(), engine, prompt, 0, milliseconds);
         }
-        return planFor(placement, table, prompt)->newTokens_;
+        return planFor(placement, table, prompt)->uncachedTokens_;
     };
     BOOST_TEST(readIn(60) < 3'500);
     BOOST_TEST(readIn(320) > 15'000);
@@ -120,11 +120,11 @@
     table.onSent(reader, 2, 60'000, at(0));
     const auto late = placement.planPrompt(table, query(prompt, 600, 2), at(0));
     BOOST_TEST(late->urgency_ == 7);
-    table.onRead(reader, 2, 60'000);
+    table.onPrefilled(reader, 2, 60'000);
     table.onSent(reader, late->urgency_, 60'000, at(0));
     const auto next = placement.planPrompt(table, query(prompt, 600, 2), at(0));
     BOOST_TEST(next->urgency_ == 2);
-    BOOST_TEST(next->aheadTokens_ == 0);
+    BOOST_TEST(next->queuedTokens_ == 0);
 }
 
 /** Speeds of sound engines differ by chance: only a really slow one loses its cached parts. */
@@ -136,13 +136,13 @@
     for (int sample = 0; sample < 30; ++sample) {
         for (int number = 0; number < 12; ++number) {
             const EndpointId id("engine-" + std::to_string(number));
-            table.onReadTime(id, 200, id == home ? 220 : 180);
+            table.onPrefillTime(id, 200, id == home ? 220 : 180);
         }
     }
     table.onSent(home, 1, 10'000, at(0));
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == home));
     for (int sample = 0; sample < 30; ++sample) {
-        table.onReadTime(home, 200, 2'000);
+        table.onPrefillTime(home, 200, 2'000);
     }
     BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != home));
 }
@@ -152,7 +152,7 @@
     EndpointTable table = fleet(0, 6);
     const Placement placement({DomainId("a")});
     const auto choose = [&] {
-        return placement.chooseGenerator(table, {Models, DomainId("b")}, 0, at(0))->engine_;
+        return placement.chooseDecodeEngine(table, {Models, DomainId("b")}, 0, at(0))->engine_;
     };
     BOOST_TEST(table.find(choose())->listed_.domain_.value() == "b");
     for (int request = 0; request < 40; ++request) {
@@ -182,7 +182,7 @@
     }
     for (std::uint64_t ticket = 0; ticket < 30; ++ticket) {
         const auto chosen =
-            placement.chooseGenerator(table, {Models, DomainId("a")}, ticket, at(0));
+            placement.chooseDecodeEngine(table, {Models, DomainId("a")}, ticket, at(0));
         BOOST_REQUIRE(chosen.has_value());
         BOOST_TEST(chosen->engine_.value() != "engine-0");
     }
@@ -196,7 +196,7 @@
     std::set<EndpointId> taken;
     for (std::uint64_t ticket = 0; ticket < 9; ++ticket) {
         taken.insert(
-            placement.chooseGenerator(table, {Models, DomainId("b")}, ticket, at(0))->engine_);
+            placement.chooseDecodeEngine(table, {Models, DomainId("b")}, ticket, at(0))->engine_);
     }
     BOOST_TEST(taken.size() == 3U); // Those of the failure domain that the prompt lies in.
 }
@@ -214,7 +214,7 @@
     RequestCosts costs;
     costs.onGenerated("route", 640);
     const auto choose = [&] {
-        return *placement.chooseGenerator(table, {Models, DomainId("a"), {}, &costs}, 0, at(0));
+        return *placement.chooseDecodeEngine(table, {Models, DomainId("a"), {}, &costs}, 0, at(0));
     };
     BOOST_TEST(choose().waitMillis_ == 0);
     for (int request = 0; request < 64; ++request) {
--- a/libs/gateway/tests/requestcoststest.cpp
+++ b/libs/gateway/tests/requestcoststest.cpp
@@ -22,7 +22,7 @@
     for (int read = 0; read < 300; ++read) {
         const std::int64_t tokens = read % 3 == 0 ? 4'000 + 40 * read : 100 + 5 * read;
         const double shared = read % 4 == 1 ? 1.8 : 1;
-        costs.onReadAlone(tokens, shared * (fixedMillis + millisPerToken * double(tokens)));
+        costs.onUncontendedPrefill(tokens, shared * (fixedMillis + millisPerToken * double(tokens)));
     }
 }
 
@@ -38,11 +38,11 @@
 {
     for (const double tokensPerMilli : {15.0, 40.0, 150.0}) {
         RequestCosts costs;
-        BOOST_TEST(costs.readMillis(10'000) > 0); // Sensible before the first read.
+        BOOST_TEST(costs.prefillMillis(10'000) > 0); // Sensible before the first read.
         readSome(costs, 25, 1 / tokensPerMilli);
-        BOOST_TEST(costs.readingMillis(10'000) == 10'000 / tokensPerMilli,
+        BOOST_TEST(costs.prefillComputeMillis(10'000) == 10'000 / tokensPerMilli,
                    boost::test_tools::tolerance(0.15));
-        BOOST_TEST(costs.readMillis(300) < 25 + 300 / tokensPerMilli + 20);
+        BOOST_TEST(costs.prefillMillis(300) < 25 + 300 / tokensPerMilli + 20);
     }
 }
 
@@ -51,10 +51,10 @@
 {
     RequestCosts costs;
     readSome(costs, 25, 0.025);
-    const double before = costs.readMillis(5'000);
-    costs.onReadAlone(300, 8'000);
-    costs.onReadAlone(0, 20);
-    BOOST_TEST(costs.readMillis(5'000) == before);
+    const double before = costs.prefillMillis(5'000);
+    costs.onUncontendedPrefill(300, 8'000);
+    costs.onUncontendedPrefill(0, 20);
+    BOOST_TEST(costs.prefillMillis(5'000) == before);
 }
 
 BOOST_AUTO_TEST_CASE(answersOfEachRouteHaveTheirOwnLength)
--- a/libs/news/src/newssource.cpp
+++ b/libs/news/src/newssource.cpp
@@ -1,6 +1,6 @@
 #include "almondridge/news/newssource.h"
 
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 #include "almondridge/news/relay.h"
 
 #include <algorithm>
--- a/libs/news/src/readers.cpp
+++ b/libs/news/src/readers.cpp
@@ -1,6 +1,6 @@
 #include "almondridge/news/readers.h"
 
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <algorithm>
 #include <cmath>
