--- a/libs/gateway/include/almondridge/gateway/crashevidence.h
+++ b/libs/gateway/include/almondridge/gateway/crashevidence.h
@@ -89,7 +89,7 @@
         RequestKey key_ {};
         std::int64_t ageMillis_ = 0;
     };
-    struct LeaseTaken
+    struct Lease
     {
         RequestKey key_ {};
         std::uint64_t holder_ = 0;
@@ -98,7 +98,7 @@
 
     std::vector<Crash> crashes_;
     std::vector<Cleared> cleared_;
-    std::vector<LeaseTaken> leases_;
+    std::vector<Lease> leases_;
 
     bool empty() const noexcept { return crashes_.empty() && cleared_.empty() && leases_.empty(); }
 };
@@ -114,7 +114,7 @@
      * was held against it.
      */
     bool onCompleted(RequestKey key, TimePoint now);
-    void onUpdate(const CrashUpdate &news, TimePoint now);
+    void onUpdate(const CrashUpdate &update, TimePoint now);
 
     Assessment assess(RequestKey key, TimePoint now) const;
 
@@ -133,7 +133,7 @@
     /** What is to be told in this round: each piece of news is told in a few rounds. */
     CrashUpdate takeUpdate(TimePoint now);
     /** What matters most of all that is known, for instances that were away. */
-    CrashUpdate mostImportant(TimePoint now) const;
+    CrashUpdate mostSuspicious(TimePoint now) const;
     /** All crashes with this request in flight. */
     CrashUpdate crashesOf(RequestKey key, TimePoint now) const;
     /**
@@ -143,7 +143,7 @@
      */
     std::vector<RequestKey> takeChanges(TimePoint now);
     /** Forgets what no longer says anything; to be called now and then. */
-    void forgetOld(TimePoint now);
+    void removeExpired(TimePoint now);
 
     std::size_t suspects() const noexcept { return suspects_.size(); }
     std::size_t crashes() const noexcept { return crashes_.size(); }
@@ -155,17 +155,17 @@
         int roundsLeft_ = 0;
     };
     /** A request was in flight at an endpoint that crashed. */
-    struct Sighting
+    struct Occurrence
     {
         CrashKey crash_ {};
-        TimePoint knownAt_ {};
+        TimePoint learnedAt_ {};
         int roundsLeft_ = 0;
     };
     struct Suspect
     {
-        std::vector<Sighting> sightings_;
-        bool isOwn_ = false;            ///< One of them is this instance's.
-        std::size_t crashesStored_ = 0; ///< That takeChanges() told of.
+        std::vector<Occurrence> occurrences_;
+        bool seenHere_ = false;            ///< One of them is this instance's.
+        std::size_t persistedCrashes_ = 0; ///< That takeChanges() told of.
         TimePoint clearedAt_ {};
         int clearedRoundsLeft_ = 0;
     };
@@ -176,20 +176,20 @@
     };
 
     bool addCrash(const EndpointCrash &crash);
-    void addSighting(RequestKey key, CrashKey crash, TimePoint now);
+    void addOccurrence(RequestKey key, CrashKey crash, TimePoint now);
     void clear(RequestKey key, TimePoint at);
     double weightOf(const Suspect &suspect, const EndpointCrash &crash) const;
     Assessment assess(const Suspect &suspect, TimePoint now) const;
-    bool isRenewed(const RunLease &known, const RunLease &told) const;
+    bool isRenewed(const RunLease &known, const RunLease &received) const;
     bool isLive(const RunLease &lease, TimePoint now) const;
-    bool worthTelling(const Suspect &suspect, const Sighting &sighting, TimePoint now) const;
-    void tellSightings(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &news);
-    void tellCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight, TimePoint now,
-                   CrashUpdate &news) const;
-    std::vector<RequestKey> mostSuspiciousFirst(TimePoint now) const;
-    void keepWithinBounds(TimePoint now);
-    void dropLeastSuspicious(TimePoint now);
-    void forgetCrashes(TimePoint now);
+    bool isWorthReporting(const Suspect &suspect, const Occurrence &occurrence, TimePoint now) const;
+    void reportOccurrences(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &update);
+    void reportCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight, TimePoint now,
+                   CrashUpdate &update) const;
+    std::vector<RequestKey> rankedSuspects(TimePoint now) const;
+    void enforceLimits(TimePoint now);
+    void evictLeastSuspicious(TimePoint now);
+    void evictCrashes(TimePoint now);
 
     std::map<CrashKey, KnownCrash> crashes_;
     std::multimap<TimePoint, CrashKey> crashesByTime_;
--- a/libs/gateway/include/almondridge/gateway/crashgossip.h
+++ b/libs/gateway/include/almondridge/gateway/crashgossip.h
@@ -21,8 +21,8 @@
 struct CrashMessage
 {
     InstanceId sender_;
-    bool asks_ = false; ///< The sender has just started and wants all that matters.
-    CrashUpdate news_;
+    bool requestsSnapshot_ = false; ///< The sender has just started and wants all that matters.
+    CrashUpdate update_;
 };
 
 std::string encodeCrashMessage(const CrashMessage &message);
@@ -43,19 +43,19 @@
     Reception onDatagram(std::string_view datagram, TimePoint now, std::vector<MeshDatagram> &out);
 
 private:
-    std::vector<InstanceId> drawPeers(std::size_t most);
-    void tell(const CrashMessage &message, const std::vector<InstanceId> &peers,
+    std::vector<InstanceId> samplePeers(std::size_t max);
+    void send(const CrashMessage &message, const std::vector<InstanceId> &peers,
               std::vector<MeshDatagram> &out) const;
 
     CrashEvidence &evidence_;
     InstanceId self_;
     std::mt19937_64 random_;
     std::vector<InstanceId> peers_;
-    TimePoint tellAt_ {};
+    TimePoint updateAt_ {};
     TimePoint repeatAt_ {};
-    TimePoint askUntil_ {}; ///< Since the first peers were known.
-    TimePoint askAt_ {};
-    bool heard_ = false;
+    TimePoint requestSnapshotUntil_ {}; ///< Since the first peers were known.
+    TimePoint requestSnapshotAt_ {};
+    bool receivedUpdate_ = false;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/endpoints.h
+++ b/libs/gateway/include/almondridge/gateway/endpoints.h
@@ -72,10 +72,10 @@
 
     SlotUse slotUse_;           ///< By requests of ours without a whole answer, of this lifetime.
     SlotUse peerSlotUse_;    ///< By the other instances'; told of engines that generate.
-    int openSends_ = 0;         ///< Ours of all lifetimes: the entry is needed until they end.
+    int openRequests_ = 0;         ///< Ours of all lifetimes: the entry is needed until they end.
     PromptQueue queued_;        ///< Of this instance's requests.
     PromptQueue peerQueued_; ///< Of the other instances', as they told.
-    double readingSpeed_ = 1;   ///< Against what is expected of a usual engine.
+    double prefillSpeed_ = 1;   ///< Against what is expected of a usual engine.
     LoadSample load_;
     TimePoint loadAt_ {};
 
@@ -83,7 +83,7 @@
     RecentCount recentSends_;    ///< Requests of ours.
     RecentCount recentFailures_; ///< Of these, those that came to nothing.
     double peerFailures_ = 0;    ///< The other instances' recent ones, as they told.
-    TimePoint distrustedUntil_ {};
+    TimePoint circuitOpenUntil_ {};
     TimePoint changingUntil_ {}; ///< It carries out an order until about then, and refuses work.
     /** Requests of ours without a whole answer, of this lifetime. */
     int outstanding() const noexcept { return slotUse_.all(); }
@@ -92,13 +92,13 @@
     /** Prompt tokens of all instances that it has still to read, up to an urgency. */
     std::int64_t fleetQueuedTokens(int urgency = UrgencyLevels - 1) const noexcept;
     /** Recent failures of all instances' requests, as far as is known. */
-    double failuresOfAll(TimePoint now) const { return recentFailures_.at(now) + peerFailures_; }
+    double fleetFailures(TimePoint now) const { return recentFailures_.at(now) + peerFailures_; }
     /** Nothing is known of it that fades or ends, and nobody has a request there. */
     bool isIdle(TimePoint now) const noexcept;
     /** In a word, for metrics. */
     std::string_view stateName(TimePoint now) const noexcept;
 
-    bool probing_ = false; ///< The one request that tests it again is on its way.
+    bool trialInFlight_ = false; ///< The one request that tests it again is on its way.
 
     /**
      * It could not be reached, or a peer said so. It gets no request until a connection to it
@@ -106,11 +106,11 @@
      * or a crash took away, again and again.
      */
     bool awaitsProbe_ = false;
-    TimePoint testAt_ {}; ///< When a connection is tried; far away while one is.
+    TimePoint probeAt_ {}; ///< When a connection is tried; far away while one is.
     int failedProbes_ = 0;
-    TimePoint reachedAt_ {};   ///< When a test last reached it.
-    TimePoint unreachedAt_ {}; ///< When a request of ours last found it away or silent.
-    TimePoint soundAt_ {};     ///< When it last answered one.
+    TimePoint probeSucceededAt_ {};   ///< When a test last reached it.
+    TimePoint unreachableAt_ {}; ///< When a request of ours last found it away or silent.
+    TimePoint healthyAt_ {};     ///< When it last answered one.
 };
 
 /** What an answer, or its absence, says of an endpoint. */
@@ -195,18 +195,18 @@
     /** An engine with room could not fetch what another had read: either may be to blame. */
     void onHandoverRefused(const EndpointId &source, const EndpointId &target, TimePoint now);
     /** True when it was trusted and is not any more, or the other way round. */
-    bool onHealthSignal(const EndpointId &id, HealthSignal evidence, TimePoint now);
+    bool onHealthSignal(const EndpointId &id, HealthSignal signal, TimePoint now);
 
 private:
     void forgetIfDone(const EndpointId &id);
-    std::int64_t knownStart(const EndpointId &id) const;
+    std::int64_t lastKnownStart(const EndpointId &id) const;
     static void restart(Endpoint &endpoint, TimePoint now);
-    static void awaitTest(Endpoint &endpoint, TimePoint testAt);
+    static void scheduleProbe(Endpoint &endpoint, TimePoint probeAt);
     /** Those that may get new work by all that is known of each alone. */
-    std::vector<const Endpoint *> trusted(const ServiceId &service, TimePoint now) const;
-    static void endTest(Endpoint &endpoint);
+    std::vector<const Endpoint *> available(const ServiceId &service, TimePoint now) const;
+    static void cancelProbe(Endpoint &endpoint);
     /** Those of endpoints that fail far more often than the others of their stage. */
-    std::vector<const Endpoint *> failing(const std::vector<const Endpoint *> &endpoints,
+    std::vector<const Endpoint *> outliersAmong(const std::vector<const Endpoint *> &endpoints,
                                           TimePoint now) const;
 
     std::map<EndpointId, Endpoint> endpoints_;
--- a/libs/gateway/include/almondridge/gateway/loadshedding.h
+++ b/libs/gateway/include/almondridge/gateway/loadshedding.h
@@ -14,12 +14,12 @@
 namespace almondridge::gateway {
 
 /** When a caller that has seen no event gives up. */
-TimePoint expectedAbandonTime(const Route &route, TimePoint askedAt, TimePoint deadline);
+TimePoint expectedAbandonTime(const Route &route, TimePoint requestedAt, TimePoint deadline);
 
 /**
  * Milliseconds after which to ask again, when reading the prompt is estimated to take until after
  * the caller has left; nullopt: it is worth waiting.
  */
-std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint leavesAt, TimePoint now);
+std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint abandonAt, TimePoint now);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/placement.h
+++ b/libs/gateway/include/almondridge/gateway/placement.h
@@ -24,7 +24,7 @@
 {
     DomainId domain_; ///< This instance's own.
     /** What generating engines read, against engines that only read. */
-    double decodeReadShare_ = 0.5;
+    double decodePrefillSpeed_ = 0.5;
     /** From a read prompt to its first event at the caller: the hand-over and the first step. */
     std::int64_t handoverMillis_ = 30;
 };
@@ -73,7 +73,7 @@
 };
 
 /** An endpoint on which few other requests are. */
-struct QuietChoice
+struct LeastLoadedChoice
 {
     EndpointId endpoint_;
     bool isLastUsable_ = false; ///< All others that do the same work are out of service.
@@ -90,7 +90,7 @@
     /** An engine to generate for a prompt that was read. ticket: any number. */
     std::optional<DecodeChoice> chooseDecodeEngine(const EndpointTable &table,
                                                    const DecodeQuery &query,
-                                                   std::uint64_t ticket, TimePoint now) const;
+                                                   std::uint64_t tieBreaker, TimePoint now) const;
     /** Whether an engine that generates could take one more request, by its last word. */
     bool anyDecodeEngineHasRoom(const EndpointTable &table, const ServiceId &service,
                               const std::vector<EndpointId> &excluded, TimePoint now) const;
@@ -99,18 +99,18 @@
     /** A plain service's endpoint. ticket: any number. */
     std::optional<EndpointId> chooseService(const EndpointTable &table, const ServiceId &service,
                                             const std::vector<EndpointId> &excluded,
-                                            std::uint64_t ticket, TimePoint now) const;
+                                            std::uint64_t tieBreaker, TimePoint now) const;
 
     /** Where a request that may end its endpoint takes the fewest others along; it needs no other
      * endpoint there. ticket: any number. */
-    std::optional<QuietChoice> chooseLeastLoaded(const EndpointTable &table, const ServiceId &service,
+    std::optional<LeastLoadedChoice> chooseLeastLoaded(const EndpointTable &table, const ServiceId &service,
                                               const std::vector<EndpointId> &excluded,
-                                              std::uint64_t ticket, TimePoint now) const;
+                                              std::uint64_t tieBreaker, TimePoint now) const;
 
     /** A prompt is read there: its parts are in the engine's cache from now on. */
     void onPromptSent(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now);
     /** Shared parts that came to engines by this instance since the last call. */
-    std::vector<PromptCacheIndex::Key> takeNewCachedParts() { return std::exchange(readParts_, {}); }
+    std::vector<PromptCacheIndex::Key> takeNewCachedParts() { return std::exchange(newCachedParts_, {}); }
     /** The same as another instance told. */
     void onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts, TimePoint now);
     /**
@@ -121,7 +121,7 @@
                        std::int64_t aheadTokens, double milliseconds);
 
 private:
-    struct Offer;
+    struct Estimate;
     /** An engine and its place in the order of a prompt's leading part: the highest goes first. */
     struct Candidate
     {
@@ -132,22 +132,22 @@
 
     Candidates candidates(const EndpointTable &table, const PromptQuery &query,
                           TimePoint now) const;
-    static std::vector<const Endpoint *> homesAmong(const Candidates &engines);
-    static const Endpoint *firstGenerator(const Candidates &engines);
-    Offer offerOf(const Endpoint &engine, const PromptQuery &query, bool mayHold) const;
+    static std::vector<const Endpoint *> replicaEngines(const Candidates &engines);
+    static const Endpoint *firstDecodeEngine(const Candidates &engines);
+    Estimate estimateTokens(const Endpoint &engine, const PromptQuery &query, bool mayBeCached) const;
     /** The time in which an engine reads a token. */
     double millisPerToken(const RequestCosts &costs, const Endpoint &engine) const;
     /** An engine to copy shared parts from that the reader lacks; null when there is none. */
-    const Endpoint *partsSource(const Candidates &engines, const Endpoint &reader,
+    const Endpoint *cacheCopySource(const Candidates &engines, const Endpoint &reader,
                                 const Prompt &prompt, TimePoint now) const;
-    Offer rank(const Endpoint &engine, const PromptQuery &query, bool mayHold, int urgency) const;
-    Offer bestReader(const Candidates &engines, const PromptQuery &query, TimePoint now) const;
-    Offer bestGenerator(const Candidates &engines, const PromptQuery &query) const;
+    Estimate estimatePrefill(const Endpoint &engine, const PromptQuery &query, bool mayBeCached, int urgency) const;
+    Estimate bestPrefillEngine(const Candidates &engines, const PromptQuery &query, TimePoint now) const;
+    Estimate bestInPlaceEngine(const Candidates &engines, const PromptQuery &query) const;
 
     PlacementSettings settings_;
-    PromptCacheIndex memory_;
-    std::vector<PromptCacheIndex::Key> readParts_;
-    double unknownCached_ = 0.5; ///< Share of unknown parts that proved to be cached.
+    PromptCacheIndex cacheIndex_;
+    std::vector<PromptCacheIndex::Key> newCachedParts_;
+    double unknownHitRate_ = 0.5; ///< Share of unknown parts that proved to be cached.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/promptcacheindex.h
+++ b/libs/gateway/include/almondridge/gateway/promptcacheindex.h
@@ -28,7 +28,7 @@
     static Key keyOf(const ListedEndpoint &engine, std::uint64_t part);
 
     /** True when it was not known. */
-    bool remember(Key key, TimePoint now);
+    bool insert(Key key, TimePoint now);
     bool holds(const ListedEndpoint &engine, std::uint64_t part) const;
     /** Tokens of the prompt's leading parts that the engine has cached. */
     std::int64_t cachedTokens(const ListedEndpoint &engine, const Prompt &prompt) const;
@@ -40,11 +40,11 @@
     std::size_t capacity_;
     struct Entry
     {
-        std::list<Key>::iterator use_;
-        TimePoint since_ {};
+        std::list<Key>::iterator lruPosition_;
+        TimePoint insertedAt_ {};
     };
 
-    std::list<Key> byUse_; ///< Latest first.
+    std::list<Key> lruOrder_; ///< Latest first.
     std::unordered_map<Key, Entry> entries_;
 };
 
--- a/libs/gateway/include/almondridge/gateway/requestcosts.h
+++ b/libs/gateway/include/almondridge/gateway/requestcosts.h
@@ -35,7 +35,7 @@
 
 private:
     /** Sums of a least-squares line through recent reads; old ones fade. */
-    struct Line
+    struct LeastSquares
     {
         double weight_ = 0;
         double tokens_ = 0;
@@ -43,16 +43,16 @@
         double tokensSquared_ = 0;
         double tokensMillis_ = 0;
         void add(double tokens, double milliseconds, double weight);
-        void fade(double kept);
+        void decay(double factor);
     };
 
     void fit();
 
-    Line reads_;
+    LeastSquares prefillSamples_;
     double millisPerToken_ = 0;
     double fixedMillis_ = 0;
-    std::unordered_map<std::string, double> generated_; ///< Milliseconds by route.
-    double meanGenerated_ = 0;                          ///< 0: none yet.
+    std::unordered_map<std::string, double> generateMillis_; ///< Milliseconds by route.
+    double meanGenerateMillis_ = 0;                          ///< 0: none yet.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/crashevidence.cpp
+++ b/libs/gateway/src/crashevidence.cpp
@@ -14,16 +14,16 @@
 constexpr int CrashesToSuspect = 2;
 constexpr double WeightToSuspect = 1.3;
 /** Who was seen at one crash of less weight is neither suspected nor told of. */
-constexpr double LeastWeight = 0.5;
+constexpr double MinWeight = 0.5;
 
 /** Crashes in one group within this time of each other may have one cause. */
-constexpr Duration SameMoment = millis(250);
+constexpr Duration CoincidenceWindow = millis(250);
 /** Crashes of the same moment that other instances saw are told by then. */
-constexpr Duration SettledAfter = millis(200);
+constexpr Duration SettleDelay = millis(200);
 
 /** A request that was quarantined is not run for this long; doubles with each further crash. */
 constexpr Duration FirstQuarantine = millis(60'000);
-constexpr int MostDoublings = 5;
+constexpr int MaxDoublings = 5;
 /** Until what is held against a request that is not quarantined is forgotten. */
 constexpr Duration EvidenceLifetime = millis(120'000);
 constexpr Duration CrashLifetime = millis(3'600'000);
@@ -31,39 +31,39 @@
 constexpr Duration LeaseLifetime = millis(30'000);
 /** Evidence is late by the time that a message takes. */
 constexpr Duration MessageDelay = millis(500);
-constexpr Duration CompletedRemembered = millis(10'000);
+constexpr Duration CompletedRetention = millis(10'000);
 
-constexpr std::size_t MostSuspects = 4'096;
-constexpr std::size_t MostCrashes = 4'096;
-constexpr std::size_t MostSightings = 8; ///< Of one request.
-constexpr std::size_t MostCompleted = 4'096;
-constexpr std::size_t MostLeases = 256;
+constexpr std::size_t MaxSuspects = 4'096;
+constexpr std::size_t MaxCrashes = 4'096;
+constexpr std::size_t MaxOccurrences = 8; ///< Of one request.
+constexpr std::size_t MaxCompleted = 4'096;
+constexpr std::size_t MaxLeases = 256;
 
 /** Rounds in which a piece of news is told to some peers. */
-constexpr int TellRounds = 4;
+constexpr int GossipRounds = 4;
 /** Numbers in one message: a packet. */
-constexpr std::size_t MostItems = 90;
+constexpr std::size_t MaxNumbersPerUpdate = 90;
 
-std::size_t itemsOf(const CrashUpdate &news)
+std::size_t numberCount(const CrashUpdate &update)
 {
-    constexpr std::size_t ItemsOfACrash = 3;
-    std::size_t items = 2 * news.cleared_.size() + 3 * news.leases_.size();
-    for (const CrashUpdate::Crash &crash : news.crashes_) {
-        items += ItemsOfACrash + crash.inFlight_.size();
+    constexpr std::size_t NumbersPerCrash = 3;
+    std::size_t numbers = 2 * update.cleared_.size() + 3 * update.leases_.size();
+    for (const CrashUpdate::Crash &crash : update.crashes_) {
+        numbers += NumbersPerCrash + crash.inFlight_.size();
     }
-    return items;
+    return numbers;
 }
 
-bool hasRoom(const CrashUpdate &news)
+bool hasRoom(const CrashUpdate &update)
 {
-    return itemsOf(news) < MostItems;
+    return numberCount(update) < MaxNumbersPerUpdate;
 }
 
 } // namespace
 
 bool CrashEvidence::addCrash(const EndpointCrash &crash)
 {
-    const auto [place, added] = crashes_.try_emplace(crash.key_, KnownCrash {crash, TellRounds});
+    const auto [place, added] = crashes_.try_emplace(crash.key_, KnownCrash {crash, GossipRounds});
     EndpointCrash &known = place->second.crash_;
     if (added) {
         crashesByTime_.emplace(crash.at_, crash.key_);
@@ -81,29 +81,29 @@
     return false;
 }
 
-void CrashEvidence::addSighting(RequestKey key, CrashKey crash, TimePoint now)
+void CrashEvidence::addOccurrence(RequestKey key, CrashKey crash, TimePoint now)
 {
     const TimePoint crashedAt = crashes_.at(crash).crash_.at_;
-    const auto whole = completed_.find(key);
-    if (whole != completed_.end() && crashedAt <= whole->second + MessageDelay) {
-        clear(key, whole->second);
-        suspects_[key].clearedRoundsLeft_ = TellRounds; // Whoever told this is told of the run.
+    const auto completed = completed_.find(key);
+    if (completed != completed_.end() && crashedAt <= completed->second + MessageDelay) {
+        clear(key, completed->second);
+        suspects_[key].clearedRoundsLeft_ = GossipRounds; // Whoever told this is told of the run.
         return;
     }
     Suspect &suspect = suspects_[key];
     if (suspect.clearedAt_ != TimePoint {} && crashedAt <= suspect.clearedAt_ + MessageDelay) {
-        suspect.clearedRoundsLeft_ = TellRounds;
+        suspect.clearedRoundsLeft_ = GossipRounds;
         return;
     }
-    const bool known = std::any_of(suspect.sightings_.begin(), suspect.sightings_.end(),
-                                   [&](const Sighting &one) { return one.crash_ == crash; });
+    const bool known = std::any_of(suspect.occurrences_.begin(), suspect.occurrences_.end(),
+                                   [&](const Occurrence &one) { return one.crash_ == crash; });
     if (known) {
         return;
     }
-    if (suspect.sightings_.size() >= MostSightings) {
-        suspect.sightings_.erase(suspect.sightings_.begin());
+    if (suspect.occurrences_.size() >= MaxOccurrences) {
+        suspect.occurrences_.erase(suspect.occurrences_.begin());
     }
-    suspect.sightings_.push_back({crash, now, TellRounds});
+    suspect.occurrences_.push_back({crash, now, GossipRounds});
     const auto lease = leases_.find(key);
     if (lease != leases_.end() && lease->second.lease_.at_ <= crashedAt) {
         leases_.erase(lease); // That run crashed an endpoint.
@@ -115,29 +115,29 @@
 {
     addCrash(crash);
     for (const RequestKey key : inFlight) {
-        addSighting(key, crash.key_, now);
+        addOccurrence(key, crash.key_, now);
         const auto suspect = suspects_.find(key);
         if (suspect != suspects_.end()) {
-            suspect->second.isOwn_ = true;
+            suspect->second.seenHere_ = true;
         }
     }
-    keepWithinBounds(now);
+    enforceLimits(now);
 }
 
 void CrashEvidence::clear(RequestKey key, TimePoint at)
 {
     Suspect &suspect = suspects_[key];
-    const std::size_t erased = std::erase_if(suspect.sightings_, [&](const Sighting &one) {
+    const std::size_t erased = std::erase_if(suspect.occurrences_, [&](const Occurrence &one) {
         const auto crash = crashes_.find(one.crash_);
         return crash == crashes_.end() || crash->second.crash_.at_ <= at + MessageDelay;
     });
     // What changes nothing here is not passed on: by the time that messages take it comes back
     // a little younger from everybody who was told.
     if (erased > 0 || suspect.clearedAt_ == TimePoint {}) {
-        suspect.clearedRoundsLeft_ = TellRounds;
+        suspect.clearedRoundsLeft_ = GossipRounds;
     }
     suspect.clearedAt_ = std::max(suspect.clearedAt_, at);
-    if (suspect.sightings_.empty() && std::exchange(suspect.crashesStored_, 0) > 0) {
+    if (suspect.occurrences_.empty() && std::exchange(suspect.persistedCrashes_, 0) > 0) {
         clearedKeys_.push_back(key);
     }
     leases_.erase(key);
@@ -147,8 +147,8 @@
 {
     completed_[key] = now;
     completedInOrder_.emplace_back(now, key);
-    while (completedInOrder_.size() > MostCompleted
-           || completedInOrder_.front().first + CompletedRemembered < now) {
+    while (completedInOrder_.size() > MaxCompleted
+           || completedInOrder_.front().first + CompletedRetention < now) {
         const auto [at, oldest] = completedInOrder_.front();
         completedInOrder_.pop_front();
         const auto found = completed_.find(oldest);
@@ -157,35 +157,35 @@
         }
     }
     const auto suspect = suspects_.find(key);
-    if (suspect == suspects_.end() || suspect->second.sightings_.empty()) {
+    if (suspect == suspects_.end() || suspect->second.occurrences_.empty()) {
         return false;
     }
     clear(key, now);
     return true;
 }
 
-void CrashEvidence::onUpdate(const CrashUpdate &news, TimePoint now)
+void CrashEvidence::onUpdate(const CrashUpdate &update, TimePoint now)
 {
-    for (const CrashUpdate::Cleared &cleared : news.cleared_) {
+    for (const CrashUpdate::Cleared &cleared : update.cleared_) {
         clear(cleared.key_, now - millis(cleared.ageMillis_));
     }
-    for (const CrashUpdate::Crash &told : news.crashes_) {
-        addCrash({told.key_, told.group_, told.groupSize_, now - millis(told.ageMillis_)});
-        for (const RequestKey key : told.inFlight_) {
-            addSighting(key, told.key_, now);
+    for (const CrashUpdate::Crash &received : update.crashes_) {
+        addCrash({received.key_, received.group_, received.groupSize_, now - millis(received.ageMillis_)});
+        for (const RequestKey key : received.inFlight_) {
+            addOccurrence(key, received.key_, now);
         }
     }
-    for (const CrashUpdate::LeaseTaken &told : news.leases_) {
-        const RunLease lease {told.holder_, now - millis(told.ageMillis_)};
-        const auto known = leases_.find(told.key_);
+    for (const CrashUpdate::Lease &received : update.leases_) {
+        const RunLease lease {received.holder_, now - millis(received.ageMillis_)};
+        const auto known = leases_.find(received.key_);
         const bool better = known == leases_.end() || !isLive(known->second.lease_, now)
                             || lease.holder_ < known->second.lease_.holder_
                             || isRenewed(known->second.lease_, lease);
-        if (isLive(lease, now) && better && leases_.size() < MostLeases) {
-            leases_[told.key_] = {lease, TellRounds};
+        if (isLive(lease, now) && better && leases_.size() < MaxLeases) {
+            leases_[received.key_] = {lease, GossipRounds};
         }
     }
-    keepWithinBounds(now);
+    enforceLimits(now);
 }
 
 /** 1: nothing else explains the crash; 0: all endpoints of the group crashed in that moment. */
@@ -194,15 +194,15 @@
     if (crash.groupSize_ <= 1) {
         return 1;
     }
-    const auto isSuspects = [&](CrashKey key) {
-        return std::any_of(suspect.sightings_.begin(), suspect.sightings_.end(),
-                           [&](const Sighting &one) { return one.crash_ == key; });
+    const auto involvesSuspect = [&](CrashKey key) {
+        return std::any_of(suspect.occurrences_.begin(), suspect.occurrences_.end(),
+                           [&](const Occurrence &one) { return one.crash_ == key; });
     };
     int others = 0;
-    const auto last = crashesByTime_.upper_bound(crash.at_ + SameMoment);
-    for (auto near = crashesByTime_.lower_bound(crash.at_ - SameMoment); near != last; ++near) {
+    const auto last = crashesByTime_.upper_bound(crash.at_ + CoincidenceWindow);
+    for (auto near = crashesByTime_.lower_bound(crash.at_ - CoincidenceWindow); near != last; ++near) {
         const EndpointCrash &other = crashes_.at(near->second).crash_;
-        others += other.group_ == crash.group_ && !isSuspects(other.key_) ? 1 : 0;
+        others += other.group_ == crash.group_ && !involvesSuspect(other.key_) ? 1 : 0;
     }
     const double size = crash.groupSize_;
     return std::clamp(std::log(size / (1 + others)) / std::log(size), 0.0, 1.0);
@@ -211,8 +211,8 @@
 Assessment CrashEvidence::assess(const Suspect &suspect, TimePoint now) const
 {
     Assessment result;
-    for (const Sighting &sighting : suspect.sightings_) {
-        const auto known = crashes_.find(sighting.crash_);
+    for (const Occurrence &occurrence : suspect.occurrences_) {
+        const auto known = crashes_.find(occurrence.crash_);
         if (known == crashes_.end()) {
             continue;
         }
@@ -224,13 +224,13 @@
         result.firstCrashAt_ = first ? crash.at_ : result.firstCrashAt_;
     }
     if (result.crashes_ >= CrashesToQuarantine && result.weight_ >= WeightToQuarantine) {
-        const int doublings = std::min(result.crashes_ - CrashesToQuarantine, MostDoublings);
+        const int doublings = std::min(result.crashes_ - CrashesToQuarantine, MaxDoublings);
         result.quarantinedUntil_ = result.lastCrashAt_ + FirstQuarantine * (1 << doublings);
         result.level_ =
             now < result.quarantinedUntil_ ? Suspicion::Quarantined : Suspicion::HalfOpen;
     } else if (result.crashes_ >= CrashesToSuspect && result.weight_ >= WeightToSuspect) {
         result.level_ = Suspicion::Strong;
-    } else if (result.weight_ >= LeastWeight) {
+    } else if (result.weight_ >= MinWeight) {
         result.level_ = Suspicion::Weak;
     }
     return result;
@@ -243,9 +243,9 @@
 }
 
 /** By more than messages differ in their time on the way. */
-bool CrashEvidence::isRenewed(const RunLease &known, const RunLease &told) const
+bool CrashEvidence::isRenewed(const RunLease &known, const RunLease &received) const
 {
-    return told.holder_ == known.holder_ && told.at_ > known.at_ + LeaseLifetime / 4;
+    return received.holder_ == known.holder_ && received.at_ > known.at_ + LeaseLifetime / 4;
 }
 
 bool CrashEvidence::isLive(const RunLease &lease, TimePoint now) const
@@ -259,7 +259,7 @@
     if (known != leases_.end() && isLive(known->second.lease_, now)) {
         return false;
     }
-    leases_[key] = {{holder, now}, TellRounds};
+    leases_[key] = {{holder, now}, GossipRounds};
     return true;
 }
 
@@ -267,7 +267,7 @@
 {
     const auto known = leases_.find(key);
     if (known != leases_.end() && known->second.lease_.holder_ == holder) {
-        known->second = {{holder, now}, TellRounds};
+        known->second = {{holder, now}, GossipRounds};
     }
 }
 
@@ -288,81 +288,81 @@
 }
 
 /** A request that met one of many crashes is told only when it is seen again. */
-bool CrashEvidence::worthTelling(const Suspect &suspect, const Sighting &sighting,
+bool CrashEvidence::isWorthReporting(const Suspect &suspect, const Occurrence &occurrence,
                                  TimePoint now) const
 {
-    if (suspect.sightings_.size() > 1) {
+    if (suspect.occurrences_.size() > 1) {
         return true;
     }
-    const auto crash = crashes_.find(sighting.crash_);
-    return crash != crashes_.end() && sighting.knownAt_ + SettledAfter <= now
-           && weightOf(suspect, crash->second.crash_) >= LeastWeight;
+    const auto crash = crashes_.find(occurrence.crash_);
+    return crash != crashes_.end() && occurrence.learnedAt_ + SettleDelay <= now
+           && weightOf(suspect, crash->second.crash_) >= MinWeight;
 }
 
-void CrashEvidence::tellCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight,
-                              TimePoint now, CrashUpdate &news) const
+void CrashEvidence::reportCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight,
+                              TimePoint now, CrashUpdate &update) const
 {
-    auto place = std::find_if(news.crashes_.begin(), news.crashes_.end(),
+    auto place = std::find_if(update.crashes_.begin(), update.crashes_.end(),
                               [&](const CrashUpdate::Crash &one) { return one.key_ == crash.key_; });
-    if (place == news.crashes_.end()) {
+    if (place == update.crashes_.end()) {
         const std::int64_t age = std::max<std::int64_t>(0, toMillis(now - crash.at_));
-        place = news.crashes_.insert(place, {crash.key_, crash.group_, crash.groupSize_, age, {}});
+        place = update.crashes_.insert(place, {crash.key_, crash.group_, crash.groupSize_, age, {}});
     }
     if (inFlight) {
         place->inFlight_.push_back(*inFlight);
     }
 }
 
-void CrashEvidence::tellSightings(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &news)
+void CrashEvidence::reportOccurrences(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &update)
 {
-    for (Sighting &sighting : suspect.sightings_) {
-        const auto crash = crashes_.find(sighting.crash_);
-        if (crash != crashes_.end() && sighting.roundsLeft_ > 0 && hasRoom(news)
-            && worthTelling(suspect, sighting, now)) {
-            --sighting.roundsLeft_;
-            tellCrash(crash->second.crash_, key, now, news);
+    for (Occurrence &occurrence : suspect.occurrences_) {
+        const auto crash = crashes_.find(occurrence.crash_);
+        if (crash != crashes_.end() && occurrence.roundsLeft_ > 0 && hasRoom(update)
+            && isWorthReporting(suspect, occurrence, now)) {
+            --occurrence.roundsLeft_;
+            reportCrash(crash->second.crash_, key, now, update);
         }
     }
 }
 
 CrashUpdate CrashEvidence::takeUpdate(TimePoint now)
 {
-    CrashUpdate news;
+    CrashUpdate update;
     for (auto &[key, known] : leases_) {
-        if (known.roundsLeft_ > 0 && hasRoom(news)) {
+        if (known.roundsLeft_ > 0 && hasRoom(update)) {
             --known.roundsLeft_;
-            news.leases_.push_back({key, known.lease_.holder_, toMillis(now - known.lease_.at_)});
+            update.leases_.push_back({key, known.lease_.holder_, toMillis(now - known.lease_.at_)});
         }
     }
     for (auto &[key, suspect] : suspects_) {
-        if (suspect.clearedRoundsLeft_ > 0 && hasRoom(news)) {
+        if (suspect.clearedRoundsLeft_ > 0 && hasRoom(update)) {
             --suspect.clearedRoundsLeft_;
-            news.cleared_.push_back({key, toMillis(now - suspect.clearedAt_)});
+            update.cleared_.push_back({key, toMillis(now - suspect.clearedAt_)});
         }
     }
     // Those that were seen most often first: a flood of others must not delay them.
     for (const bool often : {true, false}) {
         for (auto &[key, suspect] : suspects_) {
-            if ((suspect.sightings_.size() > 1) == often) {
-                tellSightings(suspect, key, now, news);
+            if ((suspect.occurrences_.size() > 1) == often) {
+                reportOccurrences(suspect, key, now, update);
             }
         }
     }
     for (auto &[key, known] : crashes_) {
-        if (known.roundsLeft_ > 0 && hasRoom(news)) {
+        if (known.roundsLeft_ > 0 && hasRoom(update)) {
             --known.roundsLeft_;
-            tellCrash(known.crash_, std::nullopt, now, news);
+            reportCrash(known.crash_, std::nullopt, now, update);
         }
     }
-    return news;
+    return update;
 }
 
-std::vector<RequestKey> CrashEvidence::mostSuspiciousFirst(TimePoint now) const
+std::vector<RequestKey> CrashEvidence::rankedSuspects(TimePoint now) const
 {
     std::vector<std::tuple<double, TimePoint, RequestKey>> ranked;
     for (const auto &[key, suspect] : suspects_) {
         const Assessment known = assess(suspect, now);
-        if (known.weight_ >= LeastWeight) {
+        if (known.weight_ >= MinWeight) {
             ranked.emplace_back(known.weight_ + known.crashes_, known.lastCrashAt_, key);
         }
     }
@@ -375,56 +375,56 @@
     return keys;
 }
 
-CrashUpdate CrashEvidence::mostImportant(TimePoint now) const
+CrashUpdate CrashEvidence::mostSuspicious(TimePoint now) const
 {
-    CrashUpdate news;
-    for (const RequestKey key : mostSuspiciousFirst(now)) {
-        for (const Sighting &sighting : suspects_.at(key).sightings_) {
-            const auto crash = crashes_.find(sighting.crash_);
-            if (crash != crashes_.end() && hasRoom(news)) {
-                tellCrash(crash->second.crash_, key, now, news);
+    CrashUpdate update;
+    for (const RequestKey key : rankedSuspects(now)) {
+        for (const Occurrence &occurrence : suspects_.at(key).occurrences_) {
+            const auto crash = crashes_.find(occurrence.crash_);
+            if (crash != crashes_.end() && hasRoom(update)) {
+                reportCrash(crash->second.crash_, key, now, update);
             }
         }
         const auto lease = leases_.find(key);
-        if (lease != leases_.end() && isLive(lease->second.lease_, now) && hasRoom(news)) {
+        if (lease != leases_.end() && isLive(lease->second.lease_, now) && hasRoom(update)) {
             const RunLease &taken = lease->second.lease_;
-            news.leases_.push_back({key, taken.holder_, toMillis(now - taken.at_)});
+            update.leases_.push_back({key, taken.holder_, toMillis(now - taken.at_)});
         }
     }
-    return news;
+    return update;
 }
 
 CrashUpdate CrashEvidence::crashesOf(RequestKey key, TimePoint now) const
 {
-    CrashUpdate news;
+    CrashUpdate update;
     const auto suspect = suspects_.find(key);
     if (suspect == suspects_.end()) {
-        return news;
+        return update;
     }
-    for (const Sighting &sighting : suspect->second.sightings_) {
-        const auto crash = crashes_.find(sighting.crash_);
+    for (const Occurrence &occurrence : suspect->second.occurrences_) {
+        const auto crash = crashes_.find(occurrence.crash_);
         if (crash != crashes_.end()) {
-            tellCrash(crash->second.crash_, key, now, news);
+            reportCrash(crash->second.crash_, key, now, update);
         }
     }
-    return news;
+    return update;
 }
 
 std::vector<RequestKey> CrashEvidence::takeChanges(TimePoint now)
 {
     std::vector<RequestKey> changed = std::exchange(clearedKeys_, {});
     for (auto &[key, suspect] : suspects_) {
-        const std::size_t crashes = suspect.sightings_.size();
-        if (suspect.isOwn_ && crashes > suspect.crashesStored_
+        const std::size_t crashes = suspect.occurrences_.size();
+        if (suspect.seenHere_ && crashes > suspect.persistedCrashes_
             && assess(suspect, now).level_ >= Suspicion::Strong) {
-            suspect.crashesStored_ = crashes;
+            suspect.persistedCrashes_ = crashes;
             changed.push_back(key);
         }
     }
     return changed;
 }
 
-void CrashEvidence::dropLeastSuspicious(TimePoint now)
+void CrashEvidence::evictLeastSuspicious(TimePoint now)
 {
     std::vector<std::pair<double, RequestKey>> ranked;
     ranked.reserve(suspects_.size());
@@ -432,7 +432,7 @@
         const Assessment known = assess(suspect, now);
         ranked.emplace_back(known.weight_ + known.crashes_, key);
     }
-    constexpr std::size_t Kept = MostSuspects * 3 / 4;
+    constexpr std::size_t Kept = MaxSuspects * 3 / 4;
     std::nth_element(ranked.begin(), ranked.begin() + Kept, ranked.end(),
                      [](const auto &one, const auto &other) { return one.first > other.first; });
     for (std::size_t index = Kept; index < ranked.size(); ++index) {
@@ -440,27 +440,27 @@
     }
 }
 
-void CrashEvidence::forgetCrashes(TimePoint now)
+void CrashEvidence::evictCrashes(TimePoint now)
 {
     while (!crashesByTime_.empty()
-           && (crashesByTime_.size() > MostCrashes
+           && (crashesByTime_.size() > MaxCrashes
                || crashesByTime_.begin()->first + CrashLifetime < now)) {
         crashes_.erase(crashesByTime_.begin()->second);
         crashesByTime_.erase(crashesByTime_.begin());
     }
 }
 
-void CrashEvidence::keepWithinBounds(TimePoint now)
+void CrashEvidence::enforceLimits(TimePoint now)
 {
-    forgetCrashes(now);
-    if (suspects_.size() > MostSuspects) {
-        dropLeastSuspicious(now);
+    evictCrashes(now);
+    if (suspects_.size() > MaxSuspects) {
+        evictLeastSuspicious(now);
     }
 }
 
-void CrashEvidence::forgetOld(TimePoint now)
+void CrashEvidence::removeExpired(TimePoint now)
 {
-    keepWithinBounds(now);
+    enforceLimits(now);
     std::erase_if(suspects_, [&](const auto &entry) {
         const Suspect &suspect = entry.second;
         const Assessment known = assess(suspect, now);
--- a/libs/gateway/src/crashgossip.cpp
+++ b/libs/gateway/src/crashgossip.cpp
@@ -10,21 +10,21 @@
 using Json = nlohmann::json;
 
 /** No CBOR array begins with it, so that it tells these datagrams from the load's. */
-constexpr char Mark = 'C';
+constexpr char Marker = 'C';
 /** Twice as long as anything is remembered. */
-constexpr std::int64_t LongestAgeMillis = 7'200'000;
-constexpr std::int64_t MostInAGroup = 1'000'000;
+constexpr std::int64_t MaxAgeMillis = 7'200'000;
+constexpr std::int64_t MaxGroupSize = 1'000'000;
 
-constexpr Duration TellInterval = millis(100);
+constexpr Duration UpdateInterval = millis(100);
 constexpr Duration RepeatInterval = millis(1'000);
-constexpr Duration AskInterval = millis(300);
-constexpr Duration AskFor = millis(5'000);
+constexpr Duration SnapshotRequestInterval = millis(300);
+constexpr Duration SnapshotRequestPeriod = millis(5'000);
 /** In a fleet of up to so many instances each tells all others. */
-constexpr std::size_t FewPeers = 12;
-constexpr std::size_t PeersOfARound = 3;
-constexpr std::size_t PeersOfARepeat = 2;
+constexpr std::size_t MaxBroadcastPeers = 12;
+constexpr std::size_t UpdateFanout = 3;
+constexpr std::size_t RepeatFanout = 2;
 
-enum class Field { Sender, Asks, Crashes, Cleared, Leases, Count };
+enum class Field { Sender, RequestsSnapshot, Crashes, Cleared, Leases, Count };
 
 std::size_t at(Field field)
 {
@@ -38,30 +38,30 @@
 }
 
 /** An array of so many whole numbers, none negative. */
-bool isRow(const Json &json, std::size_t size)
+bool isUnsignedArray(const Json &json, std::size_t size)
 {
     return json.is_array() && json.size() >= size
            && std::all_of(json.begin(), json.begin() + static_cast<std::ptrdiff_t>(size),
                           [](const Json &one) { return one.is_number_unsigned(); });
 }
 
-std::optional<std::int64_t> bounded(const Json &json, std::int64_t least, std::int64_t most)
+std::optional<std::int64_t> bounded(const Json &json, std::int64_t min, std::int64_t max)
 {
     const auto value = json.get<std::uint64_t>();
     const bool fits =
-        value >= static_cast<std::uint64_t>(least) && value <= static_cast<std::uint64_t>(most);
+        value >= static_cast<std::uint64_t>(min) && value <= static_cast<std::uint64_t>(max);
     return fits ? std::optional(static_cast<std::int64_t>(value)) : std::nullopt;
 }
 
 std::optional<CrashUpdate::Crash> readCrash(const Json &json)
 {
     constexpr std::size_t Numbers = 4;
-    if (!isRow(json, Numbers) || json.size() != Numbers + 1 || !json[Numbers].is_array()) {
+    if (!isUnsignedArray(json, Numbers) || json.size() != Numbers + 1 || !json[Numbers].is_array()) {
         return std::nullopt;
     }
-    const auto size = bounded(json[2], 1, MostInAGroup);
-    const auto age = bounded(json[3], 0, LongestAgeMillis);
-    if (!size || !age || !isRow(json[Numbers], json[Numbers].size())) {
+    const auto size = bounded(json[2], 1, MaxGroupSize);
+    const auto age = bounded(json[3], 0, MaxAgeMillis);
+    if (!size || !age || !isUnsignedArray(json[Numbers], json[Numbers].size())) {
         return std::nullopt;
     }
     CrashUpdate::Crash crash {static_cast<CrashKey>(json[0].get<std::uint64_t>()),
@@ -92,17 +92,17 @@
 
 std::optional<CrashUpdate::Cleared> readCleared(const Json &json)
 {
-    const auto age = isRow(json, 2) ? bounded(json[1], 0, LongestAgeMillis) : std::nullopt;
+    const auto age = isUnsignedArray(json, 2) ? bounded(json[1], 0, MaxAgeMillis) : std::nullopt;
     return age ? std::optional(
                CrashUpdate::Cleared {static_cast<RequestKey>(json[0].get<std::uint64_t>()), *age})
                : std::nullopt;
 }
 
-std::optional<CrashUpdate::LeaseTaken> readLease(const Json &json)
+std::optional<CrashUpdate::Lease> readLease(const Json &json)
 {
-    const auto age = isRow(json, 3) ? bounded(json[2], 0, LongestAgeMillis) : std::nullopt;
+    const auto age = isUnsignedArray(json, 3) ? bounded(json[2], 0, MaxAgeMillis) : std::nullopt;
     return age ? std::optional(
-               CrashUpdate::LeaseTaken {static_cast<RequestKey>(json[0].get<std::uint64_t>()),
+               CrashUpdate::Lease {static_cast<RequestKey>(json[0].get<std::uint64_t>()),
                                       json[1].get<std::uint64_t>(), *age})
                : std::nullopt;
 }
@@ -111,13 +111,13 @@
 
 bool isCrashDatagram(std::string_view datagram)
 {
-    return !datagram.empty() && datagram.front() == Mark;
+    return !datagram.empty() && datagram.front() == Marker;
 }
 
 std::string encodeCrashMessage(const CrashMessage &message)
 {
     Json crashes = Json::array();
-    for (const CrashUpdate::Crash &crash : message.news_.crashes_) {
+    for (const CrashUpdate::Crash &crash : message.update_.crashes_) {
         Json inFlight = Json::array();
         for (const RequestKey key : crash.inFlight_) {
             inFlight.push_back(number(key));
@@ -127,21 +127,21 @@
                            static_cast<std::uint64_t>(crash.ageMillis_), std::move(inFlight)});
     }
     Json cleared = Json::array();
-    for (const CrashUpdate::Cleared &one : message.news_.cleared_) {
+    for (const CrashUpdate::Cleared &one : message.update_.cleared_) {
         cleared.push_back({number(one.key_), static_cast<std::uint64_t>(one.ageMillis_)});
     }
     Json leases = Json::array();
-    for (const CrashUpdate::LeaseTaken &one : message.news_.leases_) {
+    for (const CrashUpdate::Lease &one : message.update_.leases_) {
         leases.push_back(
             {number(one.key_), one.holder_, static_cast<std::uint64_t>(one.ageMillis_)});
     }
     Json json = Json::array();
     json[at(Field::Sender)] = message.sender_.value();
-    json[at(Field::Asks)] = message.asks_;
+    json[at(Field::RequestsSnapshot)] = message.requestsSnapshot_;
     json[at(Field::Crashes)] = std::move(crashes);
     json[at(Field::Cleared)] = std::move(cleared);
     json[at(Field::Leases)] = std::move(leases);
-    std::string bytes(1, Mark);
+    std::string bytes(1, Marker);
     Json::to_cbor(json, bytes);
     return bytes;
 }
@@ -151,16 +151,16 @@
     const std::optional<Json> json =
         isCrashDatagram(datagram) ? fromCbor(datagram.substr(1)) : std::nullopt;
     if (!json || !json->is_array() || json->size() != at(Field::Count)
-        || !(*json)[at(Field::Sender)].is_string() || !(*json)[at(Field::Asks)].is_boolean()) {
+        || !(*json)[at(Field::Sender)].is_string() || !(*json)[at(Field::RequestsSnapshot)].is_boolean()) {
         return std::nullopt;
     }
     CrashMessage message;
     message.sender_ = InstanceId((*json)[at(Field::Sender)].get<std::string>());
-    message.asks_ = (*json)[at(Field::Asks)].get<bool>();
+    message.requestsSnapshot_ = (*json)[at(Field::RequestsSnapshot)].get<bool>();
     const bool readable =
-        readAll(json->at(at(Field::Crashes)), message.news_.crashes_, &readCrash)
-        && readAll(json->at(at(Field::Cleared)), message.news_.cleared_, &readCleared)
-        && readAll(json->at(at(Field::Leases)), message.news_.leases_, &readLease);
+        readAll(json->at(at(Field::Crashes)), message.update_.crashes_, &readCrash)
+        && readAll(json->at(at(Field::Cleared)), message.update_.cleared_, &readCleared)
+        && readAll(json->at(at(Field::Leases)), message.update_.leases_, &readLease);
     return readable ? std::optional(std::move(message)) : std::nullopt;
 }
 
@@ -176,14 +176,14 @@
     std::erase(peers_, self_);
 }
 
-std::vector<InstanceId> CrashGossip::drawPeers(std::size_t most)
+std::vector<InstanceId> CrashGossip::samplePeers(std::size_t max)
 {
-    std::vector<InstanceId> drawn;
-    std::sample(peers_.begin(), peers_.end(), std::back_inserter(drawn), most, random_);
-    return drawn;
+    std::vector<InstanceId> sampled;
+    std::sample(peers_.begin(), peers_.end(), std::back_inserter(sampled), max, random_);
+    return sampled;
 }
 
-void CrashGossip::tell(const CrashMessage &message, const std::vector<InstanceId> &peers,
+void CrashGossip::send(const CrashMessage &message, const std::vector<InstanceId> &peers,
                        std::vector<MeshDatagram> &out) const
 {
     const std::string bytes = encodeCrashMessage(message);
@@ -198,27 +198,27 @@
     if (peers_.empty()) {
         return out;
     }
-    if (askUntil_ == TimePoint {}) {
-        askUntil_ = now + AskFor;
+    if (requestSnapshotUntil_ == TimePoint {}) {
+        requestSnapshotUntil_ = now + SnapshotRequestPeriod;
     }
-    if (!heard_ && now < askUntil_ && now >= askAt_) {
-        askAt_ = now + AskInterval;
-        tell({self_, true, {}}, drawPeers(PeersOfARepeat), out);
+    if (!receivedUpdate_ && now < requestSnapshotUntil_ && now >= requestSnapshotAt_) {
+        requestSnapshotAt_ = now + SnapshotRequestInterval;
+        send({self_, true, {}}, samplePeers(RepeatFanout), out);
     }
-    if (now >= tellAt_) {
-        tellAt_ = now + TellInterval;
-        const CrashUpdate news = evidence_.takeUpdate(now);
-        if (!news.empty()) {
-            tell({self_, false, news},
-                 peers_.size() <= FewPeers ? peers_ : drawPeers(PeersOfARound), out);
+    if (now >= updateAt_) {
+        updateAt_ = now + UpdateInterval;
+        const CrashUpdate update = evidence_.takeUpdate(now);
+        if (!update.empty()) {
+            send({self_, false, update},
+                 peers_.size() <= MaxBroadcastPeers ? peers_ : samplePeers(UpdateFanout), out);
         }
     }
     if (now >= repeatAt_) {
         repeatAt_ = now + RepeatInterval;
-        evidence_.forgetOld(now);
-        const CrashUpdate news = evidence_.mostImportant(now);
-        if (!news.empty()) {
-            tell({self_, false, news}, drawPeers(PeersOfARepeat), out);
+        evidence_.removeExpired(now);
+        const CrashUpdate update = evidence_.mostSuspicious(now);
+        if (!update.empty()) {
+            send({self_, false, update}, samplePeers(RepeatFanout), out);
         }
     }
     return out;
@@ -234,13 +234,13 @@
     if (std::find(peers_.begin(), peers_.end(), message->sender_) == peers_.end()) {
         return Reception::Unknown;
     }
-    if (message->asks_) {
+    if (message->requestsSnapshot_) {
         // Also when there is nothing to tell: who asks need not ask again.
-        tell({self_, false, evidence_.mostImportant(now)}, {message->sender_}, out);
+        send({self_, false, evidence_.mostSuspicious(now)}, {message->sender_}, out);
         return Reception::Taken;
     }
-    heard_ = true;
-    evidence_.onUpdate(message->news_, now);
+    receivedUpdate_ = true;
+    evidence_.onUpdate(message->update_, now);
     return Reception::Taken;
 }
 
--- a/libs/gateway/src/crashguard.cpp
+++ b/libs/gateway/src/crashguard.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** All connections to an ended endpoint have broken by then. */
-constexpr Duration CrashRemembered = millis(30'000);
+constexpr Duration CrashRetention = millis(30'000);
 
 CrashKey crashKeyOf(const ListedEndpoint &listed)
 {
@@ -33,7 +33,7 @@
 
 CrashGuard::CrashGuard(GatewayState &gateway)
     : gateway_(gateway)
-    , number_(std::random_device {}())
+    , leaseHolder_(std::random_device {}())
 { }
 
 void CrashGuard::onConnectionBroken(const EndpointId &id, std::uint64_t lifetime, RequestKey key)
@@ -42,14 +42,14 @@
     if (!isExpectedToServe(endpoint) || endpoint->lifetime_ != lifetime) {
         return;
     }
-    if (crashed_.contains(crashKeyOf(endpoint->listed_))) {
+    if (knownCrashes_.contains(crashKeyOf(endpoint->listed_))) {
         onCrashed(*endpoint, {key});
         return;
     }
-    const bool underTest = tested_.contains(id);
-    tested_[id].lifetime_ = lifetime;
-    tested_[id].inFlight_.insert(key);
-    if (!underTest) {
+    const bool probeRunning = pendingProbes_.contains(id);
+    pendingProbes_[id].lifetime_ = lifetime;
+    pendingProbes_[id].inFlight_.insert(key);
+    if (!probeRunning) {
         const TimePoint by = BootClock::now() + millis(gateway_.settings_.connectMillis_);
         gateway_.client_.open(id.value(), endpoint->listed_.address_, by,
                               [this, id](bool reached) { onProbed(id, reached); });
@@ -58,7 +58,7 @@
 
 void CrashGuard::onProbed(const EndpointId &id, bool reached)
 {
-    const auto node = tested_.extract(id);
+    const auto node = pendingProbes_.extract(id);
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (node.empty() || reached || !isExpectedToServe(endpoint)
         || endpoint->lifetime_ != node.mapped().lifetime_) {
@@ -71,7 +71,7 @@
 {
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (isExpectedToServe(endpoint) && endpoint->outstanding() > 0
-        && !crashed_.contains(crashKeyOf(endpoint->listed_))) {
+        && !knownCrashes_.contains(crashKeyOf(endpoint->listed_))) {
         onCrashed(*endpoint, {});
     }
 }
@@ -85,10 +85,10 @@
             inFlight.insert(call->key());
         }
     }
-    std::erase_if(crashed_,
-                  [&](const auto &entry) { return entry.second.at_ + CrashRemembered < now; });
+    std::erase_if(knownCrashes_,
+                  [&](const auto &entry) { return entry.second.at_ + CrashRetention < now; });
     const CrashKey key = crashKeyOf(endpoint.listed_);
-    const auto [place, added] = crashed_.try_emplace(
+    const auto [place, added] = knownCrashes_.try_emplace(
         key, EndpointCrash {key, groupOf(endpoint.listed_), groupSize(endpoint), now});
     evidence_.onCrash(place->second, {inFlight.begin(), inFlight.end()}, now);
     if (added) {
@@ -103,8 +103,8 @@
 
 int CrashGuard::groupSize(const Endpoint &endpoint) const
 {
-    const auto like = gateway_.table_.listed(endpoint.listed_.service_);
-    return static_cast<int>(std::count_if(like.begin(), like.end(), [&](const Endpoint *one) {
+    const auto sameService = gateway_.table_.listed(endpoint.listed_.service_);
+    return static_cast<int>(std::count_if(sameService.begin(), sameService.end(), [&](const Endpoint *one) {
         return one->listed_.stage_ == endpoint.listed_.stage_;
     }));
 }
@@ -123,22 +123,22 @@
 
 bool CrashGuard::acquireLease(RequestKey key)
 {
-    return evidence_.acquireLease(key, number_, BootClock::now());
+    return evidence_.acquireLease(key, leaseHolder_, BootClock::now());
 }
 
 void CrashGuard::renewLease(RequestKey key)
 {
-    evidence_.renewLease(key, number_, BootClock::now());
+    evidence_.renewLease(key, leaseHolder_, BootClock::now());
 }
 
 bool CrashGuard::holdsLease(RequestKey key) const
 {
-    return evidence_.holdsLease(key, number_, BootClock::now());
+    return evidence_.holdsLease(key, leaseHolder_, BootClock::now());
 }
 
 void CrashGuard::releaseLease(RequestKey key)
 {
-    evidence_.releaseLease(key, number_);
+    evidence_.releaseLease(key, leaseHolder_);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/crashguard.h
+++ b/libs/gateway/src/crashguard.h
@@ -35,7 +35,7 @@
 
 private:
     /** Requests whose connections to an endpoint broke, until it is known whether it has ended. */
-    struct Suspected
+    struct PendingProbe
     {
         std::uint64_t lifetime_ = 0;
         std::set<RequestKey> inFlight_;
@@ -47,10 +47,10 @@
 
     GatewayState &gateway_;
     CrashEvidence evidence_;
-    std::uint64_t number_; ///< Of this instance, among those that want to run a request.
-    std::map<EndpointId, Suspected> tested_;
+    std::uint64_t leaseHolder_; ///< Of this instance, among those that want to run a request.
+    std::map<EndpointId, PendingProbe> pendingProbes_;
     /** Ends that this instance has found out; later breaks need no test. */
-    std::map<CrashKey, EndpointCrash> crashed_;
+    std::map<CrashKey, EndpointCrash> knownCrashes_;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 /** How far one piece of evidence goes. */
-struct EvidenceRule
+struct HealthRule
 {
-    HealthSignal evidence_;
-    int weight_;     ///< Added to the failures in a row; 0 clears them.
-    int distrustAt_; ///< From this many on it gets no work.
+    HealthSignal signal_;
+    int failureWeight_;     ///< Added to the failures in a row; 0 clears them.
+    int openThreshold_; ///< From this many on it gets no work.
 };
 
 /**
@@ -21,7 +21,7 @@
  * second one stops new work, as a single one is also what a planned stop looks like. Errors need
  * more of them: a sound service fails some of its calls for reasons of its own.
  */
-constexpr std::array<EvidenceRule, 7> EvidenceRules {{
+constexpr std::array<HealthRule, 7> HealthRules {{
     {HealthSignal::Healthy, 0, 0},
     {HealthSignal::Overloaded, 0, 0},
     {HealthSignal::Declined, 8, 8},
@@ -32,42 +32,42 @@
 }};
 
 /** First time without work; doubles with each further failure. */
-constexpr Duration FirstDistrust = millis(300);
-constexpr Duration LongestDistrust = millis(2'000);
+constexpr Duration InitialOpenTime = millis(300);
+constexpr Duration MaxOpenTime = millis(2'000);
 
 /** First time until an endpoint that was not reached is tried; doubles with each failed test. */
-constexpr Duration FirstTest = millis(150);
-constexpr Duration LongestTest = millis(1'200);
+constexpr Duration InitialProbeDelay = millis(150);
+constexpr Duration MaxProbeDelay = millis(1'200);
 /** Peers are told of an endpoint for this long: three notes of a large fleet, or more. */
-constexpr Duration UnreachedIsNews = millis(1'000);
+constexpr Duration UnreachableReportWindow = millis(1'000);
 /** An endpoint that answered us within this time is sound, whatever a peer met before. */
-constexpr Duration SoundIsFresh = millis(300);
+constexpr Duration MaxHealthyAge = millis(300);
 
 /** How much a new measurement counts for an engine's own speed. */
-constexpr double SpeedWeight = 0.1;
+constexpr double SpeedSmoothing = 0.1;
 /** Shorter reads tell fixed costs rather than the speed. */
-constexpr double LeastSampleMillis = 80;
+constexpr double MinSampleMillis = 80;
 /** Speeds beyond these are measurements of something else: a stalled engine, or a cached prompt. */
-constexpr double LeastSpeed = 0.1;
-constexpr double MostSpeed = 4;
+constexpr double MinSpeed = 0.1;
+constexpr double MaxSpeed = 4;
 /** What is left of failures says nothing any more. */
-constexpr double ForgottenFailures = 0.05;
+constexpr double NegligibleFailures = 0.05;
 /** Forgotten endpoints whose last start is remembered: far more than leave within minutes. */
-constexpr std::size_t RememberedStarts = 2'048;
+constexpr std::size_t MaxRememberedStarts = 2'048;
 
-const EvidenceRule &ruleFor(HealthSignal evidence)
+const HealthRule &ruleFor(HealthSignal signal)
 {
-    return *std::find_if(EvidenceRules.begin(), EvidenceRules.end(),
-                         [&](const EvidenceRule &rule) { return rule.evidence_ == evidence; });
+    return *std::find_if(HealthRules.begin(), HealthRules.end(),
+                         [&](const HealthRule &rule) { return rule.signal_ == signal; });
 }
 
-Duration distrustFor(int failures, int distrustAt)
+Duration openTimeFor(int failures, int openThreshold)
 {
-    Duration span = FirstDistrust;
-    for (int step = distrustAt; step < failures && span < LongestDistrust; step += distrustAt / 2) {
-        span *= 2;
+    Duration openTime = InitialOpenTime;
+    for (int step = openThreshold; step < failures && openTime < MaxOpenTime; step += openThreshold / 2) {
+        openTime *= 2;
     }
-    return std::min(span, LongestDistrust);
+    return std::min(openTime, MaxOpenTime);
 }
 
 } // namespace
@@ -86,10 +86,10 @@
 
 bool Endpoint::isIdle(TimePoint now) const noexcept
 {
-    const bool hasRequests = openSends_ > 0 || fleetSlotUse().all() > 0 || fleetQueuedTokens() > 0;
-    const bool hasFailures = recentFailures_.at(now) >= ForgottenFailures
-                             || peerFailures_ >= ForgottenFailures
-                             || unreachedAt_ + UnreachedIsNews > now;
+    const bool hasRequests = openRequests_ > 0 || fleetSlotUse().all() > 0 || fleetQueuedTokens() > 0;
+    const bool hasFailures = recentFailures_.at(now) >= NegligibleFailures
+                             || peerFailures_ >= NegligibleFailures
+                             || unreachableAt_ + UnreachableReportWindow > now;
     return !hasRequests && !hasFailures && !awaitsProbe_ && changingUntil_ <= now;
 }
 
@@ -107,12 +107,12 @@
     if (awaitsProbe_) {
         return "unreachable";
     }
-    return distrustedUntil_ > now || probing_ ? "distrusted" : "usable";
+    return circuitOpenUntil_ > now || trialInFlight_ ? "distrusted" : "usable";
 }
 
 ListingChange EndpointTable::list(const ListedEndpoint &listed, TimePoint now)
 {
-    const std::int64_t known = knownStart(listed.id_);
+    const std::int64_t known = lastKnownStart(listed.id_);
     // Old entries come late and in any order: only a later start is news.
     if (listed.startedAtMillis_ != 0 && listed.startedAtMillis_ < known) {
         return ListingChange::Unchanged;
@@ -140,7 +140,7 @@
 }
 
 /** The latest start that was told of an endpoint, known or forgotten; 0: none. */
-std::int64_t EndpointTable::knownStart(const EndpointId &id) const
+std::int64_t EndpointTable::lastKnownStart(const EndpointId &id) const
 {
     if (const Endpoint *endpoint = find(id)) {
         return endpoint->listed_.startedAtMillis_;
@@ -154,7 +154,7 @@
 {
     Endpoint fresh;
     fresh.lifetime_ = endpoint.lifetime_ + 1;
-    fresh.openSends_ = endpoint.openSends_;
+    fresh.openRequests_ = endpoint.openRequests_;
     fresh.idHash_ = endpoint.idHash_;
     fresh.loadAt_ = now;
     endpoint = fresh;
@@ -204,12 +204,12 @@
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::trusted(const ServiceId &service, TimePoint now) const
+std::vector<const Endpoint *> EndpointTable::available(const ServiceId &service, TimePoint now) const
 {
     std::vector<const Endpoint *> found = listed(service);
     std::erase_if(found, [&](const Endpoint *endpoint) {
         // Distrusted until a time, and then until the one request that tests it was answered.
-        return endpoint->distrustedUntil_ > now || endpoint->probing_ || endpoint->awaitsProbe_
+        return endpoint->circuitOpenUntil_ > now || endpoint->trialInFlight_ || endpoint->awaitsProbe_
                || endpoint->changingUntil_ > now;
     });
     return found;
@@ -217,8 +217,8 @@
 
 std::vector<const Endpoint *> EndpointTable::usable(const ServiceId &service, TimePoint now) const
 {
-    std::vector<const Endpoint *> found = trusted(service, now);
-    for (const Endpoint *endpoint : failing(found, now)) {
+    std::vector<const Endpoint *> found = available(service, now);
+    for (const Endpoint *endpoint : outliersAmong(found, now)) {
         std::erase(found, endpoint);
     }
     return found;
@@ -228,24 +228,24 @@
 {
     std::set<ServiceId> services;
     for (const auto &[id, endpoint] : active_) {
-        if (endpoint->failuresOfAll(now) >= LeastFailures) {
+        if (endpoint->fleetFailures(now) >= LeastFailures) {
             services.insert(endpoint->listed_.service_);
         }
     }
     std::vector<const Endpoint *> found;
     for (const ServiceId &service : services) {
-        const std::vector<const Endpoint *> ofService = failing(trusted(service, now), now);
+        const std::vector<const Endpoint *> ofService = outliersAmong(available(service, now), now);
         found.insert(found.end(), ofService.begin(), ofService.end());
     }
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::failing(const std::vector<const Endpoint *> &endpoints,
+std::vector<const Endpoint *> EndpointTable::outliersAmong(const std::vector<const Endpoint *> &endpoints,
                                                      TimePoint now) const
 {
     std::vector<const Endpoint *> found;
     const bool anyFails = std::any_of(active_.begin(), active_.end(), [&](const auto &entry) {
-        return entry.second->failuresOfAll(now) >= LeastFailures;
+        return entry.second->fleetFailures(now) >= LeastFailures;
     });
     if (!anyFails) {
         return found;
@@ -257,7 +257,7 @@
         for (const Endpoint *endpoint : endpoints) {
             if (endpoint->listed_.stage_ == stage) {
                 group.push_back(endpoint);
-                failures.push_back(endpoint->failuresOfAll(now));
+                failures.push_back(endpoint->fleetFailures(now));
                 sends += endpoint->recentSends_.at(now);
             }
         }
@@ -288,11 +288,11 @@
         return;
     }
     endpoint->slotUse_.add(urgency >= FirstLateUrgency);
-    ++endpoint->openSends_;
+    ++endpoint->openRequests_;
     endpoint->recentSends_.add(1, now);
     endpoint->queued_.add(urgency, promptTokens);
-    if (endpoint->distrustedUntil_ != TimePoint {}) {
-        endpoint->probing_ = true;
+    if (endpoint->circuitOpenUntil_ != TimePoint {}) {
+        endpoint->trialInFlight_ = true;
     }
 }
 
@@ -307,11 +307,11 @@
 void EndpointTable::onPrefillTime(const EndpointId &id, double expectedMillis, double milliseconds)
 {
     Endpoint *endpoint = find(id);
-    if (endpoint == nullptr || expectedMillis < LeastSampleMillis || milliseconds <= 0) {
+    if (endpoint == nullptr || expectedMillis < MinSampleMillis || milliseconds <= 0) {
         return;
     }
-    const double speed = std::clamp(expectedMillis / milliseconds, LeastSpeed, MostSpeed);
-    endpoint->readingSpeed_ += SpeedWeight * (speed - endpoint->readingSpeed_);
+    const double speed = std::clamp(expectedMillis / milliseconds, MinSpeed, MaxSpeed);
+    endpoint->prefillSpeed_ += SpeedSmoothing * (speed - endpoint->prefillSpeed_);
 }
 
 void EndpointTable::onClosed(const EndpointId &id, int urgency)
@@ -321,9 +321,9 @@
         return;
     }
     endpoint->slotUse_.remove(urgency >= FirstLateUrgency);
-    --endpoint->openSends_;
+    --endpoint->openRequests_;
     if (endpoint->outstanding() == 0) {
-        endpoint->probing_ = false;
+        endpoint->trialInFlight_ = false;
     }
     forgetIfDone(id);
 }
@@ -331,7 +331,7 @@
 void EndpointTable::onClosedOfEarlierLifetime(const EndpointId &id)
 {
     if (Endpoint *endpoint = find(id)) {
-        --endpoint->openSends_;
+        --endpoint->openRequests_;
         forgetIfDone(id);
     }
 }
@@ -339,10 +339,10 @@
 void EndpointTable::forgetIfDone(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
-    if (found == endpoints_.end() || found->second.isListed_ || found->second.openSends_ > 0) {
+    if (found == endpoints_.end() || found->second.isListed_ || found->second.openRequests_ > 0) {
         return;
     }
-    if (lastStarts_.size() >= RememberedStarts) {
+    if (lastStarts_.size() >= MaxRememberedStarts) {
         lastStarts_.clear(); // A late entry that comes back is found out by its first request.
     }
     if (found->second.listed_.startedAtMillis_ != 0) {
@@ -361,15 +361,15 @@
     }
 }
 
-void EndpointTable::awaitTest(Endpoint &endpoint, TimePoint testAt)
+void EndpointTable::scheduleProbe(Endpoint &endpoint, TimePoint probeAt)
 {
     if (!endpoint.awaitsProbe_) {
         endpoint.awaitsProbe_ = true;
-        endpoint.testAt_ = testAt;
+        endpoint.probeAt_ = probeAt;
     }
 }
 
-void EndpointTable::endTest(Endpoint &endpoint)
+void EndpointTable::cancelProbe(Endpoint &endpoint)
 {
     endpoint.awaitsProbe_ = false;
     endpoint.failedProbes_ = 0;
@@ -378,7 +378,7 @@
 void EndpointTable::onSuspected(const EndpointId &id, TimePoint now)
 {
     if (Endpoint *endpoint = find(id)) {
-        awaitTest(*endpoint, now);
+        scheduleProbe(*endpoint, now);
     }
 }
 
@@ -386,9 +386,9 @@
 {
     Endpoint *endpoint = find(id);
     // News is told in several notes, and by several peers: one test answers them all.
-    if (endpoint != nullptr && endpoint->soundAt_ + SoundIsFresh < now
-        && endpoint->reachedAt_ + UnreachedIsNews < now) {
-        awaitTest(*endpoint, now);
+    if (endpoint != nullptr && endpoint->healthyAt_ + MaxHealthyAge < now
+        && endpoint->probeSucceededAt_ + UnreachableReportWindow < now) {
+        scheduleProbe(*endpoint, now);
     }
 }
 
@@ -396,12 +396,12 @@
 {
     std::vector<EndpointId> due;
     for (const auto &[id, endpoint] : active_) {
-        if (endpoint->awaitsProbe_ && endpoint->isListed_ && endpoint->testAt_ <= now) {
+        if (endpoint->awaitsProbe_ && endpoint->isListed_ && endpoint->probeAt_ <= now) {
             due.push_back(id);
         }
     }
     for (const EndpointId &id : due) {
-        find(id)->testAt_ = TimePoint::max();
+        find(id)->probeAt_ = TimePoint::max();
     }
     return due;
 }
@@ -413,24 +413,24 @@
         return;
     }
     if (reached) {
-        endTest(*endpoint);
-        endpoint->reachedAt_ = now;
+        cancelProbe(*endpoint);
+        endpoint->probeSucceededAt_ = now;
         return;
     }
     ++endpoint->failedProbes_;
-    constexpr int MostDoublings = 3;
-    const Duration pause = FirstTest * (1 << std::min(endpoint->failedProbes_, MostDoublings));
-    endpoint->testAt_ = now + std::min(pause, LongestTest);
+    constexpr int MaxDoublings = 3;
+    const Duration pause = InitialProbeDelay * (1 << std::min(endpoint->failedProbes_, MaxDoublings));
+    endpoint->probeAt_ = now + std::min(pause, MaxProbeDelay);
 }
 
 std::vector<EndpointId> EndpointTable::recentlyUnreachable(TimePoint now) const
 {
     std::vector<EndpointId> found;
     for (const auto &[id, endpoint] : active_) {
-        const bool isNews = endpoint->unreachedAt_ != TimePoint {}
-                            && endpoint->unreachedAt_ + UnreachedIsNews > now
-                            && endpoint->unreachedAt_ > endpoint->soundAt_;
-        if (isNews && endpoint->isListed_) {
+        const bool isRecent = endpoint->unreachableAt_ != TimePoint {}
+                            && endpoint->unreachableAt_ + UnreachableReportWindow > now
+                            && endpoint->unreachableAt_ > endpoint->healthyAt_;
+        if (isRecent && endpoint->isListed_) {
             found.push_back(id);
         }
     }
@@ -447,41 +447,41 @@
     }
 }
 
-bool EndpointTable::onHealthSignal(const EndpointId &id, HealthSignal evidence, TimePoint now)
+bool EndpointTable::onHealthSignal(const EndpointId &id, HealthSignal signal, TimePoint now)
 {
     Endpoint *endpoint = find(id);
     if (endpoint == nullptr) {
         return false;
     }
-    const bool wasTrusted = endpoint->distrustedUntil_ == TimePoint {} && !endpoint->awaitsProbe_;
-    const EvidenceRule &rule = ruleFor(evidence);
-    endpoint->probing_ = false;
-    if (evidence == HealthSignal::Unreachable || evidence == HealthSignal::TimedOut) {
-        endpoint->unreachedAt_ = now;
+    const bool wasAvailable = endpoint->circuitOpenUntil_ == TimePoint {} && !endpoint->awaitsProbe_;
+    const HealthRule &rule = ruleFor(signal);
+    endpoint->trialInFlight_ = false;
+    if (signal == HealthSignal::Unreachable || signal == HealthSignal::TimedOut) {
+        endpoint->unreachableAt_ = now;
     }
-    if (evidence == HealthSignal::Unreachable) {
-        awaitTest(*endpoint, now + FirstTest);
-        return wasTrusted;
+    if (signal == HealthSignal::Unreachable) {
+        scheduleProbe(*endpoint, now + InitialProbeDelay);
+        return wasAvailable;
     }
-    if (evidence == HealthSignal::TimedOut) {
-        awaitTest(*endpoint, now); // Hung or gone: a connection tells in a moment.
+    if (signal == HealthSignal::TimedOut) {
+        scheduleProbe(*endpoint, now); // Hung or gone: a connection tells in a moment.
     }
-    if (evidence == HealthSignal::Healthy) {
-        endTest(*endpoint);
-        endpoint->soundAt_ = now;
+    if (signal == HealthSignal::Healthy) {
+        cancelProbe(*endpoint);
+        endpoint->healthyAt_ = now;
     }
-    if (rule.weight_ == 0) {
+    if (rule.failureWeight_ == 0) {
         endpoint->failures_ = 0;
-        endpoint->distrustedUntil_ = {};
-        return !wasTrusted;
+        endpoint->circuitOpenUntil_ = {};
+        return !wasAvailable;
     }
-    endpoint->failures_ += rule.weight_;
+    endpoint->failures_ += rule.failureWeight_;
     endpoint->recentFailures_.add(1, now);
-    if (endpoint->failures_ < rule.distrustAt_) {
+    if (endpoint->failures_ < rule.openThreshold_) {
         return false;
     }
-    endpoint->distrustedUntil_ = now + distrustFor(endpoint->failures_, rule.distrustAt_);
-    return wasTrusted;
+    endpoint->circuitOpenUntil_ = now + openTimeFor(endpoint->failures_, rule.openThreshold_);
+    return wasAvailable;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/placement.cpp
+++ b/libs/gateway/src/placement.cpp
@@ -10,35 +10,35 @@
 namespace {
 
 /** Shared parts that are remembered: some thousand subjects on a few engines each. */
-constexpr std::size_t RememberedParts = 8'192;
+constexpr std::size_t MaxIndexedParts = 8'192;
 /**
  * An engine slower than this share of the usual rate is taken for slow. The speeds of sound ones
  * differ by chance, and choosing by them would send prompts away from their cached parts.
  */
-constexpr double SlowSpeed = 0.5;
+constexpr double SlowSpeedRatio = 0.5;
 
 /** Parts that wait to be told: more than an instance sends anew between two notes. */
-constexpr std::size_t MostPartsToTell = 256;
+constexpr std::size_t MaxPendingParts = 256;
 /** Fewer tokens are read within what a measurement is off by. */
-constexpr double LeastTellingTokens = 4'000;
+constexpr double MinSampleTokens = 4'000;
 /** How much one more prompt counts for the share of unknown parts that are cached. */
-constexpr double UnknownWeight = 0.1;
+constexpr double HitRateSmoothing = 0.1;
 
 /** How long a load told by an answer says something of the queue now. */
-constexpr Duration LoadIsFresh = millis(400);
+constexpr Duration MaxLoadAge = millis(400);
 
 /**
  * Engines that may read one part: the first of its order, and another one when that one's queue is
  * long. Each copy takes a read of its own and memory from the other parts; without a bound a loaded
  * fleet copies everything everywhere and reads it again and again.
  */
-constexpr std::size_t HomesOfAPart = 2;
+constexpr std::size_t ReplicasPerPart = 2;
 
 /**
  * What reading a part again elsewhere costs beside its own time: the engine reads nothing else
  * meanwhile, and the copy pushes others out of its memory.
  */
-constexpr double ReadAgainWeight = 2;
+constexpr double RecomputePenalty = 2;
 
 bool contains(const std::vector<EndpointId> &ids, const EndpointId &id)
 {
@@ -53,35 +53,35 @@
 }
 
 /** Requests that a new one would share the endpoint with, as a share of its slots. */
-double fullness(const Endpoint &endpoint, TimePoint now)
+double utilization(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
     double busy = endpoint.outstanding();
-    if (endpoint.loadAt_ + LoadIsFresh > now) {
+    if (endpoint.loadAt_ + MaxLoadAge > now) {
         busy = std::max<double>(busy, endpoint.load_.running_ + endpoint.load_.waiting_);
     }
     return busy / slots;
 }
 
 /** The same of an engine that generates, of which the other instances tell. */
-double generatorFullness(const Endpoint &endpoint, TimePoint now)
+double decodeUtilization(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
     return std::max(static_cast<double>(endpoint.fleetSlotUse().all()) / slots,
-                    fullness(endpoint, now));
+                    utilization(endpoint, now));
 }
 
 /**
  * The endpoint that costs least. Among equals the ticket decides: in the order of their ids all
  * instances would send to the first idle one.
  */
-const Endpoint *cheapest(const std::vector<const Endpoint *> &endpoints, std::uint64_t ticket,
+const Endpoint *cheapest(const std::vector<const Endpoint *> &endpoints, std::uint64_t tieBreaker,
                          const std::function<double(const Endpoint &)> &costOf)
 {
     const Endpoint *best = nullptr;
     double bestCost = 0;
     for (std::size_t index = 0; index < endpoints.size(); ++index) {
-        const Endpoint *one = endpoints[(index + ticket) % endpoints.size()];
+        const Endpoint *one = endpoints[(index + tieBreaker) % endpoints.size()];
         const double cost = costOf(*one);
         if (best == nullptr || cost < bestCost) {
             best = one;
@@ -108,7 +108,7 @@
 } // namespace
 
 /** What one engine could do for a prompt. */
-struct Placement::Offer
+struct Placement::Estimate
 {
     const Endpoint *engine_ = nullptr;
     int urgency_ = 0;
@@ -118,7 +118,7 @@
     double millis_ = 0;         ///< Until the prompt is read.
     double cost_ = 0;           ///< The same, and what it takes from other prompts.
 
-    bool betterThan(const Offer &other) const
+    bool isCheaperThan(const Estimate &other) const
     {
         return other.engine_ == nullptr || cost_ < other.cost_;
     }
@@ -126,52 +126,52 @@
 
 Placement::Placement(PlacementSettings settings)
     : settings_(std::move(settings))
-    , memory_(RememberedParts)
+    , cacheIndex_(MaxIndexedParts)
 { }
 
 double Placement::millisPerToken(const RequestCosts &costs, const Endpoint &engine) const
 {
     double millis = costs.prefillComputeMillis(1);
-    if (engine.readingSpeed_ < SlowSpeed) {
-        millis /= engine.readingSpeed_;
+    if (engine.prefillSpeed_ < SlowSpeedRatio) {
+        millis /= engine.prefillSpeed_;
     }
-    return engine.listed_.stage_ == Stage::Prefill ? millis : millis / settings_.decodeReadShare_;
+    return engine.listed_.stage_ == Stage::Prefill ? millis : millis / settings_.decodePrefillSpeed_;
 }
 
-Placement::Offer Placement::offerOf(const Endpoint &engine, const PromptQuery &query,
-                                    bool mayHold) const
+Placement::Estimate Placement::estimateTokens(const Endpoint &engine, const PromptQuery &query,
+                                    bool mayBeCached) const
 {
     const Prompt &prompt = *query.prompt_;
-    std::int64_t cached = memory_.cachedTokens(engine.listed_, prompt);
+    std::int64_t cached = cacheIndex_.cachedTokens(engine.listed_, prompt);
     const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
-    Offer offer;
-    offer.engine_ = &engine;
-    if (mayHold && cached < shared) {
+    Estimate estimate;
+    estimate.engine_ = &engine;
+    if (mayBeCached && cached < shared) {
         // Read there before this instance was listening, or never: as often as it proved so.
-        offer.cacheHitUnknown_ = true;
-        cached += std::llround(unknownCached_ * static_cast<double>(shared - cached));
+        estimate.cacheHitUnknown_ = true;
+        cached += std::llround(unknownHitRate_ * static_cast<double>(shared - cached));
     }
-    offer.uncachedTokens_ = std::max<std::int64_t>(1, prompt.tokens_ - cached);
-    return offer;
+    estimate.uncachedTokens_ = std::max<std::int64_t>(1, prompt.tokens_ - cached);
+    return estimate;
 }
 
-Placement::Offer Placement::rank(const Endpoint &engine, const PromptQuery &query, bool mayHold,
+Placement::Estimate Placement::estimatePrefill(const Endpoint &engine, const PromptQuery &query, bool mayBeCached,
                                  int urgency) const
 {
-    Offer offer = offerOf(engine, query, mayHold);
+    Estimate estimate = estimateTokens(engine, query, mayBeCached);
     const double perToken = millisPerToken(*query.costs_, engine);
-    offer.urgency_ = urgency;
+    estimate.urgency_ = urgency;
     // All that can be in time counts as ahead, also what is less urgent: an engine reads several
     // prompts at once, and does not stop those that it has begun.
-    const int counted = urgency < FirstLateUrgency ? FirstLateUrgency - 1 : UrgencyLevels - 1;
-    offer.queuedTokens_ = engine.fleetQueuedTokens(counted);
-    offer.millis_ = query.costs_->prefillMillis(0)
-                    + perToken * static_cast<double>(offer.queuedTokens_ + offer.uncachedTokens_);
-    const std::int64_t again = offer.uncachedTokens_ - query.prompt_->ownTokens();
-    offer.cost_ =
-        offer.millis_
-        + ReadAgainWeight * perToken * static_cast<double>(std::max<std::int64_t>(0, again));
-    return offer;
+    const int maxUrgency = urgency < FirstLateUrgency ? FirstLateUrgency - 1 : UrgencyLevels - 1;
+    estimate.queuedTokens_ = engine.fleetQueuedTokens(maxUrgency);
+    estimate.millis_ = query.costs_->prefillMillis(0)
+                    + perToken * static_cast<double>(estimate.queuedTokens_ + estimate.uncachedTokens_);
+    const std::int64_t recomputed = estimate.uncachedTokens_ - query.prompt_->ownTokens();
+    estimate.cost_ =
+        estimate.millis_
+        + RecomputePenalty * perToken * static_cast<double>(std::max<std::int64_t>(0, recomputed));
+    return estimate;
 }
 
 Placement::Candidates Placement::candidates(const EndpointTable &table, const PromptQuery &query,
@@ -190,29 +190,29 @@
 }
 
 /** The first ones of the order that read prompts. */
-std::vector<const Endpoint *> Placement::homesAmong(const Candidates &engines)
+std::vector<const Endpoint *> Placement::replicaEngines(const Candidates &engines)
 {
-    Candidates homes;
+    Candidates replicas;
     for (const Candidate &one : engines) {
         if (one.engine_->listed_.stage_ != Stage::Prefill) {
             continue;
         }
-        const auto place = std::find_if(homes.begin(), homes.end(), [&](const Candidate &home) {
-            return home.weight_ < one.weight_;
+        const auto place = std::find_if(replicas.begin(), replicas.end(), [&](const Candidate &replica) {
+            return replica.weight_ < one.weight_;
         });
-        if (place != homes.end() || homes.size() < HomesOfAPart) {
-            homes.insert(place, one);
-            homes.resize(std::min(homes.size(), HomesOfAPart));
+        if (place != replicas.end() || replicas.size() < ReplicasPerPart) {
+            replicas.insert(place, one);
+            replicas.resize(std::min(replicas.size(), ReplicasPerPart));
         }
     }
     std::vector<const Endpoint *> found;
-    std::transform(homes.begin(), homes.end(), std::back_inserter(found),
-                   [](const Candidate &home) { return home.engine_; });
+    std::transform(replicas.begin(), replicas.end(), std::back_inserter(found),
+                   [](const Candidate &replica) { return replica.engine_; });
     return found;
 }
 
 /** The first one of the order that generates; null: there is none. */
-const Endpoint *Placement::firstGenerator(const Candidates &engines)
+const Endpoint *Placement::firstDecodeEngine(const Candidates &engines)
 {
     Candidate first;
     for (const Candidate &one : engines) {
@@ -224,78 +224,78 @@
     return first.engine_;
 }
 
-Placement::Offer Placement::bestReader(const Candidates &engines, const PromptQuery &query,
+Placement::Estimate Placement::bestPrefillEngine(const Candidates &engines, const PromptQuery &query,
                                        TimePoint now) const
 {
-    const std::vector<const Endpoint *> homes = homesAmong(engines);
+    const std::vector<const Endpoint *> replicas = replicaEngines(engines);
     const PromptPart *leading = leadingPart(*query.prompt_);
     const bool known =
-        leading == nullptr || std::any_of(homes.begin(), homes.end(), [&](const Endpoint *home) {
-            return memory_.holds(home->listed_, leading->id_);
+        leading == nullptr || std::any_of(replicas.begin(), replicas.end(), [&](const Endpoint *replica) {
+            return cacheIndex_.holds(replica->listed_, leading->id_);
         });
     const auto bestAt = [&](int urgency) {
-        Offer best;
-        for (const Endpoint *home : homes) {
-            const bool mayHold = !known && home == homes.front();
-            const Offer offer = rank(*home, query, mayHold, urgency);
-            if (offer.betterThan(best)) {
-                best = offer;
+        Estimate best;
+        for (const Endpoint *replica : replicas) {
+            const bool mayBeCached = !known && replica == replicas.front();
+            const Estimate estimate = estimatePrefill(*replica, query, mayBeCached, urgency);
+            if (estimate.isCheaperThan(best)) {
+                best = estimate;
             }
         }
         return best;
     };
     const int inTime = std::clamp(query.priority_, 0, FirstLateUrgency - 1);
-    const Offer best = bestAt(inTime);
-    const auto left = static_cast<double>(toMillis(query.firstEventDeadline_ - now) - settings_.handoverMillis_)
+    const Estimate best = bestAt(inTime);
+    const auto budgetMillis = static_cast<double>(toMillis(query.firstEventDeadline_ - now) - settings_.handoverMillis_)
                       - query.slotWaitMillis_;
-    return best.engine_ == nullptr || best.millis_ <= left ? best : bestAt(FirstLateUrgency + inTime);
+    return best.engine_ == nullptr || best.millis_ <= budgetMillis ? best : bestAt(FirstLateUrgency + inTime);
 }
 
-Placement::Offer Placement::bestGenerator(const Candidates &engines, const PromptQuery &query) const
+Placement::Estimate Placement::bestInPlaceEngine(const Candidates &engines, const PromptQuery &query) const
 {
-    Offer best;
-    std::uint64_t weightOfBest = 0;
+    Estimate best;
+    std::uint64_t bestWeight = 0;
     for (const auto &[weight, engine] : engines) {
         if (engine->listed_.stage_ == Stage::Prefill) {
             continue;
         }
-        const Offer offer =
-            rank(*engine, query, false, std::clamp(query.priority_, 0, FirstLateUrgency - 1));
-        const bool isFirstOfEqual = offer.cost_ == best.cost_ && weight > weightOfBest;
-        if (offer.betterThan(best) || isFirstOfEqual) {
-            best = offer;
-            weightOfBest = weight;
+        const Estimate estimate =
+            estimatePrefill(*engine, query, false, std::clamp(query.priority_, 0, FirstLateUrgency - 1));
+        const bool isFirstOfEqual = estimate.cost_ == best.cost_ && weight > bestWeight;
+        if (estimate.isCheaperThan(best) || isFirstOfEqual) {
+            best = estimate;
+            bestWeight = weight;
         }
     }
     return best;
 }
 
-const Endpoint *Placement::partsSource(const Candidates &engines, const Endpoint &reader,
+const Endpoint *Placement::cacheCopySource(const Candidates &engines, const Endpoint &reader,
                                        const Prompt &prompt, TimePoint now) const
 {
     // What was sent to be read a moment ago is not there yet.
-    constexpr Duration ReadBy = millis(1'500);
+    constexpr Duration MinCacheAge = millis(1'500);
     // Fewer tokens are read about as fast as a copy is set up.
-    constexpr std::int64_t LeastTokens = 1'000;
+    constexpr std::int64_t MinCopiedTokens = 1'000;
     const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
-    const std::int64_t least = memory_.cachedTokens(reader.listed_, prompt) + LeastTokens;
-    if (least >= shared) {
+    const std::int64_t minTokens = cacheIndex_.cachedTokens(reader.listed_, prompt) + MinCopiedTokens;
+    if (minTokens >= shared) {
         return nullptr; // Most prompts: their shared parts are there, or are short.
     }
     // The most tokens, then the reader's own failure domain, then the order.
     using Rank = std::tuple<std::int64_t, bool, std::uint64_t>;
     const Endpoint *best = nullptr;
-    Rank rankOfBest;
+    Rank bestRank;
     for (const auto &[weight, engine] : engines) {
         const std::int64_t kept =
-            std::min(shared, memory_.cachedTokens(engine->listed_, prompt, now - ReadBy));
-        if (engine == &reader || kept <= least) {
+            std::min(shared, cacheIndex_.cachedTokens(engine->listed_, prompt, now - MinCacheAge));
+        if (engine == &reader || kept <= minTokens) {
             continue;
         }
-        const Rank rank {kept, engine->listed_.domain_ == reader.listed_.domain_, weight};
-        if (best == nullptr || rank > rankOfBest) {
+        const Rank engineRank {kept, engine->listed_.domain_ == reader.listed_.domain_, weight};
+        if (best == nullptr || engineRank > bestRank) {
             best = engine;
-            rankOfBest = rank;
+            bestRank = engineRank;
         }
     }
     return best;
@@ -305,50 +305,50 @@
                                                 const PromptQuery &query, TimePoint now) const
 {
     const Candidates engines = candidates(table, query, now);
-    const Endpoint *generator = firstGenerator(engines);
-    if (generator == nullptr) {
+    const Endpoint *decodeEngine = firstDecodeEngine(engines);
+    if (decodeEngine == nullptr) {
         return std::nullopt;
     }
-    const Offer reader = bestReader(engines, query, now);
+    const Estimate reader = bestPrefillEngine(engines, query, now);
     const bool isInPlace = query.prefillInPlace_ || reader.engine_ == nullptr;
-    const Offer inPlace = isInPlace ? bestGenerator(engines, query) : Offer();
-    const Offer &reads = reader.engine_ != nullptr ? reader : inPlace;
+    const Estimate inPlace = isInPlace ? bestInPlaceEngine(engines, query) : Estimate();
+    const Estimate &prefill = reader.engine_ != nullptr ? reader : inPlace;
     PromptPlan plan;
     if (reader.engine_ != nullptr) {
         plan.prefill_ = reader.engine_->listed_.id_;
     }
-    plan.decode_ = (isInPlace ? inPlace.engine_ : generator)->listed_.id_;
-    plan.urgency_ = reads.urgency_;
-    plan.uncachedTokens_ = reads.uncachedTokens_;
-    plan.queuedTokens_ = reads.queuedTokens_;
-    plan.cacheHitUnknown_ = reads.cacheHitUnknown_;
-    const Endpoint *source = partsSource(engines, *reads.engine_, *query.prompt_, now);
+    plan.decode_ = (isInPlace ? inPlace.engine_ : decodeEngine)->listed_.id_;
+    plan.urgency_ = prefill.urgency_;
+    plan.uncachedTokens_ = prefill.uncachedTokens_;
+    plan.queuedTokens_ = prefill.queuedTokens_;
+    plan.cacheHitUnknown_ = prefill.cacheHitUnknown_;
+    const Endpoint *source = cacheCopySource(engines, *prefill.engine_, *query.prompt_, now);
     if (source != nullptr) {
         plan.copyFrom_ = source->listed_.id_;
     }
-    plan.prefillMillis_ = reads.millis_;
+    plan.prefillMillis_ = prefill.millis_;
     return plan;
 }
 
 std::optional<DecodeChoice> Placement::chooseDecodeEngine(const EndpointTable &table,
                                                           const DecodeQuery &query,
-                                                          std::uint64_t ticket, TimePoint now) const
+                                                          std::uint64_t tieBreaker, TimePoint now) const
 {
     // Moving a prompt between failure domains takes twice as long and is dearer: another domain's
     // engine is taken when ours is fuller by a quarter of its slots.
-    constexpr double OtherDomainCost = 0.25;
+    constexpr double CrossDomainPenalty = 0.25;
     // Prompts that wait for their first event there count like a full engine from this wait on,
     // in milliseconds: an engine whose links are slow has few requests, and each takes a second.
-    constexpr double WaitOfAFullEngine = 100;
+    constexpr double FullEngineWaitMillis = 100;
     std::vector<const Endpoint *> engines = table.usable(query.service_, now);
     removeExcluded(engines, query.excluded_);
     std::erase_if(engines,
                   [](const Endpoint *one) { return one->listed_.stage_ == Stage::Prefill; });
-    const Endpoint *best = cheapest(engines, ticket, [&](const Endpoint &one) {
+    const Endpoint *best = cheapest(engines, tieBreaker, [&](const Endpoint &one) {
         const double waitMillis =
             static_cast<double>(one.fleetQueuedTokens()) * millisPerToken(*query.costs_, one);
-        return generatorFullness(one, now) + waitMillis / WaitOfAFullEngine
-               + (one.listed_.domain_ == query.source_ ? 0 : OtherDomainCost);
+        return decodeUtilization(one, now) + waitMillis / FullEngineWaitMillis
+               + (one.listed_.domain_ == query.source_ ? 0 : CrossDomainPenalty);
     });
     if (best == nullptr) {
         return std::nullopt;
@@ -366,12 +366,12 @@
 {
     // An engine that is full answers every request with its load; one that has not been heard of
     // for this long gets few, as far as this instance can know.
-    constexpr Duration WordHolds = millis(2'000);
+    constexpr Duration MaxFullLoadAge = millis(2'000);
     std::vector<const Endpoint *> engines = table.usable(service, now);
     removeExcluded(engines, excluded);
     return std::any_of(engines.begin(), engines.end(), [&](const Endpoint *engine) {
         const LoadSample &load = engine->load_;
-        const bool full = engine->loadAt_ + WordHolds > now && load.slots_ > 0
+        const bool full = engine->loadAt_ + MaxFullLoadAge > now && load.slots_ > 0
                           && load.running_ + load.waiting_ >= load.slots_;
         return engine->listed_.stage_ != Stage::Prefill && !full
                && engine->outstanding() < engine->listed_.slots_;
@@ -381,45 +381,45 @@
 std::optional<EndpointId> Placement::chooseService(const EndpointTable &table,
                                                    const ServiceId &service,
                                                    const std::vector<EndpointId> &excluded,
-                                                   std::uint64_t ticket, TimePoint now) const
+                                                   std::uint64_t tieBreaker, TimePoint now) const
 {
     // A call is short: half a slot's difference is worth the way into another failure domain.
-    constexpr double OtherDomainCost = 0.1;
+    constexpr double CrossDomainPenalty = 0.1;
     std::vector<const Endpoint *> endpoints = table.usable(service, now);
     removeExcluded(endpoints, excluded);
-    const Endpoint *best = cheapest(endpoints, ticket, [&](const Endpoint &one) {
-        return fullness(one, now)
-               + (one.listed_.domain_ == settings_.domain_ ? 0 : OtherDomainCost);
+    const Endpoint *best = cheapest(endpoints, tieBreaker, [&](const Endpoint &one) {
+        return utilization(one, now)
+               + (one.listed_.domain_ == settings_.domain_ ? 0 : CrossDomainPenalty);
     });
     return best != nullptr ? std::optional(best->listed_.id_) : std::nullopt;
 }
 
-std::optional<QuietChoice> Placement::chooseLeastLoaded(const EndpointTable &table,
+std::optional<LeastLoadedChoice> Placement::chooseLeastLoaded(const EndpointTable &table,
                                                      const ServiceId &service,
                                                      const std::vector<EndpointId> &excluded,
-                                                     std::uint64_t ticket, TimePoint now) const
+                                                     std::uint64_t tieBreaker, TimePoint now) const
 {
-    const auto onlyReads = [](const Endpoint *one) {
+    const auto isPrefillOnly = [](const Endpoint *one) {
         return one->listed_.stage_ == Stage::Prefill;
     };
     std::vector<const Endpoint *> listed = table.listed(service);
-    std::erase_if(listed, onlyReads);
-    std::vector<const Endpoint *> serving = table.usable(service, now);
-    std::erase_if(serving, onlyReads);
-    const bool last = serving.size() == 1 && listed.size() > 1;
-    removeExcluded(serving, excluded);
-    const Endpoint *best = cheapest(serving, ticket, [&](const Endpoint &one) {
-        return generatorFullness(one, now) * std::max(1, one.listed_.slots_);
+    std::erase_if(listed, isPrefillOnly);
+    std::vector<const Endpoint *> usableEngines = table.usable(service, now);
+    std::erase_if(usableEngines, isPrefillOnly);
+    const bool last = usableEngines.size() == 1 && listed.size() > 1;
+    removeExcluded(usableEngines, excluded);
+    const Endpoint *best = cheapest(usableEngines, tieBreaker, [&](const Endpoint &one) {
+        return decodeUtilization(one, now) * std::max(1, one.listed_.slots_);
     });
-    return best != nullptr ? std::optional(QuietChoice {best->listed_.id_, last}) : std::nullopt;
+    return best != nullptr ? std::optional(LeastLoadedChoice {best->listed_.id_, last}) : std::nullopt;
 }
 
 std::int64_t Placement::handoverTokens(const Prompt &prompt)
 {
     // Moving a prompt of some thousand tokens and its first step take as long as reading a
     // sixteenth of them where it is generated.
-    constexpr std::int64_t MovedPerRead = 16;
-    return prompt.tokens_ / MovedPerRead;
+    constexpr std::int64_t TransferSpeedup = 16;
+    return prompt.tokens_ / TransferSpeedup;
 }
 
 void Placement::onPromptSent(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now)
@@ -427,8 +427,8 @@
     for (std::size_t index = 0; index < prompt.parts_.size(); ++index) {
         const PromptCacheIndex::Key key = PromptCacheIndex::keyOf(engine, prompt.parts_[index].id_);
         const bool shared = index + 1 < prompt.parts_.size();
-        if (memory_.remember(key, now) && shared && readParts_.size() < MostPartsToTell) {
-            readParts_.push_back(key);
+        if (cacheIndex_.insert(key, now) && shared && newCachedParts_.size() < MaxPendingParts) {
+            newCachedParts_.push_back(key);
         }
     }
 }
@@ -436,7 +436,7 @@
 void Placement::onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts, TimePoint now)
 {
     for (const PromptCacheIndex::Key part : parts) {
-        memory_.remember(part, now);
+        cacheIndex_.insert(part, now);
     }
 }
 
@@ -444,13 +444,13 @@
                               const Prompt &prompt, std::int64_t aheadTokens, double milliseconds)
 {
     const auto shared = static_cast<double>(prompt.tokens_ - prompt.ownTokens());
-    if (shared < LeastTellingTokens) {
+    if (shared < MinSampleTokens) {
         return;
     }
     const double read = (milliseconds - costs.prefillMillis(0)) / millisPerToken(costs, engine)
                         - static_cast<double>(aheadTokens + prompt.ownTokens());
     const double cached = read < shared / 2 ? 1 : 0;
-    unknownCached_ += UnknownWeight * (cached - unknownCached_);
+    unknownHitRate_ += HitRateSmoothing * (cached - unknownHitRate_);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/promptcacheindex.cpp
+++ b/libs/gateway/src/promptcacheindex.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 /** FNV-1a, so that all instances and builds agree on it. */
-std::uint64_t stableHash(std::string_view text)
+std::uint64_t fnv1aHash(std::string_view text)
 {
     std::uint64_t hash = 14'695'981'039'346'656'037ULL;
     for (const char letter : text) {
@@ -33,7 +33,7 @@
 
 std::uint64_t nameHash(std::string_view name)
 {
-    return stableHash(name);
+    return fnv1aHash(name);
 }
 
 std::uint64_t rendezvousWeight(std::uint64_t nameHash, std::uint64_t key)
@@ -51,18 +51,18 @@
     return rendezvousWeight(engine.id_.value(), part ^ mix(start));
 }
 
-bool PromptCacheIndex::remember(Key key, TimePoint now)
+bool PromptCacheIndex::insert(Key key, TimePoint now)
 {
     const auto found = entries_.find(key);
     if (found != entries_.end()) {
-        byUse_.splice(byUse_.begin(), byUse_, found->second.use_);
+        lruOrder_.splice(lruOrder_.begin(), lruOrder_, found->second.lruPosition_);
         return false;
     }
-    byUse_.push_front(key);
-    entries_.emplace(key, Entry {byUse_.begin(), now});
+    lruOrder_.push_front(key);
+    entries_.emplace(key, Entry {lruOrder_.begin(), now});
     if (entries_.size() > capacity_) {
-        entries_.erase(byUse_.back());
-        byUse_.pop_back();
+        entries_.erase(lruOrder_.back());
+        lruOrder_.pop_back();
     }
     return true;
 }
@@ -83,7 +83,7 @@
     std::int64_t tokens = 0;
     for (const PromptPart &part : prompt.parts_) {
         const auto found = entries_.find(keyOf(engine, part.id_));
-        if (found == entries_.end() || found->second.since_ >= before) {
+        if (found == entries_.end() || found->second.insertedAt_ >= before) {
             break;
         }
         tokens += part.tokens_;
--- a/libs/gateway/tests/crashevidencetest.cpp
+++ b/libs/gateway/tests/crashevidencetest.cpp
@@ -47,10 +47,10 @@
 BOOST_AUTO_TEST_CASE(oneEndCountsOnce)
 {
     CrashEvidence evidence;
-    for (std::int64_t told = 0; told < 5; ++told) {
-        const TimePoint now = Start + millis(told * 700);
+    for (std::int64_t age = 0; age < 5; ++age) {
+        const TimePoint now = Start + millis(age * 700);
         evidence.onUpdate(
-            {{{static_cast<CrashKey>(1), static_cast<CrashGroup>(1), 12, told * 700, {request(7)}}},
+            {{{static_cast<CrashKey>(1), static_cast<CrashGroup>(1), 12, age * 700, {request(7)}}},
              {},
              {}},
             now);
@@ -98,7 +98,7 @@
     }
     const Duration first = evidence.assess(request(7), last).quarantinedUntil_ - last;
     const TimePoint later = last + first;
-    evidence.forgetOld(later);
+    evidence.removeExpired(later);
     BOOST_TEST((evidence.assess(request(7), later).level_ == Suspicion::HalfOpen));
     evidence.onCrash(crashOf(4, later), {request(7)}, later);
     const Assessment again = evidence.assess(request(7), later);
@@ -186,7 +186,7 @@
 /** A flood of unique requests in crashes: memory is bounded, and what was seen twice stays. */
 BOOST_AUTO_TEST_CASE(aFloodOfSuspectsDropsTheLeastSuspicious)
 {
-    constexpr std::size_t MostSuspects = 4'096;
+    constexpr std::size_t MaxSuspects = 4'096;
     constexpr std::uint64_t Crashes = 400;
     CrashEvidence evidence;
     const RequestKey guilty = request(1);
@@ -203,7 +203,7 @@
             inFlight.push_back(guilty);
         }
         evidence.onCrash(crashOf(crash, now, 140), inFlight, now);
-        BOOST_REQUIRE(evidence.suspects() <= MostSuspects);
+        BOOST_REQUIRE(evidence.suspects() <= MaxSuspects);
     }
     BOOST_TEST(evidence.assess(guilty, now).crashes_ == 3);
 }
--- a/libs/gateway/tests/crashgossiptest.cpp
+++ b/libs/gateway/tests/crashgossiptest.cpp
@@ -21,7 +21,7 @@
     return {static_cast<CrashKey>(number), static_cast<CrashGroup>(1), groupSize, at};
 }
 /** Until all instances in touch must know a request that has ended its third endpoint. */
-constexpr Duration KnownWithin = millis(3'000);
+constexpr Duration ConvergenceBound = millis(3'000);
 
 /** Instances that tell each other by datagrams, some of which are lost, late or come twice. */
 class Fleet
@@ -81,20 +81,20 @@
         });
     }
 
-    void cutOff(const std::set<int> &instances)
+    void partition(const std::set<int> &instances)
     {
-        cut_.clear();
+        partitioned_.clear();
         for (const int index : instances) {
-            cut_.insert(ids_.at(static_cast<std::size_t>(index)));
+            partitioned_.insert(ids_.at(static_cast<std::size_t>(index)));
         }
     }
     void kill(int index) { dead_.insert(ids_.at(static_cast<std::size_t>(index))); }
 
     TimePoint now_ = Start;
-    double lost_ = 0;
-    double repeated_ = 0;
-    std::int64_t latestMillis_ = 20;
-    std::size_t greatestDatagram_ = 0;
+    double lossRate_ = 0;
+    double duplicateRate_ = 0;
+    std::int64_t maxDelayMillis_ = 20;
+    std::size_t maxDatagramBytes_ = 0;
     std::size_t bytes_ = 0;
 
 private:
@@ -109,24 +109,24 @@
     void send(const InstanceId &from, const std::vector<MeshDatagram> &datagrams)
     {
         for (const MeshDatagram &datagram : datagrams) {
-            greatestDatagram_ = std::max(greatestDatagram_, datagram.bytes_.size());
+            maxDatagramBytes_ = std::max(maxDatagramBytes_, datagram.bytes_.size());
             bytes_ += datagram.bytes_.size();
-            if (cut_.contains(from) != cut_.contains(datagram.to_) || happens(lost_)) {
+            if (partitioned_.contains(from) != partitioned_.contains(datagram.to_) || happens(lossRate_)) {
                 continue;
             }
-            const int copies = happens(repeated_) ? 2 : 1;
+            const int copies = happens(duplicateRate_) ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                std::uniform_int_distribution<std::int64_t> delay(1, latestMillis_);
-                onTheirWay_.emplace(now_ + millis(delay(random_)), datagram);
+                std::uniform_int_distribution<std::int64_t> delay(1, maxDelayMillis_);
+                inTransit_.emplace(now_ + millis(delay(random_)), datagram);
             }
         }
     }
 
     void deliver()
     {
-        while (!onTheirWay_.empty() && onTheirWay_.begin()->first <= now_) {
-            const MeshDatagram datagram = onTheirWay_.begin()->second;
-            onTheirWay_.erase(onTheirWay_.begin());
+        while (!inTransit_.empty() && inTransit_.begin()->first <= now_) {
+            const MeshDatagram datagram = inTransit_.begin()->second;
+            inTransit_.erase(inTransit_.begin());
             if (!dead_.contains(datagram.to_)) {
                 std::vector<MeshDatagram> answers;
                 const Reception taken =
@@ -140,8 +140,8 @@
     std::mt19937_64 random_;
     std::vector<InstanceId> ids_;
     std::map<InstanceId, Member> members_;
-    std::multimap<TimePoint, MeshDatagram> onTheirWay_;
-    std::set<InstanceId> cut_;
+    std::multimap<TimePoint, MeshDatagram> inTransit_;
+    std::set<InstanceId> partitioned_;
     std::set<InstanceId> dead_;
 };
 
@@ -162,7 +162,7 @@
                     {request(7), request(static_cast<std::uint64_t>(crash) + 100)}, fleet.now_);
                 fleet.runUntil(fleet.now_ + millis(500));
             }
-            fleet.runUntil(fleet.now_ - millis(500) + KnownWithin);
+            fleet.runUntil(fleet.now_ - millis(500) + ConvergenceBound);
             BOOST_TEST(fleet.allQuarantine(request(7)), size << " instances, seed " << seed);
             BOOST_TEST(fleet.noneRefuses(request(100)));
         }
@@ -175,16 +175,16 @@
     for (const int size : {9, 195}) {
         for (std::uint64_t seed = 0; seed < 5; ++seed) {
             Fleet fleet(size, seed);
-            fleet.lost_ = 0.2;
-            fleet.repeated_ = 0.3;
-            fleet.latestMillis_ = 400;
+            fleet.lossRate_ = 0.2;
+            fleet.duplicateRate_ = 0.3;
+            fleet.maxDelayMillis_ = 400;
             fleet.runUntil(Start + millis(6'000));
             for (int crash = 0; crash < 3; ++crash) {
                 fleet.at(crash).onCrash(crashOf(static_cast<std::uint64_t>(crash) + 1, fleet.now_),
                                         {request(7)}, fleet.now_);
                 fleet.runUntil(fleet.now_ + millis(1'000));
             }
-            fleet.runUntil(fleet.now_ - millis(1'000) + KnownWithin);
+            fleet.runUntil(fleet.now_ - millis(1'000) + ConvergenceBound);
             BOOST_TEST(fleet.allQuarantine(request(7)), size << " instances, seed " << seed);
         }
     }
@@ -204,9 +204,9 @@
                 fleet.kill(0);
             }
         }
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         fleet.restart(40);
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         BOOST_TEST(fleet.allQuarantine(request(7)));
     }
 }
@@ -221,15 +221,15 @@
         for (int index = 0; index < 26; ++index) {
             domain.insert(index);
         }
-        fleet.cutOff(domain);
+        fleet.partition(domain);
         for (const int witness : {0, 40, 60}) {
             fleet.at(witness).onCrash(crashOf(static_cast<std::uint64_t>(witness) + 1, fleet.now_),
                                       {request(7)}, fleet.now_);
             fleet.runUntil(fleet.now_ + millis(2'000));
         }
         BOOST_TEST(!fleet.allQuarantine(request(7)));
-        fleet.cutOff({});
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.partition({});
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         BOOST_TEST(fleet.allQuarantine(request(7)));
     }
 }
@@ -243,10 +243,10 @@
         fleet.at(crash).onCrash(crashOf(static_cast<std::uint64_t>(crash) + 1, fleet.now_),
                                 {request(7)}, fleet.now_);
     }
-    fleet.runUntil(fleet.now_ + KnownWithin);
+    fleet.runUntil(fleet.now_ + ConvergenceBound);
     BOOST_TEST(fleet.allQuarantine(request(7)));
     fleet.at(50).onCompleted(request(7), fleet.now_);
-    fleet.runUntil(fleet.now_ + KnownWithin);
+    fleet.runUntil(fleet.now_ + ConvergenceBound);
     BOOST_TEST(fleet.noneRefuses(request(7)));
 }
 
@@ -274,11 +274,11 @@
         for (std::uint64_t crash = 1; crash <= 2; ++crash) {
             fleet.at(1).onCrash(crashOf(crash, fleet.now_), {request(7)}, fleet.now_);
         }
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         fleet.at(2).onCompleted(request(7), fleet.now_);
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         const std::size_t before = fleet.bytes_;
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         BOOST_TEST(fleet.bytes_ == before);
     }
 }
@@ -289,7 +289,7 @@
 {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
         Fleet fleet(80, seed);
-        fleet.lost_ = 0.1;
+        fleet.lossRate_ = 0.1;
         fleet.runUntil(Start + millis(6'000));
         for (int index = 0; index < 80; index += 7) {
             fleet.at(index).acquireLease(
@@ -326,25 +326,25 @@
             .onCrash(crashOf(crash, fleet.now_, 140), inFlight, fleet.now_);
     }
     fleet.runUntil(fleet.now_ + millis(10'000));
-    BOOST_TEST(fleet.greatestDatagram_ <= Packet);
-    const std::size_t ofAnInstance = (fleet.bytes_ - before) / Instances;
-    BOOST_TEST(ofAnInstance < 60'000U);
+    BOOST_TEST(fleet.maxDatagramBytes_ <= Packet);
+    const std::size_t bytesPerInstance = (fleet.bytes_ - before) / Instances;
+    BOOST_TEST(bytesPerInstance < 60'000U);
 }
 
 /** Anybody may send datagrams: what cannot be is dropped whole. */
 BOOST_AUTO_TEST_CASE(unreadableNewsIsDropped)
 {
     CrashMessage message {InstanceId("a"), false, {}};
-    message.news_.crashes_.push_back(
+    message.update_.crashes_.push_back(
         {static_cast<CrashKey>(1), static_cast<CrashGroup>(2), 3, 4, {request(5)}});
-    message.news_.cleared_.push_back({request(6), 7});
-    message.news_.leases_.push_back({request(8), 9, 10});
+    message.update_.cleared_.push_back({request(6), 7});
+    message.update_.leases_.push_back({request(8), 9, 10});
     const std::string whole = encodeCrashMessage(message);
     const auto read = decodeCrashMessage(whole);
     BOOST_REQUIRE(read.has_value());
-    BOOST_TEST(read->news_.crashes_.front().inFlight_.size() == 1);
-    BOOST_TEST(read->news_.cleared_.front().ageMillis_ == 7);
-    BOOST_TEST(read->news_.leases_.front().holder_ == 9);
+    BOOST_TEST(read->update_.crashes_.front().inFlight_.size() == 1);
+    BOOST_TEST(read->update_.cleared_.front().ageMillis_ == 7);
+    BOOST_TEST(read->update_.leases_.front().holder_ == 9);
     for (std::size_t length = 0; length < whole.size(); ++length) {
         BOOST_TEST(!decodeCrashMessage(whole.substr(0, length)).has_value());
     }
@@ -354,7 +354,7 @@
         bytes[1 + random() % (bytes.size() - 1)] = static_cast<char>(random());
         decodeCrashMessage(bytes); // Whatever it reads, it returns.
     }
-    message.news_.crashes_.front().groupSize_ = 0;
+    message.update_.crashes_.front().groupSize_ = 0;
     BOOST_TEST(!decodeCrashMessage(encodeCrashMessage(message)).has_value());
 }
 
--- a/libs/gateway/tests/endpointtest.cpp
+++ b/libs/gateway/tests/endpointtest.cpp
@@ -31,11 +31,11 @@
     table.deactivateIdle(at(0));
     BOOST_TEST(table.active().empty());
     const EndpointId busy("engine-1");
-    const EndpointId away("engine-2");
-    const EndpointId told("engine-3");
+    const EndpointId unreachable("engine-2");
+    const EndpointId reported("engine-3");
     table.onSent(busy, 0, 100, at(0));
-    table.onHealthSignal(away, HealthSignal::Unreachable, at(0));
-    table.find(told)->peerSlotUse_.add(false);
+    table.onHealthSignal(unreachable, HealthSignal::Unreachable, at(0));
+    table.find(reported)->peerSlotUse_.add(false);
     table.deactivateIdle(at(1));
     BOOST_TEST(table.active().size() == 3U);
     BOOST_TEST(table.recentlyUnreachable(at(1)).size() == 1U);
@@ -43,8 +43,8 @@
 
     table.onPrefilled(busy, 0, 100);
     table.onClosed(busy, 0);
-    table.onProbed(away, true, at(1'100));
-    table.find(told)->peerSlotUse_.remove(false);
+    table.onProbed(unreachable, true, at(1'100));
+    table.find(reported)->peerSlotUse_.remove(false);
     table.deactivateIdle(at(20'000));
     BOOST_TEST(table.active().empty());
 }
@@ -144,17 +144,17 @@
     const EndpointId id("engine-0");
     BOOST_TEST(table.onHealthSignal(id, HealthSignal::Unreachable, at(0)));
     BOOST_TEST(table.takeDueProbes(at(100)).empty());
-    std::vector<int> triedAt;
+    std::vector<int> probedAt;
     for (int now = 0; now < 6'000; now += 50) {
         BOOST_TEST(table.usable(Models, at(now)).size() == 1U);
         for (const EndpointId &due : table.takeDueProbes(at(now))) {
             BOOST_TEST((due == id));
-            triedAt.push_back(now);
+            probedAt.push_back(now);
             table.onProbed(id, false, at(now));
         }
     }
-    BOOST_TEST(triedAt.size() >= 5U);
-    BOOST_TEST(triedAt.size() <= 8U);
+    BOOST_TEST(probedAt.size() >= 5U);
+    BOOST_TEST(probedAt.size() <= 8U);
     table.takeDueProbes(at(9'000));
     table.onProbed(id, true, at(9'000));
     BOOST_TEST(table.usable(Models, at(9'000)).size() == 2U);
