--- a/libs/gateway/include/almondridge/gateway/placement.h
+++ b/libs/gateway/include/almondridge/gateway/placement.h
@@ -1,10 +1,11 @@
 /**
- * Which endpoint gets a request. Pure: the endpoints, what is known of cached prompts and the
- * time go in.
+ * Chooses the endpoint for each request. No I/O and no clock: the endpoint table, the index of
+ * cached prompt parts and the current time are inputs.
  *
- * Prompts go where their shared parts were read before: each part has an order of engines by
- * rendezvous hash that all instances work out alike without talking, and the first trusted engine
- * of that order reads it, unless its queue makes reading the part again elsewhere quicker.
+ * Prompts are routed by prefix affinity. A rendezvous hash ranks the prefill engines for each
+ * shared prompt part, so that all instances compute the same ranking without coordination. The
+ * first usable engine of the ranking prefills the part, unless its queue is so long that computing
+ * the part again on another engine is faster.
  */
 #pragma once
 
@@ -22,61 +23,65 @@
 
 struct PlacementSettings
 {
-    DomainId domain_; ///< This instance's own.
-    /** What generating engines read, against engines that only read. */
+    DomainId domain_; ///< Failure domain of this instance.
+    /** Prefill speed of an engine that also decodes, relative to one that only prefills. */
     double decodePrefillSpeed_ = 0.5;
-    /** From a read prompt to its first event at the caller: the hand-over and the first step. */
+    /** Time from the end of the prefill to the first event at the caller: the transfer of the
+     * prompt to the decode engine and the first decode step. */
     std::int64_t handoverMillis_ = 30;
 };
 
-/** How a prompt is to be served. */
+/** Where and how a prompt is served. */
 struct PromptPlan
 {
-    std::optional<EndpointId> prefill_; ///< Empty: read where it is generated.
+    std::optional<EndpointId> prefill_; ///< Empty: the decode engine prefills the prompt itself.
     EndpointId decode_;
     int urgency_ = 0;
-    std::int64_t uncachedTokens_ = 0;         ///< To be read where it is read first.
-    std::int64_t queuedTokens_ = 0;       ///< What is read there before it.
-    bool cacheHitUnknown_ = false;          ///< Whether its shared parts are cached there is a guess.
-    std::optional<EndpointId> copyFrom_; ///< Has shared parts cached that the reader lacks.
-    double prefillMillis_ = 0;              ///< Estimate until it is read, queue included.
+    std::int64_t uncachedTokens_ = 0; ///< Estimated prompt tokens that are not in the cache of the
+                                      ///< engine that prefills.
+    std::int64_t queuedTokens_ = 0;   ///< Prompt tokens queued there ahead of this prompt.
+    bool cacheHitUnknown_ = false;    ///< The index doesn't know whether the shared parts are
+                                      ///< cached there; uncachedTokens_ uses a learned hit rate.
+    std::optional<EndpointId> copyFrom_; ///< Engine to copy cached shared parts from that the
+                                         ///< prefilling engine lacks.
+    double prefillMillis_ = 0; ///< Estimated time until the prefill ends, including the queue.
 };
 
-/** What is asked of a placement. */
+/** Input of Placement::planPrompt(). */
 struct PromptQuery
 {
     ServiceId service_;
     const Prompt *prompt_ = nullptr;
-    int priority_ = 0;    ///< Of its route; 0 is the most urgent.
-    TimePoint firstEventDeadline_ {}; ///< The first event is in time until then.
+    int priority_ = 0;                ///< Priority of the route; 0 is the most urgent.
+    TimePoint firstEventDeadline_ {}; ///< The request is late if its first event comes after this.
     std::vector<EndpointId> excluded_ {};
-    const RequestCosts *costs_ = &RequestCosts::assumed(); ///< Of the service's requests.
-    double slotWaitMillis_ = 0; ///< Once it is read, as far as is known now.
-    bool prefillInPlace_ = false;      ///< It is read where it is generated, whoever else could read it.
+    const RequestCosts *costs_ = &RequestCosts::assumed(); ///< Costs of this service's requests.
+    double slotWaitMillis_ = 0;   ///< Estimated wait for a decode slot after the prefill.
+    bool prefillInPlace_ = false; ///< Prefill on the decode engine even if prefill engines exist.
 };
 
-/** What is asked of an engine that generates. */
+/** Input of Placement::chooseDecodeEngine(). */
 struct DecodeQuery
 {
     ServiceId service_;
-    DomainId source_; ///< Where the prompt was read.
+    DomainId source_; ///< Failure domain of the engine that prefilled the prompt.
     std::vector<EndpointId> excluded_ {};
-    const RequestCosts *costs_ = &RequestCosts::assumed(); ///< Of the service's requests.
+    const RequestCosts *costs_ = &RequestCosts::assumed(); ///< Costs of this service's requests.
 };
 
 struct DecodeChoice
 {
     EndpointId engine_;
-    double waitMillis_ = 0;     ///< For a slot, of a request that can be in time still.
-    double lateWaitMillis_ = 0; ///< The same of one that cannot.
-    bool full_ = false; ///< As many wait there as it generates for: late ones would be refused.
+    double waitMillis_ = 0;     ///< Estimated wait for a slot if the request can still be in time.
+    double lateWaitMillis_ = 0; ///< Estimated wait for a slot if the request is already late.
+    bool full_ = false; ///< As many requests wait as there are slots: a late request is refused.
 };
 
-/** An endpoint on which few other requests are. */
+/** The endpoint with the fewest other requests. */
 struct LeastLoadedChoice
 {
     EndpointId endpoint_;
-    bool isLastUsable_ = false; ///< All others that do the same work are out of service.
+    bool isLastUsable_ = false; ///< Other endpoints of the service are listed, but none is usable.
 };
 
 class Placement
@@ -84,45 +89,66 @@
 public:
     explicit Placement(PlacementSettings settings);
 
-    /** nullopt: no endpoint may get the request. */
+    /** Chooses the engines for a prompt; nullopt if no engine may get the request. */
     std::optional<PromptPlan> planPrompt(const EndpointTable &table, const PromptQuery &query,
                                          TimePoint now) const;
-    /** An engine to generate for a prompt that was read. ticket: any number. */
+    /**
+     * Chooses an engine to decode a prefilled prompt. tieBreaker: a random number that decides
+     * between engines of equal cost.
+     */
     std::optional<DecodeChoice> chooseDecodeEngine(const EndpointTable &table,
                                                    const DecodeQuery &query,
                                                    std::uint64_t tieBreaker, TimePoint now) const;
-    /** Whether an engine that generates could take one more request, by its last word. */
+    /** Whether the last load report of some decode engine leaves room for one more request. */
     bool anyDecodeEngineHasRoom(const EndpointTable &table, const ServiceId &service,
-                              const std::vector<EndpointId> &excluded, TimePoint now) const;
-    /** What a read prompt adds to the queue of the engine that fetches it, in tokens to read. */
+                                const std::vector<EndpointId> &excluded, TimePoint now) const;
+    /**
+     * The load that fetching a prefilled prompt adds to the queue of a decode engine, as an
+     * equivalent number of tokens to prefill.
+     */
     static std::int64_t handoverTokens(const Prompt &prompt);
-    /** A plain service's endpoint. ticket: any number. */
+    /**
+     * Chooses an endpoint for a call to a plain service. tieBreaker: a random number that decides
+     * between endpoints of equal cost.
+     */
     std::optional<EndpointId> chooseService(const EndpointTable &table, const ServiceId &service,
                                             const std::vector<EndpointId> &excluded,
                                             std::uint64_t tieBreaker, TimePoint now) const;
 
-    /** Where a request that may end its endpoint takes the fewest others along; it needs no other
-     * endpoint there. ticket: any number. */
-    std::optional<LeastLoadedChoice> chooseLeastLoaded(const EndpointTable &table, const ServiceId &service,
-                                              const std::vector<EndpointId> &excluded,
-                                              std::uint64_t tieBreaker, TimePoint now) const;
+    /**
+     * Chooses the endpoint with the fewest requests, for a request that may crash its endpoint and
+     * would then fail the others there too. Engines that only prefill are left out, as the request
+     * is served by one endpoint alone. tieBreaker: a random number that decides between endpoints
+     * of equal load.
+     */
+    std::optional<LeastLoadedChoice> chooseLeastLoaded(const EndpointTable &table,
+                                                       const ServiceId &service,
+                                                       const std::vector<EndpointId> &excluded,
+                                                       std::uint64_t tieBreaker,
+                                                       TimePoint now) const;
 
-    /** A prompt is read there: its parts are in the engine's cache from now on. */
+    /** Records that the prompt was sent to the engine: its parts count as cached there from now. */
     void onPromptSent(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now);
-    /** Shared parts that came to engines by this instance since the last call. */
-    std::vector<PromptCacheIndex::Key> takeNewCachedParts() { return std::exchange(newCachedParts_, {}); }
-    /** The same as another instance told. */
+    /** Shared parts that this instance brought into engine caches since the last call. */
+    std::vector<PromptCacheIndex::Key> takeNewCachedParts()
+    {
+        return std::exchange(newCachedParts_, {});
+    }
+    /** Records parts that another instance reported as brought into engine caches. */
     void onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts, TimePoint now);
     /**
-     * How long it took to read a prompt whose shared parts nobody had told of: tells whether they
-     * were cached all the same, and so how the next such prompt is estimated.
+     * Reports how long the prefill of a prompt took whose plan has cacheHitUnknown_ set. The time
+     * shows whether its shared parts were cached, and updates the hit rate that is assumed for the
+     * next such prompt.
      */
-    void onUnknownPartsPrefilled(const RequestCosts &costs, const Endpoint &engine, const Prompt &prompt,
-                       std::int64_t aheadTokens, double milliseconds);
+    void onUnknownPartsPrefilled(const RequestCosts &costs, const Endpoint &engine,
+                                 const Prompt &prompt, std::int64_t queuedTokens,
+                                 double milliseconds);
 
 private:
     struct Estimate;
-    /** An engine and its place in the order of a prompt's leading part: the highest goes first. */
+    /** An engine and its rendezvous weight for the prompt's leading part; the highest ranks first.
+     */
     struct Candidate
     {
         std::uint64_t weight_ = 0;
@@ -134,20 +160,23 @@
                           TimePoint now) const;
     static std::vector<const Endpoint *> replicaEngines(const Candidates &engines);
     static const Endpoint *firstDecodeEngine(const Candidates &engines);
-    Estimate estimateTokens(const Endpoint &engine, const PromptQuery &query, bool mayBeCached) const;
-    /** The time in which an engine reads a token. */
+    Estimate estimateTokens(const Endpoint &engine, const PromptQuery &query,
+                            bool mayBeCached) const;
+    /** Milliseconds in which an engine prefills one token. */
     double millisPerToken(const RequestCosts &costs, const Endpoint &engine) const;
-    /** An engine to copy shared parts from that the reader lacks; null when there is none. */
-    const Endpoint *cacheCopySource(const Candidates &engines, const Endpoint &reader,
-                                const Prompt &prompt, TimePoint now) const;
-    Estimate estimatePrefill(const Endpoint &engine, const PromptQuery &query, bool mayBeCached, int urgency) const;
-    Estimate bestPrefillEngine(const Candidates &engines, const PromptQuery &query, TimePoint now) const;
+    /** An engine to copy shared parts from that prefillEngine lacks; null if there is none. */
+    const Endpoint *cacheCopySource(const Candidates &engines, const Endpoint &prefillEngine,
+                                    const Prompt &prompt, TimePoint now) const;
+    Estimate estimatePrefill(const Endpoint &engine, const PromptQuery &query, bool mayBeCached,
+                             int urgency) const;
+    Estimate bestPrefillEngine(const Candidates &engines, const PromptQuery &query,
+                               TimePoint now) const;
     Estimate bestInPlaceEngine(const Candidates &engines, const PromptQuery &query) const;
 
     PlacementSettings settings_;
     PromptCacheIndex cacheIndex_;
     std::vector<PromptCacheIndex::Key> newCachedParts_;
-    double unknownHitRate_ = 0.5; ///< Share of unknown parts that proved to be cached.
+    double unknownHitRate_ = 0.5; ///< Fraction of prompts with unknown parts that were cached.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/placement.cpp
+++ b/libs/gateway/src/placement.cpp
@@ -9,34 +9,34 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Shared parts that are remembered: some thousand subjects on a few engines each. */
+/** Capacity of the cache index: some thousand shared parts on a few engines each. */
 constexpr std::size_t MaxIndexedParts = 8'192;
 /**
- * An engine slower than this share of the usual rate is taken for slow. The speeds of sound ones
- * differ by chance, and choosing by them would send prompts away from their cached parts.
+ * Only a measured speed below this fraction of the usual one counts as slow. Measured speeds of
+ * healthy engines vary by chance, and placing prompts by them would lose cache hits.
  */
 constexpr double SlowSpeedRatio = 0.5;
 
-/** Parts that wait to be told: more than an instance sends anew between two notes. */
+/** Parts kept for the next load report: more than an instance caches between two reports. */
 constexpr std::size_t MaxPendingParts = 256;
-/** Fewer tokens are read within what a measurement is off by. */
+/** The prefill time of fewer shared tokens is within the measurement error. */
 constexpr double MinSampleTokens = 4'000;
-/** How much one more prompt counts for the share of unknown parts that are cached. */
+/** Smoothing factor of the hit rate that is assumed for unknown parts. */
 constexpr double HitRateSmoothing = 0.1;
 
-/** How long a load told by an answer says something of the queue now. */
+/** Older load reports say nothing about the current queue. */
 constexpr Duration MaxLoadAge = millis(400);
 
 /**
- * Engines that may read one part: the first of its order, and another one when that one's queue is
- * long. Each copy takes a read of its own and memory from the other parts; without a bound a loaded
- * fleet copies everything everywhere and reads it again and again.
+ * Engines that may prefill and cache the same part: the first of its ranking, and the second if
+ * the first one's queue is long. Each copy costs a prefill and evicts other parts; without a limit,
+ * a loaded fleet copies every part to every engine and keeps recomputing what was evicted.
  */
 constexpr std::size_t ReplicasPerPart = 2;
 
 /**
- * What reading a part again elsewhere costs beside its own time: the engine reads nothing else
- * meanwhile, and the copy pushes others out of its memory.
+ * Weight of the time to recompute a shared part on another engine, added to that time itself: the
+ * engine prefills nothing else meanwhile, and the copy evicts other parts from its cache.
  */
 constexpr double RecomputePenalty = 2;
 
@@ -52,7 +52,7 @@
                   [&](const Endpoint *one) { return contains(excluded, one->listed_.id_); });
 }
 
-/** Requests that a new one would share the endpoint with, as a share of its slots. */
+/** Requests at the endpoint per slot. */
 double utilization(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
@@ -63,7 +63,7 @@
     return busy / slots;
 }
 
-/** The same of an engine that generates, of which the other instances tell. */
+/** As utilization(), including the requests that peers report for a decode engine. */
 double decodeUtilization(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
@@ -72,8 +72,8 @@
 }
 
 /**
- * The endpoint that costs least. Among equals the ticket decides: in the order of their ids all
- * instances would send to the first idle one.
+ * The endpoint of least cost. The search starts at a position given by tieBreaker: if it always
+ * started at the lowest id, all instances would send to the same idle endpoint.
  */
 const Endpoint *cheapest(const std::vector<const Endpoint *> &endpoints, std::uint64_t tieBreaker,
                          const std::function<double(const Endpoint &)> &costOf)
@@ -92,9 +92,9 @@
 }
 
 /**
- * The part that decides where a prompt goes: the last one that others share, so that prompts with
- * the same shared beginning meet, and no others. By the largest part all prompts that begin with
- * one common text would meet on a few engines: the busiest got 7.4 times the mean.
+ * The part that decides where a prompt goes: the last shared one, so that exactly the prompts with
+ * the same shared prefix go to the same engine. If the largest part decided, all prompts that begin
+ * with the same long text would go to a few engines; the busiest got 7.4 times the mean load.
  */
 const PromptPart *leadingPart(const Prompt &prompt)
 {
@@ -107,16 +107,16 @@
 
 } // namespace
 
-/** What one engine could do for a prompt. */
+/** Estimated cost of prefilling a prompt on one engine. */
 struct Placement::Estimate
 {
     const Endpoint *engine_ = nullptr;
     int urgency_ = 0;
     std::int64_t uncachedTokens_ = 0;
     std::int64_t queuedTokens_ = 0;
-    bool cacheHitUnknown_ = false; ///< Whether the shared parts are cached is a guess.
-    double millis_ = 0;         ///< Until the prompt is read.
-    double cost_ = 0;           ///< The same, and what it takes from other prompts.
+    bool cacheHitUnknown_ = false; ///< As in PromptPlan.
+    double millis_ = 0;            ///< Time until the prefill ends, including the queue.
+    double cost_ = 0;              ///< millis_ plus the penalty for recomputing shared parts.
 
     bool isCheaperThan(const Estimate &other) const
     {
@@ -135,11 +135,12 @@
     if (engine.prefillSpeed_ < SlowSpeedRatio) {
         millis /= engine.prefillSpeed_;
     }
-    return engine.listed_.stage_ == Stage::Prefill ? millis : millis / settings_.decodePrefillSpeed_;
+    return engine.listed_.stage_ == Stage::Prefill ? millis
+                                                   : millis / settings_.decodePrefillSpeed_;
 }
 
 Placement::Estimate Placement::estimateTokens(const Endpoint &engine, const PromptQuery &query,
-                                    bool mayBeCached) const
+                                              bool mayBeCached) const
 {
     const Prompt &prompt = *query.prompt_;
     std::int64_t cached = cacheIndex_.cachedTokens(engine.listed_, prompt);
@@ -147,7 +148,7 @@
     Estimate estimate;
     estimate.engine_ = &engine;
     if (mayBeCached && cached < shared) {
-        // Read there before this instance was listening, or never: as often as it proved so.
+        // Either cached before this instance started, or not at all: uses the learned hit rate.
         estimate.cacheHitUnknown_ = true;
         cached += std::llround(unknownHitRate_ * static_cast<double>(shared - cached));
     }
@@ -155,18 +156,19 @@
     return estimate;
 }
 
-Placement::Estimate Placement::estimatePrefill(const Endpoint &engine, const PromptQuery &query, bool mayBeCached,
-                                 int urgency) const
+Placement::Estimate Placement::estimatePrefill(const Endpoint &engine, const PromptQuery &query,
+                                               bool mayBeCached, int urgency) const
 {
     Estimate estimate = estimateTokens(engine, query, mayBeCached);
     const double perToken = millisPerToken(*query.costs_, engine);
     estimate.urgency_ = urgency;
-    // All that can be in time counts as ahead, also what is less urgent: an engine reads several
-    // prompts at once, and does not stop those that it has begun.
+    // Every queued prompt that can still be in time counts as ahead, even a less urgent one: an
+    // engine prefills several prompts at once and doesn't preempt those that it has begun.
     const int maxUrgency = urgency < FirstLateUrgency ? FirstLateUrgency - 1 : UrgencyLevels - 1;
     estimate.queuedTokens_ = engine.fleetQueuedTokens(maxUrgency);
-    estimate.millis_ = query.costs_->prefillMillis(0)
-                    + perToken * static_cast<double>(estimate.queuedTokens_ + estimate.uncachedTokens_);
+    estimate.millis_ =
+        query.costs_->prefillMillis(0)
+        + perToken * static_cast<double>(estimate.queuedTokens_ + estimate.uncachedTokens_);
     const std::int64_t recomputed = estimate.uncachedTokens_ - query.prompt_->ownTokens();
     estimate.cost_ =
         estimate.millis_
@@ -189,7 +191,7 @@
     return found;
 }
 
-/** The first ones of the order that read prompts. */
+/** The highest-ranked prefill engines. */
 std::vector<const Endpoint *> Placement::replicaEngines(const Candidates &engines)
 {
     Candidates replicas;
@@ -197,9 +199,9 @@
         if (one.engine_->listed_.stage_ != Stage::Prefill) {
             continue;
         }
-        const auto place = std::find_if(replicas.begin(), replicas.end(), [&](const Candidate &replica) {
-            return replica.weight_ < one.weight_;
-        });
+        const auto place =
+            std::find_if(replicas.begin(), replicas.end(),
+                         [&](const Candidate &replica) { return replica.weight_ < one.weight_; });
         if (place != replicas.end() || replicas.size() < ReplicasPerPart) {
             replicas.insert(place, one);
             replicas.resize(std::min(replicas.size(), ReplicasPerPart));
@@ -211,7 +213,7 @@
     return found;
 }
 
-/** The first one of the order that generates; null: there is none. */
+/** The highest-ranked engine that decodes; null if there is none. */
 const Endpoint *Placement::firstDecodeEngine(const Candidates &engines)
 {
     Candidate first;
@@ -224,15 +226,16 @@
     return first.engine_;
 }
 
-Placement::Estimate Placement::bestPrefillEngine(const Candidates &engines, const PromptQuery &query,
-                                       TimePoint now) const
+Placement::Estimate Placement::bestPrefillEngine(const Candidates &engines,
+                                                 const PromptQuery &query, TimePoint now) const
 {
     const std::vector<const Endpoint *> replicas = replicaEngines(engines);
     const PromptPart *leading = leadingPart(*query.prompt_);
     const bool known =
-        leading == nullptr || std::any_of(replicas.begin(), replicas.end(), [&](const Endpoint *replica) {
-            return cacheIndex_.holds(replica->listed_, leading->id_);
-        });
+        leading == nullptr
+        || std::any_of(replicas.begin(), replicas.end(), [&](const Endpoint *replica) {
+               return cacheIndex_.holds(replica->listed_, leading->id_);
+           });
     const auto bestAt = [&](int urgency) {
         Estimate best;
         for (const Endpoint *replica : replicas) {
@@ -246,12 +249,16 @@
     };
     const int inTime = std::clamp(query.priority_, 0, FirstLateUrgency - 1);
     const Estimate best = bestAt(inTime);
-    const auto budgetMillis = static_cast<double>(toMillis(query.firstEventDeadline_ - now) - settings_.handoverMillis_)
-                      - query.slotWaitMillis_;
-    return best.engine_ == nullptr || best.millis_ <= budgetMillis ? best : bestAt(FirstLateUrgency + inTime);
+    const auto budgetMillis =
+        static_cast<double>(toMillis(query.firstEventDeadline_ - now) - settings_.handoverMillis_)
+        - query.slotWaitMillis_;
+    return best.engine_ == nullptr || best.millis_ <= budgetMillis
+               ? best
+               : bestAt(FirstLateUrgency + inTime);
 }
 
-Placement::Estimate Placement::bestInPlaceEngine(const Candidates &engines, const PromptQuery &query) const
+Placement::Estimate Placement::bestInPlaceEngine(const Candidates &engines,
+                                                 const PromptQuery &query) const
 {
     Estimate best;
     std::uint64_t bestWeight = 0;
@@ -259,8 +266,8 @@
         if (engine->listed_.stage_ == Stage::Prefill) {
             continue;
         }
-        const Estimate estimate =
-            estimatePrefill(*engine, query, false, std::clamp(query.priority_, 0, FirstLateUrgency - 1));
+        const Estimate estimate = estimatePrefill(
+            *engine, query, false, std::clamp(query.priority_, 0, FirstLateUrgency - 1));
         const bool isFirstOfEqual = estimate.cost_ == best.cost_ && weight > bestWeight;
         if (estimate.isCheaperThan(best) || isFirstOfEqual) {
             best = estimate;
@@ -270,29 +277,31 @@
     return best;
 }
 
-const Endpoint *Placement::cacheCopySource(const Candidates &engines, const Endpoint &reader,
-                                       const Prompt &prompt, TimePoint now) const
+const Endpoint *Placement::cacheCopySource(const Candidates &engines, const Endpoint &prefillEngine,
+                                           const Prompt &prompt, TimePoint now) const
 {
-    // What was sent to be read a moment ago is not there yet.
+    // A prompt that was sent more recently may not be prefilled yet.
     constexpr Duration MinCacheAge = millis(1'500);
-    // Fewer tokens are read about as fast as a copy is set up.
+    // Prefilling fewer tokens takes about as long as setting up a copy.
     constexpr std::int64_t MinCopiedTokens = 1'000;
     const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
-    const std::int64_t minTokens = cacheIndex_.cachedTokens(reader.listed_, prompt) + MinCopiedTokens;
+    const std::int64_t minTokens =
+        cacheIndex_.cachedTokens(prefillEngine.listed_, prompt) + MinCopiedTokens;
     if (minTokens >= shared) {
-        return nullptr; // Most prompts: their shared parts are there, or are short.
+        return nullptr; // Most prompts: the shared parts are cached there or are short.
     }
-    // The most tokens, then the reader's own failure domain, then the order.
+    // Most cached tokens first, then the same failure domain, then the rendezvous weight.
     using Rank = std::tuple<std::int64_t, bool, std::uint64_t>;
     const Endpoint *best = nullptr;
     Rank bestRank;
     for (const auto &[weight, engine] : engines) {
         const std::int64_t kept =
             std::min(shared, cacheIndex_.cachedTokens(engine->listed_, prompt, now - MinCacheAge));
-        if (engine == &reader || kept <= minTokens) {
+        if (engine == &prefillEngine || kept <= minTokens) {
             continue;
         }
-        const Rank engineRank {kept, engine->listed_.domain_ == reader.listed_.domain_, weight};
+        const Rank engineRank {kept, engine->listed_.domain_ == prefillEngine.listed_.domain_,
+                               weight};
         if (best == nullptr || engineRank > bestRank) {
             best = engine;
             bestRank = engineRank;
@@ -309,13 +318,13 @@
     if (decodeEngine == nullptr) {
         return std::nullopt;
     }
-    const Estimate reader = bestPrefillEngine(engines, query, now);
-    const bool isInPlace = query.prefillInPlace_ || reader.engine_ == nullptr;
+    const Estimate separate = bestPrefillEngine(engines, query, now);
+    const bool isInPlace = query.prefillInPlace_ || separate.engine_ == nullptr;
     const Estimate inPlace = isInPlace ? bestInPlaceEngine(engines, query) : Estimate();
-    const Estimate &prefill = reader.engine_ != nullptr ? reader : inPlace;
+    const Estimate &prefill = separate.engine_ != nullptr ? separate : inPlace;
     PromptPlan plan;
-    if (reader.engine_ != nullptr) {
-        plan.prefill_ = reader.engine_->listed_.id_;
+    if (separate.engine_ != nullptr) {
+        plan.prefill_ = separate.engine_->listed_.id_;
     }
     plan.decode_ = (isInPlace ? inPlace.engine_ : decodeEngine)->listed_.id_;
     plan.urgency_ = prefill.urgency_;
@@ -332,13 +341,14 @@
 
 std::optional<DecodeChoice> Placement::chooseDecodeEngine(const EndpointTable &table,
                                                           const DecodeQuery &query,
-                                                          std::uint64_t tieBreaker, TimePoint now) const
+                                                          std::uint64_t tieBreaker,
+                                                          TimePoint now) const
 {
-    // Moving a prompt between failure domains takes twice as long and is dearer: another domain's
-    // engine is taken when ours is fuller by a quarter of its slots.
+    // Transfers between failure domains take twice as long and cost more: an engine of another
+    // domain is chosen only if those of the source's domain are fuller by a quarter of the slots.
     constexpr double CrossDomainPenalty = 0.25;
-    // Prompts that wait for their first event there count like a full engine from this wait on,
-    // in milliseconds: an engine whose links are slow has few requests, and each takes a second.
+    // Prompts that wait this long for their first event count as much as a full engine. An engine
+    // with slow links has few requests, so its slots look free though each request takes a second.
     constexpr double FullEngineWaitMillis = 100;
     std::vector<const Endpoint *> engines = table.usable(query.service_, now);
     removeExcluded(engines, query.excluded_);
@@ -357,15 +367,15 @@
     const int slots = best->listed_.slots_;
     const double slotMillis = query.costs_->meanGenerateMillis();
     return DecodeChoice {best->listed_.id_, slotWaitMillis(use.inTime_ + 1, slots, slotMillis),
-                            slotWaitMillis(use.all() + 1, slots, slotMillis),
-                            use.all() >= 2 * std::max(1, slots)};
+                         slotWaitMillis(use.all() + 1, slots, slotMillis),
+                         use.all() >= 2 * std::max(1, slots)};
 }
 
 bool Placement::anyDecodeEngineHasRoom(const EndpointTable &table, const ServiceId &service,
-                                     const std::vector<EndpointId> &excluded, TimePoint now) const
+                                       const std::vector<EndpointId> &excluded, TimePoint now) const
 {
-    // An engine that is full answers every request with its load; one that has not been heard of
-    // for this long gets few, as far as this instance can know.
+    // A full engine reports its load with every response, so an engine without a report for this
+    // long gets few requests as far as this instance can tell.
     constexpr Duration MaxFullLoadAge = millis(2'000);
     std::vector<const Endpoint *> engines = table.usable(service, now);
     removeExcluded(engines, excluded);
@@ -383,7 +393,7 @@
                                                    const std::vector<EndpointId> &excluded,
                                                    std::uint64_t tieBreaker, TimePoint now) const
 {
-    // A call is short: half a slot's difference is worth the way into another failure domain.
+    // Calls are short: a tenth of the slots less load outweighs the longer way to another domain.
     constexpr double CrossDomainPenalty = 0.1;
     std::vector<const Endpoint *> endpoints = table.usable(service, now);
     removeExcluded(endpoints, excluded);
@@ -394,10 +404,10 @@
     return best != nullptr ? std::optional(best->listed_.id_) : std::nullopt;
 }
 
-std::optional<LeastLoadedChoice> Placement::chooseLeastLoaded(const EndpointTable &table,
-                                                     const ServiceId &service,
-                                                     const std::vector<EndpointId> &excluded,
-                                                     std::uint64_t tieBreaker, TimePoint now) const
+std::optional<LeastLoadedChoice>
+Placement::chooseLeastLoaded(const EndpointTable &table, const ServiceId &service,
+                             const std::vector<EndpointId> &excluded, std::uint64_t tieBreaker,
+                             TimePoint now) const
 {
     const auto isPrefillOnly = [](const Endpoint *one) {
         return one->listed_.stage_ == Stage::Prefill;
@@ -411,13 +421,14 @@
     const Endpoint *best = cheapest(usableEngines, tieBreaker, [&](const Endpoint &one) {
         return decodeUtilization(one, now) * std::max(1, one.listed_.slots_);
     });
-    return best != nullptr ? std::optional(LeastLoadedChoice {best->listed_.id_, last}) : std::nullopt;
+    return best != nullptr ? std::optional(LeastLoadedChoice {best->listed_.id_, last})
+                           : std::nullopt;
 }
 
 std::int64_t Placement::handoverTokens(const Prompt &prompt)
 {
-    // Moving a prompt of some thousand tokens and its first step take as long as reading a
-    // sixteenth of them where it is generated.
+    // Transferring a prompt of some thousand tokens, plus its first decode step, takes as long as
+    // prefilling a sixteenth of the tokens on the decode engine.
     constexpr std::int64_t TransferSpeedup = 16;
     return prompt.tokens_ / TransferSpeedup;
 }
@@ -441,15 +452,16 @@
 }
 
 void Placement::onUnknownPartsPrefilled(const RequestCosts &costs, const Endpoint &engine,
-                              const Prompt &prompt, std::int64_t aheadTokens, double milliseconds)
+                                        const Prompt &prompt, std::int64_t queuedTokens,
+                                        double milliseconds)
 {
     const auto shared = static_cast<double>(prompt.tokens_ - prompt.ownTokens());
     if (shared < MinSampleTokens) {
         return;
     }
-    const double read = (milliseconds - costs.prefillMillis(0)) / millisPerToken(costs, engine)
-                        - static_cast<double>(aheadTokens + prompt.ownTokens());
-    const double cached = read < shared / 2 ? 1 : 0;
+    const double computed = (milliseconds - costs.prefillMillis(0)) / millisPerToken(costs, engine)
+                            - static_cast<double>(queuedTokens + prompt.ownTokens());
+    const double cached = computed < shared / 2 ? 1 : 0;
     unknownHitRate_ += HitRateSmoothing * (cached - unknownHitRate_);
 }
 
