--- a/libs/gateway/include/almondridge/gateway/loadshedding.h
+++ b/libs/gateway/include/almondridge/gateway/loadshedding.h
@@ -1,7 +1,7 @@
 /**
- * Which callers of a model are told to come back instead of waiting: those that will have left
- * before their first event, as far as the queues are known. Their prompts would be read for nobody
- * while others wait. Pure.
+ * Load shedding: rejects model requests whose caller is expected to give up before the first event,
+ * as estimated from the queues. Their prompts would be prefilled for nothing while others wait. No
+ * I/O and no clock.
  */
 #pragma once
 
@@ -13,13 +13,14 @@
 
 namespace almondridge::gateway {
 
-/** When a caller that has seen no event gives up. */
+/** When a caller that has received no event is expected to give up; at the latest at deadline. */
 TimePoint expectedAbandonTime(const Route &route, TimePoint requestedAt, TimePoint deadline);
 
 /**
- * Milliseconds after which to ask again, when reading the prompt is estimated to take until after
- * the caller has left; nullopt: it is worth waiting.
+ * Milliseconds for the Retry-After of a rejected request whose prefill is estimated to end after
+ * the caller has given up; nullopt if the request is to be served.
  */
-std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint abandonAt, TimePoint now);
+std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint abandonAt,
+                                                 TimePoint now);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/promptcacheindex.h
+++ b/libs/gateway/include/almondridge/gateway/promptcacheindex.h
@@ -1,6 +1,7 @@
 /**
- * Which parts of prompts were sent to which engine lately, by this instance or, as they told, by
- * the others. Pure and bounded: the oldest entries go first.
+ * Index of the prompt parts that engines have in their caches: those that this instance or, by
+ * their reports, its peers sent there recently. Bounded; the least recently used entries are
+ * evicted first. No I/O and no clock.
  */
 #pragma once
 
@@ -21,18 +22,19 @@
     explicit PromptCacheIndex(std::size_t capacity);
 
     /**
-     * Names a part at an engine; all instances and builds agree on it. Another lifetime of the
-     * engine has other keys: a restart empties its cache, and notes of before must not fill it.
+     * Identifies a part in the cache of an engine; the same in all instances and builds. The key
+     * covers the engine's start time: a restart empties its cache, and late reports about the
+     * process before it must not be taken for the new one.
      */
     using Key = std::uint64_t;
     static Key keyOf(const ListedEndpoint &engine, std::uint64_t part);
 
-    /** True when it was not known. */
+    /** Adds or refreshes an entry; true if it was not in the index. */
     bool insert(Key key, TimePoint now);
     bool holds(const ListedEndpoint &engine, std::uint64_t part) const;
-    /** Tokens of the prompt's leading parts that the engine has cached. */
+    /** Tokens of the longest prefix of the prompt's parts that the engine has cached. */
     std::int64_t cachedTokens(const ListedEndpoint &engine, const Prompt &prompt) const;
-    /** The same of parts that came there before a point in time. */
+    /** As above, counting only parts that were added before a point in time. */
     std::int64_t cachedTokens(const ListedEndpoint &engine, const Prompt &prompt,
                               TimePoint before) const;
 
@@ -44,16 +46,16 @@
         TimePoint insertedAt_ {};
     };
 
-    std::list<Key> lruOrder_; ///< Latest first.
+    std::list<Key> lruOrder_; ///< Most recently used first.
     std::unordered_map<Key, Entry> entries_;
 };
 
 /**
- * The place of a name in a key's order: the highest goes first. All instances and builds agree on
- * it, so that they choose alike without talking.
+ * Weight of a name in the rendezvous hash of a key; the name with the highest weight ranks first.
+ * The same in all instances and builds, so that they make the same choice without coordination.
  */
 std::uint64_t rendezvousWeight(std::string_view name, std::uint64_t key);
-/** The same in two steps, for a name that is weighed again and again. */
+/** The two steps of rendezvousWeight(), for callers that weigh the same name often. */
 std::uint64_t nameHash(std::string_view name);
 std::uint64_t rendezvousWeight(std::uint64_t nameHash, std::uint64_t key);
 
--- a/libs/gateway/include/almondridge/gateway/promptqueue.h
+++ b/libs/gateway/include/almondridge/gateway/promptqueue.h
@@ -1,5 +1,5 @@
 /**
- * What an engine has still to read, as a sum of prompt tokens for each urgency.
+ * Prefill backlog of an engine: queued prompt tokens per urgency level.
  */
 #pragma once
 
@@ -8,27 +8,27 @@
 
 namespace almondridge::gateway {
 
-/** How urgent a request is for an engine: 0 goes first. */
+/** Number of urgency levels of requests at an engine; level 0 is served first. */
 inline constexpr int UrgencyLevels = 10;
 
 /**
- * A request that cannot be in time any more goes behind all that can, whatever its route: served
- * in the order of arrival, a queue that is longer than an objective makes every request late.
- * Urgencies from this one on are for requests that are late.
+ * First urgency level of requests that can't meet their objective any more. They are served after
+ * all that still can, whatever their route: if they were served in order of arrival, a queue longer
+ * than the objective would make every request late.
  */
 inline constexpr int FirstLateUrgency = UrgencyLevels / 2;
 
-/** Prompt tokens that an engine has still to read, by the urgency of their requests. */
+/** Prompt tokens queued at an engine, by the urgency of their requests. */
 struct PromptQueue
 {
     std::array<std::int64_t, UrgencyLevels> tokens_ {};
 
     void add(int urgency, std::int64_t tokens);
-    /** Never below zero: what was told twice or late must not hide what is queued. */
+    /** Stops at zero: removals reported twice or late must not hide tokens that are queued. */
     void remove(int urgency, std::int64_t tokens);
     void add(const PromptQueue &other);
     void remove(const PromptQueue &other);
-    /** What is read before a new request of this urgency. */
+    /** Tokens that are prefilled before a new request of this urgency. */
     std::int64_t ahead(int urgency) const noexcept;
     std::int64_t all() const noexcept { return ahead(UrgencyLevels - 1); }
 
--- a/libs/gateway/include/almondridge/gateway/requestcosts.h
+++ b/libs/gateway/include/almondridge/gateway/requestcosts.h
@@ -1,9 +1,9 @@
 /**
- * What requests cost the engines of one service, learnt from those that were served. Pure.
+ * Cost model of the requests of one service, learned from requests that were served. No I/O and no
+ * clock.
  *
- * Engines differ from deployment to deployment in how fast they read, how long their answers are
- * and how many they generate at once; nothing of that is told beforehand, and a figure that fits
- * one deployment costs the next one half of what its engines could do.
+ * Prefill speed, answer length and batch size differ between deployments and are not configured. A
+ * constant that fits one deployment costs another one half of its engines' capacity.
  */
 #pragma once
 
@@ -17,24 +17,26 @@
 {
 public:
     RequestCosts();
-    /** What is assumed before the first request. */
+    /** The costs that are assumed before the first request. */
     static const RequestCosts &assumed();
 
-    /** A prompt was read by an engine that had nothing else to read, in this time. */
+    /** Adds a sample: the prefill time of a prompt on an engine with an empty prefill queue. */
     void onUncontendedPrefill(std::int64_t tokens, double milliseconds);
-    /** Until so many tokens are read by an engine that has nothing else to read. */
+    /** Prefill time of this many tokens on an engine with an empty queue, with fixed costs. */
     double prefillMillis(std::int64_t tokens) const;
-    /** What reading them takes from the engine's other prompts. */
+    /** Compute time of the prefill alone: the time by which it delays the engine's other prompts.
+     */
     double prefillComputeMillis(std::int64_t tokens) const;
 
-    /** A request of a route was generated; from its first event to its last one. */
+    /** Adds a sample: the time from the first to the last event of a request of this route. */
     void onGenerated(const std::string &route, double milliseconds);
+    /** Mean time from the first to the last event of a request of this route. */
     double generateMillis(const std::string &route) const;
-    /** The same of a request of any route. */
+    /** As generateMillis(), over all routes. */
     double meanGenerateMillis() const;
 
 private:
-    /** Sums of a least-squares line through recent reads; old ones fade. */
+    /** Sums of a least-squares fit of time over tokens; the weight of old samples decays. */
     struct LeastSquares
     {
         double weight_ = 0;
@@ -51,8 +53,8 @@
     LeastSquares prefillSamples_;
     double millisPerToken_ = 0;
     double fixedMillis_ = 0;
-    std::unordered_map<std::string, double> generateMillis_; ///< Milliseconds by route.
-    double meanGenerateMillis_ = 0;                          ///< 0: none yet.
+    std::unordered_map<std::string, double> generateMillis_; ///< By route.
+    double meanGenerateMillis_ = 0;                          ///< 0: no sample yet.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/retrybudget.h
+++ b/libs/gateway/include/almondridge/gateway/retrybudget.h
@@ -1,7 +1,7 @@
 /**
- * How many second sends this instance may make. All instances share one allowance for each
- * service without talking: each one spends a ratio of its own requests and its part of the
- * constant. Pure: the time is passed in.
+ * Retry budget of one service at this instance. All instances keep to a common budget without
+ * coordination: each one may retry a fraction of its own requests, plus its share of a constant.
+ * No I/O and no clock.
  */
 #pragma once
 
@@ -13,9 +13,9 @@
 
 struct RetryBudgetLimits
 {
-    double ratio_ = 0.2; ///< Second sends for each request.
-    double slack_ = 10;  ///< Of all instances together, in each window.
-    std::int64_t windowMillis_ = 10'000;
+    double ratio_ = 0.2; ///< Retries per request.
+    double slack_ = 10;  ///< Additional retries per window, of all instances together.
+    std::int64_t windowMillis_ = 10'000; ///< Length of the sliding window.
 };
 
 class RetryBudget
@@ -23,11 +23,12 @@
 public:
     explicit RetryBudget(const RetryBudgetLimits &limits);
 
-    /** The most instances that there may be; the constant is divided by it. */
+    /** Upper bound of the number of instances; the constant is divided by it. */
     void setInstances(int count);
     void onRequest(TimePoint now);
-    /** Takes one second send, if one is left in the window that ends now. */
+    /** Spends one retry; false if none is left in the window that ends now. */
     bool take(TimePoint now);
+    /** Retries that are left in the window that ends now. */
     double left(TimePoint now);
 
 private:
@@ -35,7 +36,7 @@
     {
         TimePoint end_;
         double requests_ = 0;
-        double sends_ = 0;
+        double retries_ = 0;
     };
 
     Slice &current(TimePoint now);
--- a/libs/gateway/src/loadshedding.cpp
+++ b/libs/gateway/src/loadshedding.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 /**
- * How long callers wait for a first event: two seconds, four times the route's objective or eight
- * times its longest pause, whichever is longest. They leave then.
+ * Callers are assumed to wait for a first event for two seconds, four times the route's objective
+ * or eight times its objective for the gap between events, whichever is longest.
  */
 constexpr std::int64_t MinAbandonMillis = 2'000;
 constexpr std::int64_t AbandonObjectives = 4;
 constexpr std::int64_t AbandonGaps = 8;
-/** An estimate is off by some tenths: only a caller that is surely too late is refused. */
+/** Estimates are off by some tenths: only a request that is surely too late is rejected. */
 constexpr double EstimateErrorFactor = 1.3;
-/** When a caller that came too late is asked to return: once the excess has been read. */
+/** Limits of the retry delay, which is the time until the excess is prefilled. */
 constexpr double MinRetryAfterMillis = 200;
 constexpr double MaxRetryAfterMillis = 1'000;
 
@@ -29,13 +29,15 @@
     return std::min(requestedAt + millis(abandonMillis), deadline);
 }
 
-std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint abandonAt, TimePoint now)
+std::optional<std::int64_t> shedRetryAfterMillis(double prefillMillis, TimePoint abandonAt,
+                                                 TimePoint now)
 {
     const auto remainingMillis = static_cast<double>(toMillis(abandonAt - now));
     if (prefillMillis <= EstimateErrorFactor * remainingMillis) {
         return std::nullopt;
     }
-    return std::llround(std::clamp(prefillMillis - remainingMillis, MinRetryAfterMillis, MaxRetryAfterMillis));
+    return std::llround(
+        std::clamp(prefillMillis - remainingMillis, MinRetryAfterMillis, MaxRetryAfterMillis));
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/promptcacheindex.cpp
+++ b/libs/gateway/src/promptcacheindex.cpp
@@ -3,7 +3,7 @@
 namespace almondridge::gateway {
 namespace {
 
-/** FNV-1a, so that all instances and builds agree on it. */
+/** Unlike std::hash, the same in all instances and builds. */
 std::uint64_t fnv1aHash(std::string_view text)
 {
     std::uint64_t hash = 14'695'981'039'346'656'037ULL;
@@ -14,7 +14,7 @@
     return hash;
 }
 
-/** The finalizer of a 64-bit mixer: spreads nearby values over the whole range. */
+/** The finalizer of MurmurHash3: spreads nearby values over the whole range. */
 std::uint64_t mix(std::uint64_t value)
 {
     value ^= value >> 33U;
@@ -72,13 +72,14 @@
     return entries_.contains(keyOf(engine, part));
 }
 
-std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt) const
+std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine,
+                                            const Prompt &prompt) const
 {
     return cachedTokens(engine, prompt, TimePoint::max());
 }
 
 std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt,
-                                        TimePoint before) const
+                                            TimePoint before) const
 {
     std::int64_t tokens = 0;
     for (const PromptPart &part : prompt.parts_) {
--- a/libs/gateway/src/requestcosts.cpp
+++ b/libs/gateway/src/requestcosts.cpp
@@ -5,35 +5,35 @@
 namespace almondridge::gateway {
 namespace {
 
-/** An engine of a large model reads a token in this time until reads have told otherwise. */
+/** Prefill time per token of a large model's engine, assumed until there are samples. */
 constexpr double AssumedMillisPerToken = 0.025;
-/** And answers a read of nothing after this: a connection, a step and the way back. */
+/** Assumed time of an empty prefill: a connection, one step and the response. */
 constexpr double AssumedFixedMillis = 20;
-/** The assumption counts like so many reads, at two sizes that a prompt may have. */
+/** The assumption counts as much as this many samples, at two typical prompt sizes. */
 constexpr double AssumedSamples = 4;
 constexpr double ShortPrompt = 500;
 constexpr double LongPrompt = 8'000;
 /**
- * What is kept of earlier reads at each new one: some hundred count. Engines change in seconds
- * (crashes, slow ones), and an instance sees some reads alone in each second.
+ * Weight decay of earlier samples at each new one, so that about a hundred count. Engines change
+ * within seconds (crashes, slowdowns), and an instance gets some uncontended samples per second.
  */
 constexpr double SampleDecay = 0.99;
 /**
- * Weight of a read that took longer than usual. Another instance's prompt may have been read at
- * the same time, which its note told too late: at half of the load the plain mean said that
- * reading takes 1.6 times what it takes.
+ * Weight of a sample that is slower than the current estimate: the engine may have prefilled a
+ * prompt of another instance at the same time, whose load report came too late. With equal weights,
+ * the estimate at half load was 1.6 times the real prefill time.
  */
 constexpr double SlowSampleWeight = 0.15;
-/** Rates beyond these are measurements of something else: a stalled engine, or a cached prompt. */
+/** Times beyond these limits measure something else: a stalled engine, or a cached prompt. */
 constexpr double MinMillisPerToken = 1.0 / 300;
 constexpr double MaxMillisPerToken = 0.2;
 constexpr double MaxFixedMillis = 200;
 
-/** Until a route's first answer: 100 tokens at eight milliseconds. */
+/** Used until a route's first sample: 100 tokens at eight milliseconds. */
 constexpr double AssumedGenerateMillis = 800;
-/** How much one more answer counts; their lengths differ by some times. */
+/** Smoothing factor of generation times; answer lengths differ by a factor of several. */
 constexpr double GenerateSmoothing = 0.05;
-/** Routes that are remembered; a configuration with thousands of them serves few at a time. */
+/** Routes with a time of their own; of thousands of configured routes few are busy at a time. */
 constexpr std::size_t MaxRoutes = 1'024;
 
 } // namespace
@@ -59,7 +59,8 @@
 RequestCosts::RequestCosts()
 {
     for (const double tokens : {ShortPrompt, LongPrompt}) {
-        prefillSamples_.add(tokens, AssumedFixedMillis + AssumedMillisPerToken * tokens, AssumedSamples / 2);
+        prefillSamples_.add(tokens, AssumedFixedMillis + AssumedMillisPerToken * tokens,
+                            AssumedSamples / 2);
     }
     fit();
 }
@@ -72,14 +73,17 @@
 
 void RequestCosts::fit()
 {
-    const double spread = prefillSamples_.weight_ * prefillSamples_.tokensSquared_ - prefillSamples_.tokens_ * prefillSamples_.tokens_;
+    const double spread = prefillSamples_.weight_ * prefillSamples_.tokensSquared_
+                          - prefillSamples_.tokens_ * prefillSamples_.tokens_;
     if (spread <= 0) {
-        return; // All of one size: the line before holds.
+        return; // All samples are of one size: keeps the previous fit.
     }
-    const double slope =
-        (prefillSamples_.weight_ * prefillSamples_.tokensMillis_ - prefillSamples_.tokens_ * prefillSamples_.millis_) / spread;
+    const double slope = (prefillSamples_.weight_ * prefillSamples_.tokensMillis_
+                          - prefillSamples_.tokens_ * prefillSamples_.millis_)
+                         / spread;
     millisPerToken_ = std::clamp(slope, MinMillisPerToken, MaxMillisPerToken);
-    const double fixed = (prefillSamples_.millis_ - millisPerToken_ * prefillSamples_.tokens_) / prefillSamples_.weight_;
+    const double fixed = (prefillSamples_.millis_ - millisPerToken_ * prefillSamples_.tokens_)
+                         / prefillSamples_.weight_;
     fixedMillis_ = std::clamp(fixed, 0.0, MaxFixedMillis);
 }
 
@@ -91,7 +95,8 @@
         return;
     }
     prefillSamples_.decay(SampleDecay);
-    prefillSamples_.add(count, milliseconds, milliseconds > prefillMillis(tokens) ? SlowSampleWeight : 1);
+    prefillSamples_.add(count, milliseconds,
+                        milliseconds > prefillMillis(tokens) ? SlowSampleWeight : 1);
     fit();
 }
 
@@ -110,9 +115,10 @@
     if (generateMillis_.size() >= MaxRoutes && !generateMillis_.contains(route)) {
         generateMillis_.clear();
     }
-    meanGenerateMillis_ = meanGenerateMillis_ > 0
-                         ? meanGenerateMillis_ + GenerateSmoothing * (milliseconds - meanGenerateMillis_)
-                         : milliseconds;
+    meanGenerateMillis_ =
+        meanGenerateMillis_ > 0
+            ? meanGenerateMillis_ + GenerateSmoothing * (milliseconds - meanGenerateMillis_)
+            : milliseconds;
     const auto [place, added] = generateMillis_.try_emplace(route, milliseconds);
     if (!added) {
         place->second += GenerateSmoothing * (milliseconds - place->second);
--- a/libs/gateway/src/retrybudget.cpp
+++ b/libs/gateway/src/retrybudget.cpp
@@ -5,11 +5,11 @@
 namespace almondridge::gateway {
 namespace {
 
-/** A window is counted in this many parts; it slides by one of them. */
+/** The window slides by one slice at a time. */
 constexpr int SlicesPerWindow = 20;
 /**
- * The share of the ratio that is spent. The rest covers requests that others count in the window
- * next to ours, and sends that arrive later than they were made.
+ * Fraction of the budget that is spent. The rest covers requests that an observer counts in an
+ * adjacent window, and retries that arrive later than they were sent.
  */
 constexpr double UsedShare = 0.75;
 
@@ -45,13 +45,13 @@
 {
     current(now);
     double requests = 0;
-    double sends = 0;
+    double retries = 0;
     for (const Slice &slice : slices_) {
         requests += slice.requests_;
-        sends += slice.sends_;
+        retries += slice.retries_;
     }
     const double allowed = UsedShare * (limits_.ratio_ * requests + limits_.slack_ / instances_);
-    return allowed - sends;
+    return allowed - retries;
 }
 
 bool RetryBudget::take(TimePoint now)
@@ -59,7 +59,7 @@
     if (left(now) < 1) {
         return false;
     }
-    current(now).sends_ += 1;
+    current(now).retries_ += 1;
     return true;
 }
 
