--- a/libs/gateway/include/almondridge/gateway/endpoints.h
+++ b/libs/gateway/include/almondridge/gateway/endpoints.h
@@ -1,7 +1,7 @@
 /**
- * The endpoints as this instance believes them to be: what the platform's list says, the load
- * they told, what was sent to them and not answered yet, and whether they can be trusted.
- * Pure: events and the time go in.
+ * This instance's view of the endpoints: the entries that the platform lists, their load reports,
+ * this instance's open requests, and their health. No I/O and no clock: events and the current time
+ * are inputs.
  */
 #pragma once
 
@@ -24,9 +24,9 @@
 namespace almondridge::gateway {
 
 enum class Stage {
-    None,    ///< No engine, or one that does both.
-    Prefill, ///< Reads prompts.
-    Decode,  ///< Generates.
+    None,    ///< Not an engine, or an engine that prefills and decodes.
+    Prefill, ///< Prefills prompts only.
+    Decode,  ///< Decodes; also prefills if a prompt is sent to it whole.
 };
 
 inline constexpr std::array<EnumName<Stage>, 3> StageNames {{
@@ -44,18 +44,18 @@
     DomainId domain_;
     int slots_ = 1;
     bool draining_ = false;
-    bool spot_ = false; ///< Cheap, and taken away with all others of its domain at once.
+    bool spot_ = false; ///< A spot machine: all of a domain can be revoked at once.
     Stage stage_ = Stage::None;
     /**
-     * When its process started, by its own clock, since the Unix epoch; 0: it does not say. A
-     * later one under the same id is a restart that holds nothing of before.
+     * Start time of its process by its own clock, in milliseconds since the Unix epoch; 0: not
+     * reported. A later start under the same id is a restart, which loses all state.
      */
     std::int64_t startedAtMillis_ = 0;
 
     friend bool operator==(const ListedEndpoint &, const ListedEndpoint &) = default;
 };
 
-/** An endpoint's word on its load, as answers carry it. */
+/** Load that an endpoint reports in the headers of its responses. */
 struct LoadSample
 {
     int running_ = 0;
@@ -66,62 +66,65 @@
 struct Endpoint
 {
     ListedEndpoint listed_;
-    std::uint64_t idHash_ = 0;   ///< For its place in orders of endpoints.
-    bool isListed_ = true;      ///< False: its entry is gone and it gets no new work.
-    std::uint64_t lifetime_ = 0; ///< Counts the restarts that this instance has seen.
-
-    SlotUse slotUse_;           ///< By requests of ours without a whole answer, of this lifetime.
-    SlotUse peerSlotUse_;    ///< By the other instances'; told of engines that generate.
-    int openRequests_ = 0;         ///< Ours of all lifetimes: the entry is needed until they end.
-    PromptQueue queued_;        ///< Of this instance's requests.
-    PromptQueue peerQueued_; ///< Of the other instances', as they told.
-    double prefillSpeed_ = 1;   ///< Against what is expected of a usual engine.
+    std::uint64_t idHash_ = 0;   ///< nameHash() of the id, for rendezvousWeight().
+    bool isListed_ = true;       ///< False: its entry was removed and it gets no new work.
+    std::uint64_t lifetime_ = 0; ///< Number of restarts that this instance has seen.
+
+    SlotUse slotUse_;         ///< By this instance's unanswered requests to the current lifetime.
+    SlotUse peerSlotUse_;     ///< By other instances' requests, as reported for decode engines.
+    int openRequests_ = 0;    ///< This instance's, to any lifetime. The entry stays until 0.
+    PromptQueue queued_;      ///< Prompt tokens of this instance's requests.
+    PromptQueue peerQueued_;  ///< Prompt tokens of other instances' requests, as reported.
+    double prefillSpeed_ = 1; ///< Measured speed relative to the expected one.
     LoadSample load_;
     TimePoint loadAt_ {};
 
-    int failures_ = 0;           ///< In a row.
-    RecentCount recentSends_;    ///< Requests of ours.
-    RecentCount recentFailures_; ///< Of these, those that came to nothing.
-    double peerFailures_ = 0;    ///< The other instances' recent ones, as they told.
+    int failureScore_ = 0;       ///< Weighted failures since the last success.
+    RecentCount recentSends_;    ///< Requests of this instance.
+    RecentCount recentFailures_; ///< Failures among recentSends_.
+    double peerFailures_ = 0;    ///< Recent failures at other instances, as reported.
+    /** Circuit breaker: no new work until then, and then one trial request; empty: closed. */
     TimePoint circuitOpenUntil_ {};
-    TimePoint changingUntil_ {}; ///< It carries out an order until about then, and refuses work.
-    /** Requests of ours without a whole answer, of this lifetime. */
+    TimePoint changingUntil_ {}; ///< It carries out an order until about then and refuses work.
+    /** This instance's unanswered requests to the current lifetime. */
     int outstanding() const noexcept { return slotUse_.all(); }
-    /** Slots that requests of all instances take or wait for, as far as is known. */
+    /** Slots that requests of all instances occupy or wait for, as far as reported. */
     SlotUse fleetSlotUse() const noexcept;
-    /** Prompt tokens of all instances that it has still to read, up to an urgency. */
+    /** Queued prompt tokens of all instances, of urgency levels 0 to urgency. */
     std::int64_t fleetQueuedTokens(int urgency = UrgencyLevels - 1) const noexcept;
-    /** Recent failures of all instances' requests, as far as is known. */
+    /** Recent failures of all instances' requests, as far as reported. */
     double fleetFailures(TimePoint now) const { return recentFailures_.at(now) + peerFailures_; }
-    /** Nothing is known of it that fades or ends, and nobody has a request there. */
+    /** No requests, recent failures, pending probe or order: needs no periodic work. */
     bool isIdle(TimePoint now) const noexcept;
-    /** In a word, for metrics. */
+    /** State for metrics: leaving, draining, changing, unreachable, distrusted or usable. */
     std::string_view stateName(TimePoint now) const noexcept;
 
-    bool trialInFlight_ = false; ///< The one request that tests it again is on its way.
+    bool trialInFlight_ = false; ///< Half-open: one trial request is in flight.
 
     /**
-     * It could not be reached, or a peer said so. It gets no request until a connection to it
-     * stands: with requests as tests, each instance loses one at each of the engines that a cut
-     * or a crash took away, again and again.
+     * This instance or a peer could not reach the endpoint. It gets no request until a connection
+     * probe succeeds: if requests were the probes, each instance would keep losing one at every
+     * engine that a network partition or a crash took away.
      */
     bool awaitsProbe_ = false;
-    TimePoint probeAt_ {}; ///< When a connection is tried; far away while one is.
+    TimePoint probeAt_ {}; ///< When to start the next probe; max() while one is running.
     int failedProbes_ = 0;
-    TimePoint probeSucceededAt_ {};   ///< When a test last reached it.
-    TimePoint unreachableAt_ {}; ///< When a request of ours last found it away or silent.
-    TimePoint healthyAt_ {};     ///< When it last answered one.
+    TimePoint probeSucceededAt_ {}; ///< When a probe last succeeded.
+    TimePoint unreachableAt_ {};    ///< When a request of this instance last failed to connect or
+                                    ///< timed out.
+    TimePoint healthyAt_ {};        ///< When a request of this instance last succeeded.
 };
 
-/** What an answer, or its absence, says of an endpoint. */
+/** What a response, or its absence, says about an endpoint's health. */
 enum class HealthSignal {
-    Healthy,       ///< A whole answer of its own.
-    Overloaded,  ///< It refused for want of room.
-    Declined,   ///< It refused though it has room: it changes, or is another one than listed.
-    ServerError, ///< An answer 5xx of its own.
-    Broken,      ///< Connection reset or cut, or bytes that are no answer.
-    Unreachable, ///< No connection could be made.
-    TimedOut,      ///< No answer in the time that any sound endpoint needs.
+    Healthy,     ///< The endpoint itself sent a complete response.
+    Overloaded,  ///< It refused the request because it has no capacity left.
+    Declined,    ///< It refused the request despite free capacity: it is changing its stage, or is
+                 ///< not the listed endpoint.
+    ServerError, ///< The endpoint itself sent a 5xx response.
+    Broken,      ///< Connection reset or closed early, or a malformed response.
+    Unreachable, ///< The connection failed.
+    TimedOut,    ///< No response within the time that a healthy endpoint needs.
 };
 
 inline constexpr std::array<EnumName<HealthSignal>, 7> HealthSignalNames {{
@@ -134,67 +137,76 @@
     {HealthSignal::TimedOut, "silent"},
 }};
 
-/** What a new word of an endpoint came to. */
+/** Effect of EndpointTable::list(). */
 enum class ListingChange {
-    Unchanged,      ///< Nothing new, or the word of an earlier lifetime.
-    Changed,   ///< It changes what may be sent there.
-    Restarted, ///< It has started again and holds nothing of before.
+    Unchanged, ///< The entry is the same, or belongs to an earlier lifetime.
+    Changed,   ///< The endpoint is new or its entry has changed.
+    Restarted, ///< The endpoint was restarted and has lost its state.
 };
 
 class EndpointTable
 {
 public:
     /**
-     * Adds or changes an entry. After a restart all that was known of the endpoint is forgotten;
-     * an entry of an earlier lifetime, which may come late, changes nothing.
+     * Adds or updates an entry. A restart resets all state of the endpoint. A late entry of an
+     * earlier lifetime is ignored.
      */
     ListingChange list(const ListedEndpoint &listed, TimePoint now);
-    /** Its entry is gone. It is forgotten once nothing is outstanding. */
+    /**
+     * Marks an endpoint whose entry was removed; it is erased once it has no open requests. False
+     * if it is not listed.
+     */
     bool unlist(const EndpointId &id);
 
-    /** To change it: it is among the active ones from then on. */
+    /** Null if unknown. The non-const overload adds the endpoint to the active ones. */
     Endpoint *find(const EndpointId &id);
     const Endpoint *find(const EndpointId &id) const;
-    /** Those of a service that may get new work, in the order of their ids. */
+    /** Endpoints of a service that may get new work, ordered by id. */
     std::vector<const Endpoint *> usable(const ServiceId &service, TimePoint now) const;
-    /** How many instances send to these endpoints, about as much each. */
+    /** Number of instances that share these endpoints, assumed to send about the same load. */
     void setInstances(int count) { instances_ = count; }
-    /** Those of a service that are listed and not draining, trusted or not. */
+    /** Endpoints of a service that are listed and not draining, healthy or not. */
     std::vector<const Endpoint *> listed(const ServiceId &service) const;
     const std::map<EndpointId, Endpoint> &all() const noexcept { return endpoints_; }
     using Active = std::map<EndpointId, const Endpoint *>;
     /**
-     * Those with requests, failures, orders or tests of late, by whoever. What is done many times a
-     * second goes through these alone: most endpoints of a large fleet are idle.
+     * Endpoints that recently had requests, failures, orders or probes, of any instance. Work that
+     * is done many times a second iterates over these only: most endpoints of a large fleet are
+     * idle.
      */
     const Active &active() const noexcept { return active_; }
-    /** Takes those out of the active ones that are idle by now. */
+    /** Removes endpoints that have become idle from the active ones. */
     void deactivateIdle(TimePoint now);
 
-    /** An order was given to it, or a peer said so. */
+    /** The endpoint got an order from this instance or, as reported, from a peer. */
     void onChanging(const EndpointId &id, TimePoint until);
+    /** A request of this instance was sent. */
     void onSent(const EndpointId &id, int urgency, std::int64_t promptTokens, TimePoint now);
+    /** The prompt of a request has been prefilled and leaves the queue. */
     void onPrefilled(const EndpointId &id, int urgency, std::int64_t promptTokens);
-    /** A prompt that a usual engine reads in the expected time, its queue included, took this. */
+    /** Adds a prefill time, with the time expected of an engine of usual speed; both include the
+     * queue. */
     void onPrefillTime(const EndpointId &id, double expectedMillis, double milliseconds);
+    /** A request of this instance has ended, whatever its result. */
     void onClosed(const EndpointId &id, int urgency);
-    /** The same for a request that was sent before the endpoint restarted. */
+    /** As onClosed(), for a request that was sent before the endpoint restarted. */
     void onClosedOfEarlierLifetime(const EndpointId &id);
     void onLoad(const EndpointId &id, const LoadSample &load, TimePoint now);
-    /** A request that it took has heard nothing for long: a connection tells whether it is gone. */
+    /** An accepted request has got no data for long: schedules a probe of the endpoint. */
     void onSuspected(const EndpointId &id, TimePoint now);
-    /** A peer could not reach it: it is tested, unless it has answered us a moment ago. */
+    /** A peer could not reach it: schedules a probe unless it responded here a moment ago. */
     void onPeerReportedUnreachable(const EndpointId &id, TimePoint now);
-    /** Endpoints to try a connection to now. The result of each is told by onProbed(). */
+    /** Endpoints to probe by a connection now; report each result to onProbed(). */
     std::vector<EndpointId> takeDueProbes(TimePoint now);
     void onProbed(const EndpointId &id, bool reached, TimePoint now);
-    /** Those that get no work, as they fail far more often than the others of their stage. */
+    /** Endpoints without new work because they fail far more often than others of their stage. */
     std::vector<const Endpoint *> outliers(TimePoint now) const;
-    /** Endpoints that requests of this instance found away or silent a moment ago. */
+    /** Endpoints at which requests of this instance recently failed to connect or timed out. */
     std::vector<EndpointId> recentlyUnreachable(TimePoint now) const;
-    /** An engine with room could not fetch what another had read: either may be to blame. */
+    /** A decode engine with free capacity failed to fetch a prefilled prompt from source: counts a
+     * failure for both, as either may be at fault. */
     void onHandoverRefused(const EndpointId &source, const EndpointId &target, TimePoint now);
-    /** True when it was trusted and is not any more, or the other way round. */
+    /** True if the signal takes the endpoint out of service or brings it back. */
     bool onHealthSignal(const EndpointId &id, HealthSignal signal, TimePoint now);
 
 private:
@@ -202,16 +214,16 @@
     std::int64_t lastKnownStart(const EndpointId &id) const;
     static void restart(Endpoint &endpoint, TimePoint now);
     static void scheduleProbe(Endpoint &endpoint, TimePoint probeAt);
-    /** Those that may get new work by all that is known of each alone. */
+    /** Endpoints that may get new work, each judged by its own state alone. */
     std::vector<const Endpoint *> available(const ServiceId &service, TimePoint now) const;
     static void cancelProbe(Endpoint &endpoint);
-    /** Those of endpoints that fail far more often than the others of their stage. */
+    /** The given endpoints that fail far more often than the others of their stage. */
     std::vector<const Endpoint *> outliersAmong(const std::vector<const Endpoint *> &endpoints,
-                                          TimePoint now) const;
+                                                TimePoint now) const;
 
     std::map<EndpointId, Endpoint> endpoints_;
     Active active_;
-    /** Of endpoints that are forgotten: an entry of before must not bring them back. */
+    /** Start times of erased endpoints, so that late entries don't bring them back. */
     std::map<EndpointId, std::int64_t> lastStarts_;
     int instances_ = 1;
 };
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -8,18 +8,18 @@
 namespace almondridge::gateway {
 namespace {
 
-/** How far one piece of evidence goes. */
+/** Effect of a health signal on the circuit breaker. */
 struct HealthRule
 {
     HealthSignal signal_;
-    int failureWeight_;     ///< Added to the failures in a row; 0 clears them.
-    int openThreshold_; ///< From this many on it gets no work.
+    int failureWeight_; ///< Added to the failure score; 0 resets it and closes the circuit.
+    int openThreshold_; ///< Failure score from which on the circuit is open.
 };
 
 /**
- * Silence and a connection that cannot be made speak for themselves. Of broken connections the
- * second one stops new work, as a single one is also what a planned stop looks like. Errors need
- * more of them: a sound service fails some of its calls for reasons of its own.
+ * One timeout or one failed connection is enough to stop new work. It takes two broken connections,
+ * as a planned stop also breaks one, and eight server errors, as a healthy service fails some calls
+ * for reasons of its own.
  */
 constexpr std::array<HealthRule, 7> HealthRules {{
     {HealthSignal::Healthy, 0, 0},
@@ -27,32 +27,32 @@
     {HealthSignal::Declined, 8, 8},
     {HealthSignal::ServerError, 1, 8},
     {HealthSignal::Broken, 4, 8},
-    {HealthSignal::Unreachable, 0, 0}, // A connection of its own tests it.
+    {HealthSignal::Unreachable, 0, 0}, // Handled by probes.
     {HealthSignal::TimedOut, 8, 8},
 }};
 
-/** First time without work; doubles with each further failure. */
+/** First time for which the circuit stays open; doubles with further failures. */
 constexpr Duration InitialOpenTime = millis(300);
 constexpr Duration MaxOpenTime = millis(2'000);
 
-/** First time until an endpoint that was not reached is tried; doubles with each failed test. */
+/** Delay of the first probe of an unreachable endpoint; doubles with each failed probe. */
 constexpr Duration InitialProbeDelay = millis(150);
 constexpr Duration MaxProbeDelay = millis(1'200);
-/** Peers are told of an endpoint for this long: three notes of a large fleet, or more. */
+/** An endpoint is reported as unreachable for this long: three reports or more. */
 constexpr Duration UnreachableReportWindow = millis(1'000);
-/** An endpoint that answered us within this time is sound, whatever a peer met before. */
+/** A response within this time outweighs a peer's report that the endpoint is unreachable. */
 constexpr Duration MaxHealthyAge = millis(300);
 
-/** How much a new measurement counts for an engine's own speed. */
+/** Smoothing factor of an engine's measured speed. */
 constexpr double SpeedSmoothing = 0.1;
-/** Shorter reads tell fixed costs rather than the speed. */
+/** Shorter prefill times measure fixed costs rather than the speed. */
 constexpr double MinSampleMillis = 80;
-/** Speeds beyond these are measurements of something else: a stalled engine, or a cached prompt. */
+/** Speeds beyond these limits measure something else: a stalled engine, or a cached prompt. */
 constexpr double MinSpeed = 0.1;
 constexpr double MaxSpeed = 4;
-/** What is left of failures says nothing any more. */
+/** A decayed failure count below this is ignored. */
 constexpr double NegligibleFailures = 0.05;
-/** Forgotten endpoints whose last start is remembered: far more than leave within minutes. */
+/** Capacity for start times of erased endpoints: far more than leave within minutes. */
 constexpr std::size_t MaxRememberedStarts = 2'048;
 
 const HealthRule &ruleFor(HealthSignal signal)
@@ -64,7 +64,8 @@
 Duration openTimeFor(int failures, int openThreshold)
 {
     Duration openTime = InitialOpenTime;
-    for (int step = openThreshold; step < failures && openTime < MaxOpenTime; step += openThreshold / 2) {
+    for (int step = openThreshold; step < failures && openTime < MaxOpenTime;
+         step += openThreshold / 2) {
         openTime *= 2;
     }
     return std::min(openTime, MaxOpenTime);
@@ -86,7 +87,8 @@
 
 bool Endpoint::isIdle(TimePoint now) const noexcept
 {
-    const bool hasRequests = openRequests_ > 0 || fleetSlotUse().all() > 0 || fleetQueuedTokens() > 0;
+    const bool hasRequests =
+        openRequests_ > 0 || fleetSlotUse().all() > 0 || fleetQueuedTokens() > 0;
     const bool hasFailures = recentFailures_.at(now) >= NegligibleFailures
                              || peerFailures_ >= NegligibleFailures
                              || unreachableAt_ + UnreachableReportWindow > now;
@@ -113,7 +115,7 @@
 ListingChange EndpointTable::list(const ListedEndpoint &listed, TimePoint now)
 {
     const std::int64_t known = lastKnownStart(listed.id_);
-    // Old entries come late and in any order: only a later start is news.
+    // Old entries may arrive late and in any order: only a later start is a restart.
     if (listed.startedAtMillis_ != 0 && listed.startedAtMillis_ < known) {
         return ListingChange::Unchanged;
     }
@@ -124,7 +126,7 @@
     if (restarted) {
         restart(endpoint, now);
     } else if (!added && endpoint.listed_.stage_ != listed.stage_) {
-        endpoint.changingUntil_ = {}; // The order is done.
+        endpoint.changingUntil_ = {}; // The stage change is complete.
     }
     endpoint.listed_ = listed;
     endpoint.listed_.startedAtMillis_ = std::max(known, listed.startedAtMillis_);
@@ -139,7 +141,7 @@
     return changed ? ListingChange::Changed : ListingChange::Unchanged;
 }
 
-/** The latest start that was told of an endpoint, known or forgotten; 0: none. */
+/** Latest reported start time of an endpoint, even if it was erased; 0 if there is none. */
 std::int64_t EndpointTable::lastKnownStart(const EndpointId &id) const
 {
     if (const Endpoint *endpoint = find(id)) {
@@ -149,7 +151,7 @@
     return found != lastStarts_.end() ? found->second : 0;
 }
 
-/** Queues, load, trust and orders of the lifetime before say nothing of the new one. */
+/** Resets queues, load, health and orders, none of which carry over to a new process. */
 void EndpointTable::restart(Endpoint &endpoint, TimePoint now)
 {
     Endpoint fresh;
@@ -204,13 +206,14 @@
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::available(const ServiceId &service, TimePoint now) const
+std::vector<const Endpoint *> EndpointTable::available(const ServiceId &service,
+                                                       TimePoint now) const
 {
     std::vector<const Endpoint *> found = listed(service);
     std::erase_if(found, [&](const Endpoint *endpoint) {
-        // Distrusted until a time, and then until the one request that tests it was answered.
-        return endpoint->circuitOpenUntil_ > now || endpoint->trialInFlight_ || endpoint->awaitsProbe_
-               || endpoint->changingUntil_ > now;
+        // The circuit is open until a time, and then half-open until the trial request ends.
+        return endpoint->circuitOpenUntil_ > now || endpoint->trialInFlight_
+               || endpoint->awaitsProbe_ || endpoint->changingUntil_ > now;
     });
     return found;
 }
@@ -240,8 +243,8 @@
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::outliersAmong(const std::vector<const Endpoint *> &endpoints,
-                                                     TimePoint now) const
+std::vector<const Endpoint *>
+EndpointTable::outliersAmong(const std::vector<const Endpoint *> &endpoints, TimePoint now) const
 {
     std::vector<const Endpoint *> found;
     const bool anyFails = std::any_of(active_.begin(), active_.end(), [&](const auto &entry) {
@@ -343,7 +346,8 @@
         return;
     }
     if (lastStarts_.size() >= MaxRememberedStarts) {
-        lastStarts_.clear(); // A late entry that comes back is found out by its first request.
+        lastStarts_
+            .clear(); // If a late entry brings one back, its first request fails and stops it.
     }
     if (found->second.listed_.startedAtMillis_ != 0) {
         lastStarts_[id] = found->second.listed_.startedAtMillis_;
@@ -385,7 +389,7 @@
 void EndpointTable::onPeerReportedUnreachable(const EndpointId &id, TimePoint now)
 {
     Endpoint *endpoint = find(id);
-    // News is told in several notes, and by several peers: one test answers them all.
+    // Several reports of several peers name the same endpoint: one probe covers them all.
     if (endpoint != nullptr && endpoint->healthyAt_ + MaxHealthyAge < now
         && endpoint->probeSucceededAt_ + UnreachableReportWindow < now) {
         scheduleProbe(*endpoint, now);
@@ -419,7 +423,8 @@
     }
     ++endpoint->failedProbes_;
     constexpr int MaxDoublings = 3;
-    const Duration pause = InitialProbeDelay * (1 << std::min(endpoint->failedProbes_, MaxDoublings));
+    const Duration pause =
+        InitialProbeDelay * (1 << std::min(endpoint->failedProbes_, MaxDoublings));
     endpoint->probeAt_ = now + std::min(pause, MaxProbeDelay);
 }
 
@@ -428,8 +433,8 @@
     std::vector<EndpointId> found;
     for (const auto &[id, endpoint] : active_) {
         const bool isRecent = endpoint->unreachableAt_ != TimePoint {}
-                            && endpoint->unreachableAt_ + UnreachableReportWindow > now
-                            && endpoint->unreachableAt_ > endpoint->healthyAt_;
+                              && endpoint->unreachableAt_ + UnreachableReportWindow > now
+                              && endpoint->unreachableAt_ > endpoint->healthyAt_;
         if (isRecent && endpoint->isListed_) {
             found.push_back(id);
         }
@@ -453,7 +458,8 @@
     if (endpoint == nullptr) {
         return false;
     }
-    const bool wasAvailable = endpoint->circuitOpenUntil_ == TimePoint {} && !endpoint->awaitsProbe_;
+    const bool wasAvailable =
+        endpoint->circuitOpenUntil_ == TimePoint {} && !endpoint->awaitsProbe_;
     const HealthRule &rule = ruleFor(signal);
     endpoint->trialInFlight_ = false;
     if (signal == HealthSignal::Unreachable || signal == HealthSignal::TimedOut) {
@@ -464,23 +470,23 @@
         return wasAvailable;
     }
     if (signal == HealthSignal::TimedOut) {
-        scheduleProbe(*endpoint, now); // Hung or gone: a connection tells in a moment.
+        scheduleProbe(*endpoint, now); // Hung or gone: a probe shows which.
     }
     if (signal == HealthSignal::Healthy) {
         cancelProbe(*endpoint);
         endpoint->healthyAt_ = now;
     }
     if (rule.failureWeight_ == 0) {
-        endpoint->failures_ = 0;
+        endpoint->failureScore_ = 0;
         endpoint->circuitOpenUntil_ = {};
         return !wasAvailable;
     }
-    endpoint->failures_ += rule.failureWeight_;
+    endpoint->failureScore_ += rule.failureWeight_;
     endpoint->recentFailures_.add(1, now);
-    if (endpoint->failures_ < rule.openThreshold_) {
+    if (endpoint->failureScore_ < rule.openThreshold_) {
         return false;
     }
-    endpoint->circuitOpenUntil_ = now + openTimeFor(endpoint->failures_, rule.openThreshold_);
+    endpoint->circuitOpenUntil_ = now + openTimeFor(endpoint->failureScore_, rule.openThreshold_);
     return wasAvailable;
 }
 
