--- a/libs/gateway/include/almondridge/gateway/crashevidence.h
+++ b/libs/gateway/include/almondridge/gateway/crashevidence.h
@@ -1,11 +1,13 @@
 /**
- * Which requests crash the endpoints that run them, as far as the instances of a deployment know.
- * Pure: crashes of endpoints, completed runs, what other instances told and the time go in.
+ * Detects queries of death: requests that crash the endpoints that run them. Combines what this
+ * instance and its peers observe. No I/O and no clock: crashes of endpoints, completed runs, peers'
+ * updates and the current time are inputs.
  *
- * A crash cuts all requests on the endpoint, so being among them once says little. What counts is
- * at how many crashes a request was in flight without a completed run anywhere since, and how
- * likely each of these crashes was without it: of eleven endpoints that do the same work one seldom
- * crashes by itself, but where four crash at once many requests meet one by chance.
+ * A crash cuts all requests on the endpoint, so a single crash says little about each of them. What
+ * counts is the number of crashes at which a request was in flight without a completed run anywhere
+ * since, each weighted by how unlikely the crash was without it: of eleven endpoints that do the
+ * same work one seldom crashes alone, but if four crash at once, many requests are at one of them
+ * by chance.
  */
 #pragma once
 
@@ -24,27 +26,27 @@
 
 namespace almondridge::gateway {
 
-/** One lifetime of an endpoint, under a number that all instances agree on. */
+/** Identifies one lifetime of an endpoint; the same at all instances. */
 enum class CrashKey : std::uint64_t {};
 /** Endpoints that do the same work: of one service and, where it has stages, of one stage. */
 enum class CrashGroup : std::uint64_t {};
 
-/** An endpoint ended without having been told to leave. */
+/** An endpoint ended without having been drained. */
 struct EndpointCrash
 {
     CrashKey key_ {};
     CrashGroup group_ {};
-    int groupSize_ = 1; ///< Endpoints of the group before it ended.
+    int groupSize_ = 1; ///< Endpoints of the group before the crash.
     TimePoint at_ {};
 };
 
 enum class Suspicion {
     None,
-    Weak,        ///< One crash that few would have expected: runs where few others are.
-    Strong,      ///< One more crash would be enough: runs alone, once at a time.
+    Weak,        ///< One unlikely crash: runs at the least loaded endpoint.
+    Strong,      ///< One crash short of quarantine: runs alone, one run at a time.
     Quarantined, ///< It is not sent to any endpoint for now.
-    HalfOpen,    ///< It was quarantined; one run in the whole fleet tells whether it still crashes
-                 ///< endpoints.
+    HalfOpen,    ///< The quarantine is over: a single trial run in the whole fleet shows whether it
+                 ///< still crashes endpoints.
 };
 
 inline constexpr std::array<EnumName<Suspicion>, 5> SuspicionNames {{
@@ -55,25 +57,25 @@
     {Suspicion::HalfOpen, "half-open"},
 }};
 
-/** What is held against a request. */
+/** Suspicion against a request. */
 struct Assessment
 {
     Suspicion level_ = Suspicion::None;
     int crashes_ = 0;
-    double weight_ = 0; ///< Of these crashes together; 1 for each that nothing else explains.
+    double weight_ = 0; ///< Sum over these crashes; 1 for each that nothing else explains.
     TimePoint firstCrashAt_ {};
     TimePoint lastCrashAt_ {};
     TimePoint quarantinedUntil_ {};
 };
 
-/** Who runs a suspected request next. */
+/** Lease on running a suspected request; only its holder may start a run. */
 struct RunLease
 {
-    std::uint64_t holder_ = 0; ///< A number of the instance; the lowest one of several is right.
-    TimePoint at_ {};
+    std::uint64_t holder_ = 0; ///< Number of the instance; among concurrent leases the lowest wins.
+    TimePoint at_ {};          ///< When it was acquired or last renewed.
 };
 
-/** What an instance tells others. Ages instead of times: clocks of machines differ. */
+/** Message between instances. It has ages instead of times, as clocks of machines differ. */
 struct CrashUpdate
 {
     struct Crash
@@ -106,12 +108,12 @@
 class CrashEvidence
 {
 public:
-    /** An endpoint ended while these requests were on it. */
+    /** An endpoint crashed while these requests were in flight at it. */
     void onCrash(const EndpointCrash &crash, const std::vector<RequestKey> &inFlight,
                  TimePoint now);
     /**
-     * The request was answered whole: it is cleared of what happened before. True when something
-     * was held against it.
+     * The request got a complete response, which clears it of earlier crashes. True if there were
+     * any.
      */
     bool onCompleted(RequestKey key, TimePoint now);
     void onUpdate(const CrashUpdate &update, TimePoint now);
@@ -119,30 +121,31 @@
     Assessment assess(RequestKey key, TimePoint now) const;
 
     /**
-     * Asks for the lease to run a suspected request, as the instance of that number. False: another
-     * one has it. Whoever gets it waits until others had time to object, and asks holdsLease().
+     * Acquires the lease to run a suspected request for the instance with the number holder. False
+     * if there is a live lease. On success the caller must wait for concurrent leases of peers to
+     * arrive, and then check holdsLease().
      */
     bool acquireLease(RequestKey key, std::uint64_t holder, TimePoint now);
-    /** The run goes on; to be called more often than a lease lapses. */
+    /** Renews the lease of a run in progress; to be called well before the lease expires. */
     void renewLease(RequestKey key, std::uint64_t holder, TimePoint now);
-    /** Whether the run may begin. */
+    /** Whether the holder may start the run now. */
     bool holdsLease(RequestKey key, std::uint64_t holder, TimePoint now) const;
-    /** The run came to nothing that says anything. */
+    /** Gives the lease back after a run that was inconclusive. */
     void releaseLease(RequestKey key, std::uint64_t holder);
 
-    /** What is to be told in this round: each piece of news is told in a few rounds. */
+    /** The update to send in this gossip round; each item is part of a few rounds. */
     CrashUpdate takeUpdate(TimePoint now);
-    /** What matters most of all that is known, for instances that were away. */
+    /** The most suspicious requests and their leases, for instances that missed updates. */
     CrashUpdate mostSuspicious(TimePoint now) const;
-    /** All crashes with this request in flight. */
+    /** All crashes at which this request was in flight. */
     CrashUpdate crashesOf(RequestKey key, TimePoint now) const;
     /**
-     * Requests that came under strong suspicion with this instance's part in it, that more is held
-     * against, or that were cleared, since the last call: a fleet that loses power at once has
-     * nobody left to tell of them.
+     * Requests to store or remove from storage since the last call: those with a crash seen by this
+     * instance that are under strong suspicion and have new crashes, and those that were cleared.
+     * Without storage, a power loss of the whole fleet would lose them.
      */
     std::vector<RequestKey> takeChanges(TimePoint now);
-    /** Forgets what no longer says anything; to be called now and then. */
+    /** Removes expired entries; to be called periodically. */
     void removeExpired(TimePoint now);
 
     std::size_t suspects() const noexcept { return suspects_.size(); }
@@ -164,8 +167,8 @@
     struct Suspect
     {
         std::vector<Occurrence> occurrences_;
-        bool seenHere_ = false;            ///< One of them is this instance's.
-        std::size_t persistedCrashes_ = 0; ///< That takeChanges() told of.
+        bool seenHere_ = false;            ///< This instance saw one of the crashes.
+        std::size_t persistedCrashes_ = 0; ///< Number of crashes at the last takeChanges().
         TimePoint clearedAt_ {};
         int clearedRoundsLeft_ = 0;
     };
@@ -182,10 +185,11 @@
     Assessment assess(const Suspect &suspect, TimePoint now) const;
     bool isRenewed(const RunLease &known, const RunLease &received) const;
     bool isLive(const RunLease &lease, TimePoint now) const;
-    bool isWorthReporting(const Suspect &suspect, const Occurrence &occurrence, TimePoint now) const;
+    bool isWorthReporting(const Suspect &suspect, const Occurrence &occurrence,
+                          TimePoint now) const;
     void reportOccurrences(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &update);
     void reportCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight, TimePoint now,
-                   CrashUpdate &update) const;
+                     CrashUpdate &update) const;
     std::vector<RequestKey> rankedSuspects(TimePoint now) const;
     void enforceLimits(TimePoint now);
     void evictLeastSuspicious(TimePoint now);
@@ -196,7 +200,7 @@
     std::unordered_map<RequestKey, Suspect> suspects_;
     std::map<RequestKey, KnownLease> leases_;
     std::vector<RequestKey> clearedKeys_; ///< For takeChanges().
-    /** Completed runs of a moment ago: evidence from before them may come later. */
+    /** Recently completed runs: updates about crashes before them may arrive late. */
     std::unordered_map<RequestKey, TimePoint> completed_;
     std::deque<std::pair<TimePoint, RequestKey>> completedInOrder_;
 };
--- a/libs/gateway/include/almondridge/gateway/crashgossip.h
+++ b/libs/gateway/include/almondridge/gateway/crashgossip.h
@@ -1,10 +1,10 @@
 /**
- * Tells other instances which requests were in flight at endpoints that crashed. Pure: datagrams
- * and the time go in, datagrams come out.
+ * Gossip protocol that spreads CrashUpdate between instances. No I/O and no clock: datagrams and
+ * the current time are inputs, datagrams are outputs.
  *
- * News is told for a few rounds, in a small fleet to all, in a large one to a few peers that are
- * drawn anew each round and tell it on. Whatever loses all these rounds (a cut, a restart) is made
- * good by what is told of the most suspicious requests from time to time.
+ * Each item is sent in a few rounds: to all peers in a small fleet, and in a large one to a few
+ * random peers per round, which forward it. An instance that misses all these rounds (network
+ * partition, restart) catches up from the periodic updates on the most suspicious requests.
  */
 #pragma once
 
@@ -15,31 +15,31 @@
 
 namespace almondridge::gateway {
 
-/** Whether a datagram is one of these rather than one of the load's. */
+/** Whether a datagram holds a CrashMessage rather than a load report. */
 bool isCrashDatagram(std::string_view datagram);
 
 struct CrashMessage
 {
     InstanceId sender_;
-    bool requestsSnapshot_ = false; ///< The sender has just started and wants all that matters.
+    bool requestsSnapshot_ = false; ///< The sender has started and requests mostSuspicious().
     CrashUpdate update_;
 };
 
 std::string encodeCrashMessage(const CrashMessage &message);
-/** nullopt: it is none, or tells what cannot be. */
+/** nullopt if the datagram is malformed or has values out of range. */
 std::optional<CrashMessage> decodeCrashMessage(std::string_view datagram);
 
 class CrashGossip
 {
 public:
-    /** seed: of the peers that are drawn; differs from instance to instance. */
+    /** seed: for the selection of random peers; must differ between instances. */
     CrashGossip(CrashEvidence &evidence, InstanceId self, std::uint64_t seed);
 
-    /** All instances of the fleet; this one may be among them. */
+    /** Sets the instances of the fleet; this instance itself may be among them. */
     void setPeers(std::vector<InstanceId> peers);
-    /** What is to be sent now; to be called as often as the caller likes. */
+    /** Returns the datagrams that are due; the calling interval bounds the latency. */
     std::vector<MeshDatagram> tick(TimePoint now);
-    /** What is to be sent in answer goes to out. */
+    /** Processes a received datagram; appends responses to out. */
     Reception onDatagram(std::string_view datagram, TimePoint now, std::vector<MeshDatagram> &out);
 
 private:
@@ -53,7 +53,7 @@
     std::vector<InstanceId> peers_;
     TimePoint updateAt_ {};
     TimePoint repeatAt_ {};
-    TimePoint requestSnapshotUntil_ {}; ///< Since the first peers were known.
+    TimePoint requestSnapshotUntil_ {}; ///< Set when the first peers are known.
     TimePoint requestSnapshotAt_ {};
     bool receivedUpdate_ = false;
 };
--- a/libs/gateway/include/almondridge/gateway/requestkey.h
+++ b/libs/gateway/include/almondridge/gateway/requestkey.h
@@ -1,6 +1,6 @@
 /**
- * A number that is equal for equal requests and tells nothing of their text, so that it may stand
- * in logs and in messages between instances.
+ * Keyed hash of a request. Equal requests have equal keys, and a key reveals nothing about the
+ * request's text, so that it can appear in logs and in messages between instances.
  */
 #pragma once
 
@@ -12,17 +12,17 @@
 
 enum class RequestKey : std::uint64_t {};
 
-/** What makes two requests equal: the same bytes for an endpoint, whoever sends them and when. */
+/** The fields that make two requests equal: the bytes for the endpoint and the client account. */
 struct RequestIdentity
 {
     std::string_view host_;
     std::string_view method_;
     std::string_view target_;
     std::string_view body_;
-    std::string_view account_ {}; ///< Whose request it is; empty: nobody's.
+    std::string_view account_ {}; ///< Client account; empty if the request has none.
 };
 
-/** HMAC-SHA-256 with the secret that all instances of a deployment share, cut to 64 bits. */
+/** HMAC-SHA-256 with the secret that all instances of a deployment share, truncated to 64 bits. */
 RequestKey requestKey(std::string_view secret, const RequestIdentity &identity);
 
 /** Sixteen hexadecimal digits. */
--- a/libs/gateway/src/crashevidence.cpp
+++ b/libs/gateway/src/crashevidence.cpp
@@ -9,39 +9,39 @@
 namespace {
 
 constexpr int CrashesToQuarantine = 3;
-/** Reached by a third crash also where others coincide with some of the three. */
+/** Low enough for three crashes even if other crashes coincide with some of them. */
 constexpr double WeightToQuarantine = 2.0;
 constexpr int CrashesToSuspect = 2;
 constexpr double WeightToSuspect = 1.3;
-/** Who was seen at one crash of less weight is neither suspected nor told of. */
+/** A request with one crash of less weight is neither suspected nor reported to peers. */
 constexpr double MinWeight = 0.5;
 
-/** Crashes in one group within this time of each other may have one cause. */
+/** Crashes in one group within this time of each other may have a common cause. */
 constexpr Duration CoincidenceWindow = millis(250);
-/** Crashes of the same moment that other instances saw are told by then. */
+/** By then, peers have reported the crashes that coincide with this one. */
 constexpr Duration SettleDelay = millis(200);
 
-/** A request that was quarantined is not run for this long; doubles with each further crash. */
+/** Length of the first quarantine; doubles with each further crash. */
 constexpr Duration FirstQuarantine = millis(60'000);
 constexpr int MaxDoublings = 5;
-/** Until what is held against a request that is not quarantined is forgotten. */
+/** Crashes of a request that is not quarantined are forgotten after this time. */
 constexpr Duration EvidenceLifetime = millis(120'000);
 constexpr Duration CrashLifetime = millis(3'600'000);
-/** A run of which nothing was heard. */
+/** A lease that isn't renewed expires after this time. */
 constexpr Duration LeaseLifetime = millis(30'000);
-/** Evidence is late by the time that a message takes. */
+/** Upper bound of the time that an update takes, by which derived crash times may be late. */
 constexpr Duration MessageDelay = millis(500);
 constexpr Duration CompletedRetention = millis(10'000);
 
 constexpr std::size_t MaxSuspects = 4'096;
 constexpr std::size_t MaxCrashes = 4'096;
-constexpr std::size_t MaxOccurrences = 8; ///< Of one request.
+constexpr std::size_t MaxOccurrences = 8; ///< Per request.
 constexpr std::size_t MaxCompleted = 4'096;
 constexpr std::size_t MaxLeases = 256;
 
-/** Rounds in which a piece of news is told to some peers. */
+/** Gossip rounds in which an item is sent to some peers. */
 constexpr int GossipRounds = 4;
-/** Numbers in one message: a packet. */
+/** Numbers in one update, so that it fits into one packet. */
 constexpr std::size_t MaxNumbersPerUpdate = 90;
 
 std::size_t numberCount(const CrashUpdate &update)
@@ -87,7 +87,7 @@
     const auto completed = completed_.find(key);
     if (completed != completed_.end() && crashedAt <= completed->second + MessageDelay) {
         clear(key, completed->second);
-        suspects_[key].clearedRoundsLeft_ = GossipRounds; // Whoever told this is told of the run.
+        suspects_[key].clearedRoundsLeft_ = GossipRounds; // Tells the sender about the run.
         return;
     }
     Suspect &suspect = suspects_[key];
@@ -106,7 +106,7 @@
     suspect.occurrences_.push_back({crash, now, GossipRounds});
     const auto lease = leases_.find(key);
     if (lease != leases_.end() && lease->second.lease_.at_ <= crashedAt) {
-        leases_.erase(lease); // That run crashed an endpoint.
+        leases_.erase(lease); // The run under this lease crashed an endpoint.
     }
 }
 
@@ -131,8 +131,8 @@
         const auto crash = crashes_.find(one.crash_);
         return crash == crashes_.end() || crash->second.crash_.at_ <= at + MessageDelay;
     });
-    // What changes nothing here is not passed on: by the time that messages take it comes back
-    // a little younger from everybody who was told.
+    // An update that changes nothing here is not forwarded: the age it carries leaves out the time
+    // on the way, so each copy that comes back looks newer and would circulate forever.
     if (erased > 0 || suspect.clearedAt_ == TimePoint {}) {
         suspect.clearedRoundsLeft_ = GossipRounds;
     }
@@ -170,7 +170,8 @@
         clear(cleared.key_, now - millis(cleared.ageMillis_));
     }
     for (const CrashUpdate::Crash &received : update.crashes_) {
-        addCrash({received.key_, received.group_, received.groupSize_, now - millis(received.ageMillis_)});
+        addCrash({received.key_, received.group_, received.groupSize_,
+                  now - millis(received.ageMillis_)});
         for (const RequestKey key : received.inFlight_) {
             addOccurrence(key, received.key_, now);
         }
@@ -188,7 +189,7 @@
     enforceLimits(now);
 }
 
-/** 1: nothing else explains the crash; 0: all endpoints of the group crashed in that moment. */
+/** 1 if nothing else explains the crash; 0 if all endpoints of the group crashed at that time. */
 double CrashEvidence::weightOf(const Suspect &suspect, const EndpointCrash &crash) const
 {
     if (crash.groupSize_ <= 1) {
@@ -200,7 +201,8 @@
     };
     int others = 0;
     const auto last = crashesByTime_.upper_bound(crash.at_ + CoincidenceWindow);
-    for (auto near = crashesByTime_.lower_bound(crash.at_ - CoincidenceWindow); near != last; ++near) {
+    for (auto near = crashesByTime_.lower_bound(crash.at_ - CoincidenceWindow); near != last;
+         ++near) {
         const EndpointCrash &other = crashes_.at(near->second).crash_;
         others += other.group_ == crash.group_ && !involvesSuspect(other.key_) ? 1 : 0;
     }
@@ -242,7 +244,7 @@
     return found != suspects_.end() ? assess(found->second, now) : Assessment {};
 }
 
-/** By more than messages differ in their time on the way. */
+/** Whether the received lease is newer by more than messages differ in their delay. */
 bool CrashEvidence::isRenewed(const RunLease &known, const RunLease &received) const
 {
     return received.holder_ == known.holder_ && received.at_ > known.at_ + LeaseLifetime / 4;
@@ -274,7 +276,8 @@
 bool CrashEvidence::holdsLease(RequestKey key, std::uint64_t holder, TimePoint now) const
 {
     const auto known = leases_.find(key);
-    // Not begun late: others have to hear that it is renewed before they take it for lapsed.
+    // No run starts in the second half of the lease: peers must receive a renewal before they
+    // consider it expired.
     return known != leases_.end() && known->second.lease_.holder_ == holder
            && now < known->second.lease_.at_ + LeaseLifetime / 2;
 }
@@ -287,9 +290,9 @@
     }
 }
 
-/** A request that met one of many crashes is told only when it is seen again. */
+/** A request at one of many concurrent crashes is reported only after a second crash. */
 bool CrashEvidence::isWorthReporting(const Suspect &suspect, const Occurrence &occurrence,
-                                 TimePoint now) const
+                                     TimePoint now) const
 {
     if (suspect.occurrences_.size() > 1) {
         return true;
@@ -300,20 +303,23 @@
 }
 
 void CrashEvidence::reportCrash(const EndpointCrash &crash, std::optional<RequestKey> inFlight,
-                              TimePoint now, CrashUpdate &update) const
+                                TimePoint now, CrashUpdate &update) const
 {
-    auto place = std::find_if(update.crashes_.begin(), update.crashes_.end(),
-                              [&](const CrashUpdate::Crash &one) { return one.key_ == crash.key_; });
+    auto place =
+        std::find_if(update.crashes_.begin(), update.crashes_.end(),
+                     [&](const CrashUpdate::Crash &one) { return one.key_ == crash.key_; });
     if (place == update.crashes_.end()) {
         const std::int64_t age = std::max<std::int64_t>(0, toMillis(now - crash.at_));
-        place = update.crashes_.insert(place, {crash.key_, crash.group_, crash.groupSize_, age, {}});
+        place =
+            update.crashes_.insert(place, {crash.key_, crash.group_, crash.groupSize_, age, {}});
     }
     if (inFlight) {
         place->inFlight_.push_back(*inFlight);
     }
 }
 
-void CrashEvidence::reportOccurrences(Suspect &suspect, RequestKey key, TimePoint now, CrashUpdate &update)
+void CrashEvidence::reportOccurrences(Suspect &suspect, RequestKey key, TimePoint now,
+                                      CrashUpdate &update)
 {
     for (Occurrence &occurrence : suspect.occurrences_) {
         const auto crash = crashes_.find(occurrence.crash_);
@@ -340,7 +346,7 @@
             update.cleared_.push_back({key, toMillis(now - suspect.clearedAt_)});
         }
     }
-    // Those that were seen most often first: a flood of others must not delay them.
+    // Requests with several crashes first: a flood of others must not delay them.
     for (const bool often : {true, false}) {
         for (auto &[key, suspect] : suspects_) {
             if ((suspect.occurrences_.size() > 1) == often) {
@@ -464,8 +470,8 @@
     std::erase_if(suspects_, [&](const auto &entry) {
         const Suspect &suspect = entry.second;
         const Assessment known = assess(suspect, now);
-        // Once the quarantine is over it is remembered as long again: the next crash counts with
-        // these.
+        // After the quarantine the crashes are kept for the same time again, so that the next crash
+        // adds to them.
         const TimePoint quarantined =
             known.quarantinedUntil_ + (known.quarantinedUntil_ - known.lastCrashAt_);
         const TimePoint until = std::max({known.lastCrashAt_ + EvidenceLifetime, quarantined,
--- a/libs/gateway/src/crashgossip.cpp
+++ b/libs/gateway/src/crashgossip.cpp
@@ -9,9 +9,9 @@
 
 using Json = nlohmann::json;
 
-/** No CBOR array begins with it, so that it tells these datagrams from the load's. */
+/** First byte of these datagrams. Load reports begin with a CBOR array, which never has it. */
 constexpr char Marker = 'C';
-/** Twice as long as anything is remembered. */
+/** Twice the longest time for which crash evidence is kept. */
 constexpr std::int64_t MaxAgeMillis = 7'200'000;
 constexpr std::int64_t MaxGroupSize = 1'000'000;
 
@@ -19,7 +19,7 @@
 constexpr Duration RepeatInterval = millis(1'000);
 constexpr Duration SnapshotRequestInterval = millis(300);
 constexpr Duration SnapshotRequestPeriod = millis(5'000);
-/** In a fleet of up to so many instances each tells all others. */
+/** With up to this many peers, updates go to all of them. */
 constexpr std::size_t MaxBroadcastPeers = 12;
 constexpr std::size_t UpdateFanout = 3;
 constexpr std::size_t RepeatFanout = 2;
@@ -37,7 +37,7 @@
     return static_cast<std::uint64_t>(value);
 }
 
-/** An array of so many whole numbers, none negative. */
+/** Whether json is an array that begins with this many unsigned numbers. */
 bool isUnsignedArray(const Json &json, std::size_t size)
 {
     return json.is_array() && json.size() >= size
@@ -56,7 +56,8 @@
 std::optional<CrashUpdate::Crash> readCrash(const Json &json)
 {
     constexpr std::size_t Numbers = 4;
-    if (!isUnsignedArray(json, Numbers) || json.size() != Numbers + 1 || !json[Numbers].is_array()) {
+    if (!isUnsignedArray(json, Numbers) || json.size() != Numbers + 1
+        || !json[Numbers].is_array()) {
         return std::nullopt;
     }
     const auto size = bounded(json[2], 1, MaxGroupSize);
@@ -65,15 +66,15 @@
         return std::nullopt;
     }
     CrashUpdate::Crash crash {static_cast<CrashKey>(json[0].get<std::uint64_t>()),
-                            static_cast<CrashGroup>(json[1].get<std::uint64_t>()),
-                            static_cast<int>(*size), *age};
+                              static_cast<CrashGroup>(json[1].get<std::uint64_t>()),
+                              static_cast<int>(*size), *age};
     for (const Json &key : json[Numbers]) {
         crash.inFlight_.push_back(static_cast<RequestKey>(key.get<std::uint64_t>()));
     }
     return crash;
 }
 
-/** Each entry of a list, by read; false: one cannot be read. */
+/** Parses each entry of a list with read; false if one is malformed. */
 template <typename Entry, typename Read>
 bool readAll(const Json &list, std::vector<Entry> &entries, const Read &read)
 {
@@ -103,7 +104,7 @@
     const auto age = isUnsignedArray(json, 3) ? bounded(json[2], 0, MaxAgeMillis) : std::nullopt;
     return age ? std::optional(
                CrashUpdate::Lease {static_cast<RequestKey>(json[0].get<std::uint64_t>()),
-                                      json[1].get<std::uint64_t>(), *age})
+                                   json[1].get<std::uint64_t>(), *age})
                : std::nullopt;
 }
 
@@ -151,7 +152,8 @@
     const std::optional<Json> json =
         isCrashDatagram(datagram) ? fromCbor(datagram.substr(1)) : std::nullopt;
     if (!json || !json->is_array() || json->size() != at(Field::Count)
-        || !(*json)[at(Field::Sender)].is_string() || !(*json)[at(Field::RequestsSnapshot)].is_boolean()) {
+        || !(*json)[at(Field::Sender)].is_string()
+        || !(*json)[at(Field::RequestsSnapshot)].is_boolean()) {
         return std::nullopt;
     }
     CrashMessage message;
@@ -235,7 +237,7 @@
         return Reception::Unknown;
     }
     if (message->requestsSnapshot_) {
-        // Also when there is nothing to tell: who asks need not ask again.
+        // Responds even if there is nothing to report, so that the peer stops requesting.
         send({self_, false, evidence_.mostSuspicious(now)}, {message->sender_}, out);
         return Reception::Taken;
     }
--- a/libs/gateway/src/crashguard.cpp
+++ b/libs/gateway/src/crashguard.cpp
@@ -8,7 +8,7 @@
 namespace almondridge::gateway {
 namespace {
 
-/** All connections to an ended endpoint have broken by then. */
+/** By then, all connections to a crashed endpoint have broken. */
 constexpr Duration CrashRetention = millis(30'000);
 
 CrashKey crashKeyOf(const ListedEndpoint &listed)
@@ -23,7 +23,7 @@
         rendezvousWeight(listed.service_.value(), static_cast<std::uint64_t>(listed.stage_)));
 }
 
-/** One that was told to leave may close its connections, and is not sought for long. */
+/** An endpoint that is draining or unlisted may close its connections without a crash. */
 bool isExpectedToServe(const Endpoint *endpoint)
 {
     return endpoint != nullptr && endpoint->isListed_ && !endpoint->listed_.draining_;
@@ -50,8 +50,9 @@
     pendingProbes_[id].lifetime_ = lifetime;
     pendingProbes_[id].inFlight_.insert(key);
     if (!probeRunning) {
-        const TimePoint by = BootClock::now() + millis(gateway_.settings_.connectMillis_);
-        gateway_.client_.open(id.value(), endpoint->listed_.address_, by,
+        const TimePoint connectDeadline =
+            BootClock::now() + millis(gateway_.settings_.connectMillis_);
+        gateway_.client_.open(id.value(), endpoint->listed_.address_, connectDeadline,
                               [this, id](bool reached) { onProbed(id, reached); });
     }
 }
@@ -104,9 +105,10 @@
 int CrashGuard::groupSize(const Endpoint &endpoint) const
 {
     const auto sameService = gateway_.table_.listed(endpoint.listed_.service_);
-    return static_cast<int>(std::count_if(sameService.begin(), sameService.end(), [&](const Endpoint *one) {
-        return one->listed_.stage_ == endpoint.listed_.stage_;
-    }));
+    return static_cast<int>(
+        std::count_if(sameService.begin(), sameService.end(), [&](const Endpoint *one) {
+            return one->listed_.stage_ == endpoint.listed_.stage_;
+        }));
 }
 
 void CrashGuard::onCompleted(RequestKey key)
--- a/libs/gateway/src/crashguard.h
+++ b/libs/gateway/src/crashguard.h
@@ -1,6 +1,7 @@
 /**
- * Finds out which endpoints ended while requests of this instance were on them, and holds what is
- * known against requests.
+ * Detects crashes of endpoints that have requests of this instance, and feeds them to the crash
+ * evidence. A broken connection is followed by a probe: only an endpoint that can't be reached
+ * counts as crashed.
  */
 #pragma once
 
@@ -19,10 +20,11 @@
 public:
     explicit CrashGuard(GatewayState &gateway);
 
-    /** A request's connection to an endpoint broke, or was silent until the request ended. */
+    /** A request's connection to an endpoint broke, or got no data until the request ended. */
     void onConnectionBroken(const EndpointId &id, std::uint64_t lifetime, RequestKey key);
-    /** A connection to the endpoint could not be made. */
+    /** A connection to the endpoint failed. */
     void onConnectFailed(const EndpointId &id);
+    /** The request got a complete response. */
     void onCompleted(RequestKey key);
 
     Assessment assess(RequestKey key) const;
@@ -34,7 +36,7 @@
     CrashEvidence &evidence() noexcept { return evidence_; }
 
 private:
-    /** Requests whose connections to an endpoint broke, until it is known whether it has ended. */
+    /** Requests whose connections to an endpoint broke, while the endpoint is being probed. */
     struct PendingProbe
     {
         std::uint64_t lifetime_ = 0;
@@ -47,9 +49,9 @@
 
     GatewayState &gateway_;
     CrashEvidence evidence_;
-    std::uint64_t leaseHolder_; ///< Of this instance, among those that want to run a request.
+    std::uint64_t leaseHolder_; ///< Random number of this instance, for RunLease.
     std::map<EndpointId, PendingProbe> pendingProbes_;
-    /** Ends that this instance has found out; later breaks need no test. */
+    /** Crashes that this instance has detected; later broken connections need no probe. */
     std::map<CrashKey, EndpointCrash> knownCrashes_;
 };
 
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -346,8 +346,8 @@
         return;
     }
     if (lastStarts_.size() >= MaxRememberedStarts) {
-        lastStarts_
-            .clear(); // If a late entry brings one back, its first request fails and stops it.
+        // If a late entry brings an endpoint back, its first request fails and takes it out.
+        lastStarts_.clear();
     }
     if (found->second.listed_.startedAtMillis_ != 0) {
         lastStarts_[id] = found->second.listed_.startedAtMillis_;
--- a/libs/gateway/src/requestkey.cpp
+++ b/libs/gateway/src/requestkey.cpp
@@ -9,7 +9,7 @@
 namespace almondridge::gateway {
 namespace {
 
-/** The length goes first: without it "a" + "bc" and "ab" + "c" would be equal. */
+/** Prefixes the field with its length: otherwise "a" + "bc" and "ab" + "c" would be equal. */
 void addField(std::string &text, std::string_view field)
 {
     const std::uint64_t length = field.size();
