--- a/libs/gateway/tests/crashevidencetest.cpp
+++ b/libs/gateway/tests/crashevidencetest.cpp
@@ -25,7 +25,7 @@
 
 BOOST_AUTO_TEST_SUITE(CrashEvidenceOfOneInstance)
 
-/** Guards against a request that crashes engine after engine because nobody counts. */
+/** Guards against a request that crashes engine after engine because the crashes aren't counted. */
 BOOST_AUTO_TEST_CASE(threeCrashesWithoutACompletedRunQuarantineARequest)
 {
     CrashEvidence evidence;
@@ -43,8 +43,8 @@
     BOOST_TEST((evidence.assess(request(8), third).level_ == Suspicion::Weak));
 }
 
-/** The same crash told again, by other instances and later, is one crash. */
-BOOST_AUTO_TEST_CASE(oneEndCountsOnce)
+/** Repeated and late reports of a crash must count as one crash. */
+BOOST_AUTO_TEST_CASE(crashReportedRepeatedlyCountsOnce)
 {
     CrashEvidence evidence;
     for (std::int64_t age = 0; age < 5; ++age) {
@@ -58,8 +58,8 @@
     BOOST_TEST(evidence.assess(request(7), Start).crashes_ == 1);
 }
 
-/** A popular request is in flight at each crash, and is answered whole elsewhere all the time. */
-BOOST_AUTO_TEST_CASE(aCompletedRunClearsOfWhatWasBefore)
+/** A popular request may be in flight at many crashes while it completes elsewhere. */
+BOOST_AUTO_TEST_CASE(completedRunClearsEarlierCrashes)
 {
     CrashEvidence evidence;
     for (int crash = 1; crash <= 2; ++crash) {
@@ -71,8 +71,8 @@
     BOOST_TEST(evidence.assess(request(7), later).crashes_ == 1);
 }
 
-/** News of a crash that comes after the completed run that was under way when it happened. */
-BOOST_AUTO_TEST_CASE(evidenceFromBeforeACompletedRunComesTooLate)
+/** An update about a crash may arrive after a later completed run and must not count. */
+BOOST_AUTO_TEST_CASE(crashBeforeACompletedRunIsIgnored)
 {
     CrashEvidence evidence;
     evidence.onCompleted(request(7), Start + millis(3'000));
@@ -87,8 +87,8 @@
     BOOST_TEST(evidence.takeUpdate(Start + millis(4'000)).cleared_.size() == 1);
 }
 
-/** A release may mend the endpoints: one run tells, and a failed one doubles the wait. */
-BOOST_AUTO_TEST_CASE(quarantineEndsAndComesBackForLonger)
+/** A new release may fix the endpoints: a trial run decides, and a failed one doubles the time. */
+BOOST_AUTO_TEST_CASE(quarantineEndsAndReturnsForLonger)
 {
     CrashEvidence evidence;
     TimePoint last = Start;
@@ -109,10 +109,10 @@
 }
 
 /**
- * Guards against quarantining innocents of mass failures: three times in a row 30% of all engines
- * crash at once, each with 30 streams, which their callers send again at once.
+ * Guards against quarantining innocent requests after mass failures: three times in a row, 30% of
+ * all engines crash at once, each with 30 streams, which their callers retry immediately.
  */
-BOOST_AUTO_TEST_CASE(nobodyIsQuarantinedForThreeMassFailures)
+BOOST_AUTO_TEST_CASE(threeMassFailuresQuarantineNoRequest)
 {
     for (const int engines : {11, 18, 90, 140}) {
         for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -145,11 +145,11 @@
 }
 
 /**
- * Guards against quarantining what many callers ask: one crash a second somewhere in a large fleet
- * for a minute, equal requests on up to half of the engines at any time, each answered whole after
- * two seconds where its engine lives on.
+ * Guards against quarantining popular requests: one crash per second somewhere in a large fleet for
+ * a minute, with equal requests on up to half of the engines at any time, each of which completes
+ * after two seconds unless its engine crashes.
  */
-BOOST_AUTO_TEST_CASE(popularRequestsAreNotQuarantinedForACrashASecond)
+BOOST_AUTO_TEST_CASE(popularRequestsAreNotQuarantined)
 {
     constexpr int Engines = 140;
     constexpr double RunSeconds = 2;
@@ -183,8 +183,9 @@
     }
 }
 
-/** A flood of unique requests in crashes: memory is bounded, and what was seen twice stays. */
-BOOST_AUTO_TEST_CASE(aFloodOfSuspectsDropsTheLeastSuspicious)
+/** A flood of unique requests in crashes must neither exceed the memory limit nor evict a request
+ * that was seen at several crashes. */
+BOOST_AUTO_TEST_CASE(floodOfSuspectsEvictsTheLeastSuspicious)
 {
     constexpr std::size_t MaxSuspects = 4'096;
     constexpr std::uint64_t Crashes = 400;
@@ -208,8 +209,8 @@
     BOOST_TEST(evidence.assess(guilty, now).crashes_ == 3);
 }
 
-/** A suspected request runs once at a time. */
-BOOST_AUTO_TEST_CASE(aTurnIsTakenByOneInstance)
+/** Guards against concurrent runs of a suspected request: one instance holds the lease. */
+BOOST_AUTO_TEST_CASE(leaseIsHeldByOneInstance)
 {
     CrashEvidence evidence;
     BOOST_TEST(evidence.acquireLease(request(7), 5, Start));
@@ -220,8 +221,8 @@
     BOOST_TEST(evidence.acquireLease(request(7), 5, Start + millis(60'000)));
 }
 
-/** Guards against a run that begins as its lease lapses, when another instance takes the next. */
-BOOST_AUTO_TEST_CASE(aLeaseThatIsAboutToLapseBeginsNoRun)
+/** Guards against a run that starts when its lease is about to expire and pass to a peer. */
+BOOST_AUTO_TEST_CASE(leaseThatIsAboutToExpireStartsNoRun)
 {
     CrashEvidence evidence;
     evidence.acquireLease(request(7), 5, Start);
@@ -229,8 +230,8 @@
     BOOST_TEST(!evidence.holdsLease(request(7), 5, Start + millis(20'000)));
 }
 
-/** A run that lasts longer than a lease is told of again, and no second one is begun. */
-BOOST_AUTO_TEST_CASE(aLastingRunKeepsItsLease)
+/** Guards against a second run while the first one outlasts the lease: renewals must be sent. */
+BOOST_AUTO_TEST_CASE(longRunKeepsItsLease)
 {
     CrashEvidence here;
     CrashEvidence there;
--- a/libs/gateway/tests/crashgossiptest.cpp
+++ b/libs/gateway/tests/crashgossiptest.cpp
@@ -20,10 +20,10 @@
 {
     return {static_cast<CrashKey>(number), static_cast<CrashGroup>(1), groupSize, at};
 }
-/** Until all instances in touch must know a request that has ended its third endpoint. */
+/** By then, all reachable instances must quarantine a request after its third crash. */
 constexpr Duration ConvergenceBound = millis(3'000);
 
-/** Instances that tell each other by datagrams, some of which are lost, late or come twice. */
+/** Instances that exchange datagrams, some of which are lost, delayed or duplicated. */
 class Fleet
 {
 public:
@@ -111,7 +111,8 @@
         for (const MeshDatagram &datagram : datagrams) {
             maxDatagramBytes_ = std::max(maxDatagramBytes_, datagram.bytes_.size());
             bytes_ += datagram.bytes_.size();
-            if (partitioned_.contains(from) != partitioned_.contains(datagram.to_) || happens(lossRate_)) {
+            if (partitioned_.contains(from) != partitioned_.contains(datagram.to_)
+                || happens(lossRate_)) {
                 continue;
             }
             const int copies = happens(duplicateRate_) ? 2 : 1;
@@ -149,8 +150,8 @@
 
 BOOST_AUTO_TEST_SUITE(CrashEvidenceOfAFleet)
 
-/** Three instances saw one crash each: all know within the bound, in a small and a large fleet. */
-BOOST_AUTO_TEST_CASE(crashesSeenByThreeInstancesAreAddedUp)
+/** Three instances see one crash each: all must quarantine the request within the bound. */
+BOOST_AUTO_TEST_CASE(crashesSeenByThreeInstancesAddUp)
 {
     for (const int size : {3, 9, 80, 195}) {
         for (std::uint64_t seed = 0; seed < 5; ++seed) {
@@ -169,8 +170,8 @@
     }
 }
 
-/** The same with datagrams that are lost, late, repeated and out of order. */
-BOOST_AUTO_TEST_CASE(lostAndLateNewsIsMadeGood)
+/** Updates must spread despite datagrams that are lost, late, duplicated or out of order. */
+BOOST_AUTO_TEST_CASE(lostAndLateUpdatesAreRecovered)
 {
     for (const int size : {9, 195}) {
         for (std::uint64_t seed = 0; seed < 5; ++seed) {
@@ -190,7 +191,7 @@
     }
 }
 
-/** The instance that told first dies, another one starts again without a memory. */
+/** Updates must survive the death of the first sender and the restart of another instance. */
 BOOST_AUTO_TEST_CASE(deathsAndRestartsLoseNothing)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
@@ -211,8 +212,8 @@
     }
 }
 
-/** A failure domain is cut off while the others learn, saw one of the crashes, and comes back. */
-BOOST_AUTO_TEST_CASE(aDomainThatWasCutOffLearnsOnceItIsBack)
+/** A partitioned failure domain saw one of the crashes; all must converge when it is back. */
+BOOST_AUTO_TEST_CASE(partitionedDomainConvergesWhenItIsBack)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
         Fleet fleet(80, seed);
@@ -234,8 +235,8 @@
     }
 }
 
-/** A completed run at one instance clears at all, whoever saw the crashes. */
-BOOST_AUTO_TEST_CASE(aCompletedRunAnywhereClearsEverywhere)
+/** A completed run at one instance must clear the request at all of them. */
+BOOST_AUTO_TEST_CASE(completedRunClearsTheRequestEverywhere)
 {
     Fleet fleet(80, 1);
     fleet.runUntil(Start + millis(6'000));
@@ -250,8 +251,8 @@
     BOOST_TEST(fleet.noneRefuses(request(7)));
 }
 
-/** An instance that never completes a popular request learns each time that others did. */
-BOOST_AUTO_TEST_CASE(whoNeverCompletesARequestIsToldThatOthersDo)
+/** An instance that sees only crashes of a popular request must learn that peers complete it. */
+BOOST_AUTO_TEST_CASE(instanceWithOnlyCrashesLearnsOfCompletedRuns)
 {
     Fleet fleet(9, 1);
     fleet.runUntil(Start + millis(6'000));
@@ -265,8 +266,8 @@
     }
 }
 
-/** Guards against news that is passed on for ever, a little younger each time it arrives. */
-BOOST_AUTO_TEST_CASE(aClearedRequestIsNotToldForEver)
+/** Guards against updates that circulate forever because their age shrinks on each hop. */
+BOOST_AUTO_TEST_CASE(clearedRequestIsNotReportedForever)
 {
     for (const int size : {9, 80}) {
         Fleet fleet(size, 1);
@@ -283,9 +284,8 @@
     }
 }
 
-/** Once the quarantine is over, of all instances that are asked at one moment one runs the request.
- */
-BOOST_AUTO_TEST_CASE(oneInstanceOfAllTriesAgain)
+/** After the quarantine, several instances ask for the lease at once: exactly one may run it. */
+BOOST_AUTO_TEST_CASE(oneInstanceRunsTheTrial)
 {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
         Fleet fleet(80, seed);
@@ -307,8 +307,8 @@
     }
 }
 
-/** Datagrams fit into a packet, and a mass failure of a large fleet costs a bounded sum. */
-BOOST_AUTO_TEST_CASE(aMassFailureIsToldInSmallDatagrams)
+/** A mass failure of a large fleet must not exceed the packet size or the traffic limit. */
+BOOST_AUTO_TEST_CASE(massFailureIsReportedInSmallDatagrams)
 {
     constexpr std::size_t Packet = 1'472;
     constexpr int Instances = 195;
@@ -331,8 +331,8 @@
     BOOST_TEST(bytesPerInstance < 60'000U);
 }
 
-/** Anybody may send datagrams: what cannot be is dropped whole. */
-BOOST_AUTO_TEST_CASE(unreadableNewsIsDropped)
+/** Guards against datagrams from anyone: malformed ones must be dropped as a whole. */
+BOOST_AUTO_TEST_CASE(malformedUpdatesAreDropped)
 {
     CrashMessage message {InstanceId("a"), false, {}};
     message.update_.crashes_.push_back(
@@ -352,7 +352,7 @@
     for (int round = 0; round < 20'000; ++round) {
         std::string bytes = whole;
         bytes[1 + random() % (bytes.size() - 1)] = static_cast<char>(random());
-        decodeCrashMessage(bytes); // Whatever it reads, it returns.
+        decodeCrashMessage(bytes); // Must return, whatever the bytes are.
     }
     message.update_.crashes_.front().groupSize_ = 0;
     BOOST_TEST(!decodeCrashMessage(encodeCrashMessage(message)).has_value());
--- a/libs/gateway/tests/decisiontest.cpp
+++ b/libs/gateway/tests/decisiontest.cpp
@@ -30,7 +30,7 @@
 
 BOOST_AUTO_TEST_SUITE(Decisions)
 
-BOOST_AUTO_TEST_CASE(theLongestPrefixOfTheHostDecides)
+BOOST_AUTO_TEST_CASE(longestPathPrefixOfTheHostMatches)
 {
     const auto config = Config::Builder()
                             .route(route("short", "a.example", "/x/"))
@@ -46,24 +46,24 @@
 }
 
 /**
- * A burst: engines have seconds of prompts to read. Callers that will have left before their first
- * event are told when to come back; an estimate that is a little over their time refuses nobody.
+ * In a burst, prompts queue for seconds. Requests whose caller will have given up are rejected with
+ * a retry delay; an estimate slightly above the caller's time must not reject.
  */
-BOOST_AUTO_TEST_CASE(onlyACallerThatSurelyLeavesFirstIsToldToComeBack)
+BOOST_AUTO_TEST_CASE(onlyRequestsThatAreSurelyTooLateAreShed)
 {
     Route chat = route("chat", "h", "/");
     chat.objectiveMillis_ = 600;
     chat.gapObjectiveMillis_ = 200;
-    const TimePoint leaves = expectedAbandonTime(chat, at(0), at(5'000));
-    BOOST_TEST((leaves == at(2'400)));
+    const TimePoint abandonAt = expectedAbandonTime(chat, at(0), at(5'000));
+    BOOST_TEST((abandonAt == at(2'400)));
     BOOST_TEST((expectedAbandonTime(chat, at(0), at(1'000)) == at(1'000)));
-    BOOST_TEST(!shedRetryAfterMillis(3'000, leaves, at(0)).has_value());
-    BOOST_TEST(*shedRetryAfterMillis(3'200, leaves, at(0)) == 800);
-    BOOST_TEST(*shedRetryAfterMillis(60'000, leaves, at(0)) == 1'000);
-    BOOST_TEST(*shedRetryAfterMillis(50, leaves, at(2'390)) == 200);
+    BOOST_TEST(!shedRetryAfterMillis(3'000, abandonAt, at(0)).has_value());
+    BOOST_TEST(*shedRetryAfterMillis(3'200, abandonAt, at(0)) == 800);
+    BOOST_TEST(*shedRetryAfterMillis(60'000, abandonAt, at(0)) == 1'000);
+    BOOST_TEST(*shedRetryAfterMillis(50, abandonAt, at(2'390)) == 200);
 }
 
-BOOST_AUTO_TEST_CASE(eventsAreCutAtTheirEnds)
+BOOST_AUTO_TEST_CASE(eventStreamIsSplitAtEventBoundaries)
 {
     EventSplitter splitter;
     BOOST_TEST(splitter.feed("id: 1\ndata: a\n").empty());
@@ -73,29 +73,27 @@
     BOOST_TEST(splitter.rest() == "id: 3\nda");
 }
 
-/**
- * Nine instances repeat a sound share of their requests while a service fails. Each one alone
- * keeps to the allowance, and so do all together, without talking to each other.
+/** While a service fails, all instances retry; without coordination they must keep to one budget.
  */
-BOOST_AUTO_TEST_CASE(allInstancesTogetherKeepToTheAllowance)
+BOOST_AUTO_TEST_CASE(allInstancesTogetherKeepToTheRetryBudget)
 {
     constexpr int Instances = 9;
     constexpr int RequestsEach = 100;
-    double sends = 0;
+    double retries = 0;
     for (int instance = 0; instance < Instances; ++instance) {
         RetryBudget budget({0.2, 58, 10'000});
         budget.setInstances(Instances);
         for (int request = 0; request < RequestsEach; ++request) {
             budget.onRequest(at(request * 100LL));
-            sends += budget.take(at(request * 100LL)) ? 1 : 0;
-            sends += budget.take(at(request * 100LL)) ? 1 : 0;
+            retries += budget.take(at(request * 100LL)) ? 1 : 0;
+            retries += budget.take(at(request * 100LL)) ? 1 : 0;
         }
     }
-    BOOST_TEST(sends <= 0.2 * Instances * RequestsEach + 58);
-    BOOST_TEST(sends > 0.1 * Instances * RequestsEach);
+    BOOST_TEST(retries <= 0.2 * Instances * RequestsEach + 58);
+    BOOST_TEST(retries > 0.1 * Instances * RequestsEach);
 }
 
-BOOST_AUTO_TEST_CASE(whatWasSpentComesBackWhenItsWindowHasPassed)
+BOOST_AUTO_TEST_CASE(spentRetriesReturnAfterTheWindow)
 {
     RetryBudget budget({0, 4, 10'000});
     BOOST_TEST(budget.take(at(0)));
@@ -105,7 +103,7 @@
     BOOST_TEST(budget.take(at(11'000)));
 }
 
-BOOST_AUTO_TEST_CASE(theFirstHolderOfAllMayOrderAtOnce)
+BOOST_AUTO_TEST_CASE(firstHolderGetsTheLeaseAtOnce)
 {
     Authority authority({3'000, 1'000, 500}, at(0));
     authority.onNamed(true, at(0), at(10));
@@ -117,11 +115,10 @@
 }
 
 /**
- * The store names another instance without a word to the one before. That one goes on giving
- * orders until it asks again; the new holder must not give any in the same time, or engines get
- * orders of two holders.
+ * The store names a new holder without notifying the old one, which gives orders until it asks
+ * again. Guards against engines that get orders of two holders at the same time.
  */
-BOOST_AUTO_TEST_CASE(aLaterHolderWaitsUntilTheOneBeforeMustKnow)
+BOOST_AUTO_TEST_CASE(nextHolderWaitsForTheOldLeaseToExpire)
 {
     Authority before({3'000, 1'000, 500}, at(0));
     before.onNamed(true, at(0), at(5));
@@ -139,10 +136,10 @@
 }
 
 /**
- * A holder is frozen for longer than its term and wakes. By its own clock its right is over, and
- * when the store names it again it needs a new and higher fence first.
+ * A holder is frozen for longer than its term. Its lease must have expired when it resumes, and it
+ * must claim a new, higher fence when the store names it again.
  */
-BOOST_AUTO_TEST_CASE(aHolderThatWakesHasNoRightLeft)
+BOOST_AUTO_TEST_CASE(resumedHolderHasNoLease)
 {
     Authority authority({3'000, 1'000, 500}, at(0));
     authority.onNamed(true, at(0), at(5));
@@ -153,8 +150,8 @@
     BOOST_TEST(!authority.right(at(9'005)).has_value());
 }
 
-// Guards against a report that is due while a new holder waits for nothing.
-BOOST_AUTO_TEST_CASE(whereFencesAreCheckedANewHolderDoesNotWait)
+// Guards against a needless wait of a new holder, during which a due report is missed.
+BOOST_AUTO_TEST_CASE(newHolderDoesNotWaitIfFencesAreChecked)
 {
     Authority after({3'000, 1'000, 500, true}, at(0));
     after.onNamed(true, at(60'000), at(60'005));
@@ -162,9 +159,9 @@
     BOOST_TEST(after.right(at(60'010)).has_value());
 }
 
-// Guards against two holders that act by turns within a term, as the store names one, then the
-// other.
-BOOST_AUTO_TEST_CASE(aHolderThatIsNamedAnewWaitsForItsOwnEarlierRight)
+// Guards against two holders that act alternately within a term because the store names one, then
+// the other.
+BOOST_AUTO_TEST_CASE(returningHolderWaitsForItsEarlierLease)
 {
     Authority turns({3'000, 1'000, 500, true}, at(0));
     turns.onNamed(true, at(60'000), at(60'005));
@@ -179,8 +176,8 @@
     BOOST_TEST(turns.right(at(66'000)).has_value());
 }
 
-// Guards against the same after a restart, which remembers nothing of the right before it.
-BOOST_AUTO_TEST_CASE(aRestartedInstanceWaitsAsIfItHadActed)
+// Guards against two holders at a time after a restart, which loses the memory of an earlier lease.
+BOOST_AUTO_TEST_CASE(restartedInstanceWaitsForAPossibleEarlierLease)
 {
     Authority restarted({3'000, 1'000, 500, true}, at(60'000));
     restarted.onNamed(true, at(62'500), at(62'505));
@@ -190,7 +187,7 @@
     BOOST_TEST(restarted.right(at(64'600)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aHolderThatAnEngineKnowsToBeOvertakenStops)
+BOOST_AUTO_TEST_CASE(holderStopsWhenAnEngineReportsAHigherFence)
 {
     Authority authority({3'000, 1'000, 500}, at(0));
     authority.onNamed(true, at(0), at(5));
--- a/libs/gateway/tests/endpointtest.cpp
+++ b/libs/gateway/tests/endpointtest.cpp
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(Endpoints)
 
-BOOST_AUTO_TEST_CASE(aDrainingOrUnlistedEndpointGetsNoNewWork)
+BOOST_AUTO_TEST_CASE(drainingOrUnlistedEndpointGetsNoNewWork)
 {
     EndpointTable table = fleet(0, 3);
     ListedEndpoint draining = engine(0, Stage::Decode);
@@ -22,9 +22,9 @@
     BOOST_TEST(usable.front()->listed_.id_.value() == "engine-2");
 }
 
-// With 10,000 endpoints an instance of an eighth of a core spends a third of it on going through
-// all of them twenty times a second, though it has requests at two or three.
-BOOST_AUTO_TEST_CASE(onlyEndpointsWithSomethingToTellAreActive)
+// Guards against iterating over all endpoints twenty times a second: with 10,000 of them that takes
+// a third of an instance's eighth of a core, though only two or three have requests.
+BOOST_AUTO_TEST_CASE(onlyEndpointsWithRecentEventsAreActive)
 {
     constexpr int Engines = 10'000;
     EndpointTable table = fleet(Engines / 5, Engines - Engines / 5);
@@ -49,7 +49,7 @@
     BOOST_TEST(table.active().empty());
 }
 
-BOOST_AUTO_TEST_CASE(anUnlistedEndpointIsKnownUntilItsLastRequestEnds)
+BOOST_AUTO_TEST_CASE(unlistedEndpointIsKeptUntilItsLastRequestEnds)
 {
     EndpointTable table = fleet(0, 1);
     const EndpointId id("engine-0");
@@ -61,15 +61,11 @@
 }
 
 /**
- * An endpoint goes dark: connections to it break or stay silent. It is left alone for a time that
- * grows, then one request tests it, and only its sound answer brings the others back.
+ * An engine crashes and restarts under the same id. Guards against counting earlier requests,
+ * cached parts and orders for the new process, which then got no work or too many uncached prompts,
+ * and against a late entry of the earlier lifetime.
  */
-/**
- * An engine crashes and starts again under its old id. Requests of before are still counted as its
- * queue, its parts as cached, and an order as on its way: it got no work, or prompts that it had
- * to read whole. The entry of the earlier lifetime comes once more, late.
- */
-BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdForgetsAllThatWasKnown)
+BOOST_AUTO_TEST_CASE(restartUnderTheSameIdResetsAllState)
 {
     EndpointTable table;
     ListedEndpoint listed = engine(1, Stage::Prefill);
@@ -96,7 +92,7 @@
     BOOST_TEST((table.list(listed, at(2)) == ListingChange::Unchanged));
     BOOST_TEST(table.find(id)->listed_.startedAtMillis_ == 2'000);
     table.unlist(id);
-    BOOST_TEST((table.find(id) != nullptr)); // The request of before has not ended.
+    BOOST_TEST((table.find(id) != nullptr)); // The request to the earlier lifetime has not ended.
     table.onClosedOfEarlierLifetime(id);
     BOOST_TEST((table.find(id) == nullptr));
     BOOST_TEST((table.list(listed, at(3)) == ListingChange::Unchanged));
@@ -104,8 +100,8 @@
     BOOST_TEST((table.list(again, at(4)) == ListingChange::Changed));
 }
 
-/** An engine that begins to tell when it started has not restarted. */
-BOOST_AUTO_TEST_CASE(aStartThatIsToldForTheFirstTimeIsNoRestart)
+/** The first entry with a start time must not count as a restart. */
+BOOST_AUTO_TEST_CASE(firstReportedStartTimeIsNoRestart)
 {
     EndpointTable table;
     ListedEndpoint listed = engine(1, Stage::Prefill);
@@ -119,7 +115,11 @@
     BOOST_TEST(table.find(listed.id_)->listed_.startedAtMillis_ == 1'000);
 }
 
-BOOST_AUTO_TEST_CASE(aDistrustedEndpointIsTestedByOneRequest)
+/**
+ * Guards against a herd of requests to an endpoint whose connections break: after the circuit was
+ * open for a while, only one trial request may go there, until it succeeds.
+ */
+BOOST_AUTO_TEST_CASE(halfOpenCircuitAdmitsOneRequest)
 {
     EndpointTable table = fleet(0, 1);
     const EndpointId id("engine-0");
@@ -134,11 +134,10 @@
 }
 
 /**
- * A failure domain is cut off with a third of the engines. Requests as tests would lose one at
- * each of them, at each instance, every two seconds: a connection tests them instead, less and
- * less often.
+ * A network partition takes a third of the engines away. With requests as probes, each instance
+ * would lose one at each of them every two seconds; connection probes with backoff must be used.
  */
-BOOST_AUTO_TEST_CASE(anEndpointThatWasNotReachedIsTestedByConnectionsOnly)
+BOOST_AUTO_TEST_CASE(unreachableEndpointIsProbedByConnectionsOnly)
 {
     EndpointTable table = fleet(0, 2);
     const EndpointId id("engine-0");
@@ -161,10 +160,10 @@
 }
 
 /**
- * A crash takes engines away that each instance would have to find out about by itself, with one
- * request each. What a peer says is checked, not believed: it may be the one that is cut off.
+ * Guards against each instance losing a request at a crashed engine that a peer already reported. A
+ * report only triggers a probe, as the peer may be the one that is partitioned.
  */
-BOOST_AUTO_TEST_CASE(whatAPeerDidNotReachIsTestedBeforeTheNextRequest)
+BOOST_AUTO_TEST_CASE(endpointUnreachableForAPeerIsProbedBeforeTheNextRequest)
 {
     EndpointTable table = fleet(0, 3);
     PeerLoads loads;
@@ -176,9 +175,9 @@
     BOOST_TEST((table.takeDueProbes(at(1'000)) == std::vector {EndpointId("engine-0")}));
     table.onProbed(EndpointId("engine-0"), true, at(1'004));
     BOOST_TEST(table.usable(Models, at(1'004)).size() == 3U);
-    BOOST_TEST(table.recentlyUnreachable(at(1'004)).empty()); // Hearsay is not passed on.
+    BOOST_TEST(table.recentlyUnreachable(at(1'004)).empty()); // Peers' reports are not forwarded.
     note.number_ = 2;
-    loads.onNote(note, table, at(1'400)); // The same news again: it was tested.
+    loads.onNote(note, table, at(1'400)); // The same report again: no second probe.
     BOOST_TEST(!table.find(EndpointId("engine-0"))->awaitsProbe_);
     table.onHealthSignal(EndpointId("engine-2"), HealthSignal::TimedOut, at(2'000));
     BOOST_TEST((table.recentlyUnreachable(at(2'500)) == std::vector {EndpointId("engine-2")}));
@@ -186,11 +185,11 @@
 }
 
 /**
- * A sixth of the engines resets four requests in ten and answers the others, and each of eighty
- * instances meets one of them every three seconds. No instance sees failures in a row, and a
- * hundred streams a second were lost for six seconds. Together the instances see them at once.
+ * A sixth of the engines reset four requests in ten. Each of eighty instances uses one of them
+ * every three seconds and sees no failures in a row; a hundred streams a second were lost for six
+ * seconds. The failures that all instances report must reveal these engines.
  */
-BOOST_AUTO_TEST_CASE(anEngineThatFailsFarMoreThanTheOthersIsLeftOutByAllInstances)
+BOOST_AUTO_TEST_CASE(failureOutlierIsExcludedByAllInstances)
 {
     EndpointTable table = fleet(0, 12);
     table.setInstances(8);
@@ -206,7 +205,7 @@
     for (int peer = 0; peer < 7; ++peer) {
         LoadNote note {InstanceId("peer-" + std::to_string(peer)), 1, 1};
         note.failures_[EndpointId("engine-1")] = 0.9; // 6 of some 16 requests.
-        note.failures_[EndpointId("engine-2")] = 0.5; // 3.5: as any endpoint may have.
+        note.failures_[EndpointId("engine-2")] = 0.5; // 3.5: normal for any endpoint.
         loads.onNote(*decodeNote(encodeNote(note)), table, at(10));
     }
     const auto usable = table.usable(Models, at(20));
@@ -222,19 +221,19 @@
     BOOST_TEST(table.outliers(at(3'000)).empty());
 }
 
-/** Errors that all endpoints of a service have alike are its own: nobody is left out for them. */
-BOOST_AUTO_TEST_CASE(failuresThatAllHaveAlikeTakeNobodyOut)
+/** Errors that all endpoints of a service have alike must not take any of them out. */
+BOOST_AUTO_TEST_CASE(commonFailuresExcludeNoEndpoint)
 {
     BOOST_TEST(failingFarMore({9, 8, 10, 9, 11, 9}, 20).empty());
     BOOST_TEST((failingFarMore({9, 0, 1, 0, 1, 0}, 20) == std::vector<std::size_t> {0}));
     BOOST_TEST(failingFarMore({9, 0, 1, 0, 1, 0}, 60).empty()); // A seventh of its requests.
     BOOST_TEST(failingFarMore({9, 0}, 20).empty());
     BOOST_TEST(failingFarMore({}, 20).empty());
-    // At most three in ten: the others have to carry the load.
+    // At most three in ten, as the others have to carry the load.
     BOOST_TEST(failingFarMore({9, 8, 7, 6, 0, 0, 0, 0, 0, 0}, 20).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(errorsOfItsOwnTakeAnEndpointOutOnlyInARow)
+BOOST_AUTO_TEST_CASE(onlyConsecutiveServerErrorsOpenTheCircuit)
 {
     EndpointTable table = fleet(0, 1);
     const EndpointId id("engine-0");
--- a/libs/gateway/tests/enginefleet.h
+++ b/libs/gateway/tests/enginefleet.h
@@ -1,5 +1,5 @@
 /**
- * Fleets of engines for tests of decisions.
+ * Engine fleets for tests.
  */
 #pragma once
 
@@ -30,7 +30,7 @@
     return listed;
 }
 
-/** prefill engines that read, then decode engines that generate, over three failure domains. */
+/** A fleet of prefill engines, then decode engines, spread over three failure domains. */
 inline EndpointTable fleet(int prefill, int decode)
 {
     constexpr std::array<const char *, 3> Domains {"a", "b", "c"};
--- a/libs/gateway/tests/placementtest.cpp
+++ b/libs/gateway/tests/placementtest.cpp
@@ -11,8 +11,8 @@
 
 BOOST_AUTO_TEST_SUITE(Placements)
 
-/** Two instances that never talked send prompts with the same shared part to the same engine. */
-BOOST_AUTO_TEST_CASE(instancesAgreeOnWhereAPartIsRead)
+/** Instances must agree on the engine for a shared part without any communication. */
+BOOST_AUTO_TEST_CASE(instancesAgreeOnTheEngineForAPart)
 {
     const EndpointTable table = fleet(12, 6);
     const Placement one({DomainId("a")});
@@ -32,10 +32,10 @@
 }
 
 /**
- * All prompts of a service begin with one of a few common texts, longer than what follows. Placed
- * by that text they would all meet on a few engines while the others idle.
+ * Guards against placement by a long common prefix (a system prompt): all prompts would go to a few
+ * engines while the others idle.
  */
-BOOST_AUTO_TEST_CASE(aCommonBeginningDoesNotGatherAllPrompts)
+BOOST_AUTO_TEST_CASE(commonPrefixDoesNotConcentratePrompts)
 {
     const EndpointTable table = fleet(12, 6);
     const Placement placement({DomainId("a")});
@@ -49,67 +49,69 @@
     BOOST_TEST(prompts.size() == 12U);
 }
 
-/** One part is asked for far more than the others: its engine's queue sends prompts elsewhere. */
-BOOST_AUTO_TEST_CASE(aLongQueueIsWorthReadingAPartAgain)
+/** A popular part overloads its engine: a long queue there must send prompts to another one. */
+BOOST_AUTO_TEST_CASE(longQueueIsWorthRecomputingAPart)
 {
     EndpointTable table = fleet(12, 6);
     Placement placement({DomainId("a")});
-    const auto home = *planFor(placement, table, promptWith(1))->prefill_;
-    placement.onPromptSent(table.find(home)->listed_, promptWith(1), at(0));
-    table.onSent(home, 1, 20'000, at(0));
-    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == home));
-    table.onSent(home, 1, 30'000, at(0));
-    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != home));
+    const auto firstEngine = *planFor(placement, table, promptWith(1))->prefill_;
+    placement.onPromptSent(table.find(firstEngine)->listed_, promptWith(1), at(0));
+    table.onSent(firstEngine, 1, 20'000, at(0));
+    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == firstEngine));
+    table.onSent(firstEngine, 1, 30'000, at(0));
+    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != firstEngine));
 }
 
 /**
- * A home of many parts has crashed, and another engine is their home now. Each part was read whole
- * again, a quarter of all that a loaded fleet read, while an engine beside it had it in memory.
+ * Guards against recomputing parts on a new engine, after a crash of theirs, while another engine
+ * has them cached. That recomputing was a quarter of a loaded fleet's prefill work.
  */
-BOOST_AUTO_TEST_CASE(aNewHomeCopiesPartsFromAnEngineThatHasThem)
+BOOST_AUTO_TEST_CASE(newReplicaCopiesCachedParts)
 {
     EndpointTable table = fleet(12, 6);
     Placement placement({DomainId("a")});
     const Prompt prompt = promptWith(1);
-    const EndpointId home = *planFor(placement, table, prompt)->prefill_;
-    placement.onPromptSent(table.find(home)->listed_, prompt, at(-5'000));
-    BOOST_TEST(!planFor(placement, table, prompt)->copyFrom_.has_value()); // It has them itself.
-    table.onSent(home, 1, 60'000, at(0));
+    const EndpointId firstEngine = *planFor(placement, table, prompt)->prefill_;
+    placement.onPromptSent(table.find(firstEngine)->listed_, prompt, at(-5'000));
+    BOOST_TEST(!planFor(placement, table, prompt)
+                    ->copyFrom_.has_value()); // The engine has the parts itself.
+    table.onSent(firstEngine, 1, 60'000, at(0));
     const PromptPlan elsewhere = *planFor(placement, table, prompt);
-    BOOST_TEST((*elsewhere.prefill_ != home));
-    BOOST_TEST((elsewhere.copyFrom_ == home));
-    // What was sent to be read a moment ago is not there to be copied yet.
+    BOOST_TEST((*elsewhere.prefill_ != firstEngine));
+    BOOST_TEST((elsewhere.copyFrom_ == firstEngine));
+    // A prompt that was sent a moment ago is not prefilled yet and can't be copied.
     Placement recent({DomainId("a")});
-    recent.onPromptSent(table.find(home)->listed_, prompt, at(-200));
+    recent.onPromptSent(table.find(firstEngine)->listed_, prompt, at(-200));
     BOOST_TEST(!planFor(recent, table, prompt)->copyFrom_.has_value());
-    // Short parts are read as fast as a copy is set up.
+    // Prefilling short parts is as fast as setting up a copy.
     const Prompt shorter = promptWith(2, 500);
-    placement.onPromptSent(table.find(home)->listed_, shorter, at(-5'000));
+    placement.onPromptSent(table.find(firstEngine)->listed_, shorter, at(-5'000));
     BOOST_TEST(!planFor(placement, table, shorter)->copyFrom_.has_value());
 }
 
-/** An instance that was started anew knows no parts, and learns that the others have read them. */
-BOOST_AUTO_TEST_CASE(howOftenUnknownPartsAreCachedIsLearned)
+/** After a restart an instance has an empty index: it must learn how often parts are cached. */
+BOOST_AUTO_TEST_CASE(hitRateOfUnknownPartsIsLearned)
 {
     const EndpointTable table = fleet(12, 6);
     Placement placement({DomainId("a")});
-    const Prompt prompt = promptWith(1); // 13,000 shared tokens and 3,000 of its own.
+    const Prompt prompt = promptWith(1); // 13,000 shared tokens and 3,000 unshared ones.
     const Endpoint &engine = *table.find(EndpointId("engine-0"));
-    const auto readIn = [&](double milliseconds) {
+    const auto uncachedTokensAfter = [&](double milliseconds) {
         for (int sample = 0; sample < 40; ++sample) {
-            placement.onUnknownPartsPrefilled(RequestCosts::assumed(), engine, prompt, 0, milliseconds);
+            placement.onUnknownPartsPrefilled(RequestCosts::assumed(), engine, prompt, 0,
+                                              milliseconds);
         }
         return planFor(placement, table, prompt)->uncachedTokens_;
     };
-    BOOST_TEST(readIn(60) < 3'500);
-    BOOST_TEST(readIn(320) > 15'000);
+    BOOST_TEST(uncachedTokensAfter(60) < 3'500);
+    BOOST_TEST(uncachedTokensAfter(320) > 15'000);
 }
 
 /**
- * A burst of long prompts: more arrive than can be read in time. Read in the order of arrival all
- * of them would be late; those that cannot be in time any more give way to those that can.
+ * In a burst more prompts arrive than can be prefilled in time. Guards against service in order of
+ * arrival, which makes all of them late: late ones must yield to those that can be in time.
  */
-BOOST_AUTO_TEST_CASE(aPromptThatCannotBeInTimeGoesBehindThoseThatCan)
+BOOST_AUTO_TEST_CASE(latePromptsYieldToPromptsInTime)
 {
     EndpointTable table = fleet(1, 1);
     const Placement placement({DomainId("a")});
@@ -127,27 +129,27 @@
     BOOST_TEST(next->queuedTokens_ == 0);
 }
 
-/** Speeds of sound engines differ by chance: only a really slow one loses its cached parts. */
-BOOST_AUTO_TEST_CASE(onlyASlowEngineLosesItsPrompts)
+/** Measured speeds of healthy engines vary by chance: only a really slow one loses prompts. */
+BOOST_AUTO_TEST_CASE(onlySlowEnginesLosePrompts)
 {
     EndpointTable table = fleet(12, 6);
     const Placement placement({DomainId("a")});
-    const auto home = *planFor(placement, table, promptWith(1))->prefill_;
+    const auto firstEngine = *planFor(placement, table, promptWith(1))->prefill_;
     for (int sample = 0; sample < 30; ++sample) {
         for (int number = 0; number < 12; ++number) {
             const EndpointId id("engine-" + std::to_string(number));
-            table.onPrefillTime(id, 200, id == home ? 220 : 180);
+            table.onPrefillTime(id, 200, id == firstEngine ? 220 : 180);
         }
     }
-    table.onSent(home, 1, 10'000, at(0));
-    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == home));
+    table.onSent(firstEngine, 1, 10'000, at(0));
+    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ == firstEngine));
     for (int sample = 0; sample < 30; ++sample) {
-        table.onPrefillTime(home, 200, 2'000);
+        table.onPrefillTime(firstEngine, 200, 2'000);
     }
-    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != home));
+    BOOST_TEST((planFor(placement, table, promptWith(1))->prefill_ != firstEngine));
 }
 
-BOOST_AUTO_TEST_CASE(aHandedOverPromptStaysInItsFailureDomainWhileThereIsRoom)
+BOOST_AUTO_TEST_CASE(handoverStaysInTheFailureDomainWhileThereIsRoom)
 {
     EndpointTable table = fleet(0, 6);
     const Placement placement({DomainId("a")});
@@ -163,11 +165,11 @@
 }
 
 /**
- * A fifth of the generating engines moves memory eight times as slowly. They run few requests, so
- * they look empty, and each instance meets one of them only every few seconds: their callers
- * waited a second for the first event. What the others have waiting there tells it at once.
+ * Decode engines with slow links run few requests and look idle, and each instance rarely uses one:
+ * callers waited a second for the first event. Guards against ignoring the queues that peers report
+ * there.
  */
-BOOST_AUTO_TEST_CASE(anEngineWherePromptsWaitForTheirFirstEventGetsNoMore)
+BOOST_AUTO_TEST_CASE(decodeEngineWithQueuedPromptsIsAvoided)
 {
     EndpointTable table = fleet(0, 3);
     Placement placement({DomainId("a")});
@@ -188,8 +190,8 @@
     }
 }
 
-/** All engines are idle: instances that each take the first one would all take the same one. */
-BOOST_AUTO_TEST_CASE(idleEnginesAreTakenInAnyOrder)
+/** Guards against all instances choosing the same one of several idle engines. */
+BOOST_AUTO_TEST_CASE(idleEnginesAreChosenByTieBreaker)
 {
     const EndpointTable table = fleet(0, 9);
     const Placement placement({DomainId("a")});
@@ -198,15 +200,15 @@
         taken.insert(
             placement.chooseDecodeEngine(table, {Models, DomainId("b")}, ticket, at(0))->engine_);
     }
-    BOOST_TEST(taken.size() == 3U); // Those of the failure domain that the prompt lies in.
+    BOOST_TEST(taken.size() == 3U); // The engines of the prompt's failure domain.
 }
 
 /**
- * A burst of short prompts with long answers: more come than the generating engines have slots
- * for. Served in the order of arrival, each waits until it is just too late, and all are: one
- * second of a day had 161 of 1,364 in time. Those that cannot be in time have to be told apart.
+ * A burst of short prompts with long answers exceeds the decode slots. Served in order of arrival,
+ * nearly all requests are late (161 of 1,364 were in time in one second). The estimated waits must
+ * let late requests be told apart.
  */
-BOOST_AUTO_TEST_CASE(aRequestIsToldHowLongItWaitsForASlot)
+BOOST_AUTO_TEST_CASE(slotWaitIsEstimated)
 {
     EndpointTable table = fleet(0, 1);
     const EndpointId id("engine-0");
@@ -220,14 +222,14 @@
     for (int request = 0; request < 64; ++request) {
         table.onSent(id, 0, 0, at(0));
     }
-    BOOST_TEST(choose().waitMillis_ == 10); // One of 64 slots gets free each 10 ms.
+    BOOST_TEST(choose().waitMillis_ == 10); // One of 64 slots is freed every 10 ms.
     PeerLoads loads;
     LoadNote note;
     note.sender_ = InstanceId("peer");
     note.number_ = 1;
     note.slotUse_[id] = {20, 44};
     loads.onNote(*decodeNote(encodeNote(note)), table, at(0));
-    BOOST_TEST(choose().waitMillis_ == 210); // The late ones of the peer wait behind.
+    BOOST_TEST(choose().waitMillis_ == 210); // Late requests of the peer wait behind.
     BOOST_TEST(choose().lateWaitMillis_ == 650);
     BOOST_TEST(choose().full_);
     table.onClosed(id, 0);
--- a/libs/gateway/tests/prompts.h
+++ b/libs/gateway/tests/prompts.h
@@ -1,4 +1,4 @@
-/** Prompts and where they are placed, for tests of decisions. */
+/** Helpers for tests that place prompts. */
 #pragma once
 
 #include "enginefleet.h"
--- a/libs/gateway/tests/requestcoststest.cpp
+++ b/libs/gateway/tests/requestcoststest.cpp
@@ -14,15 +14,16 @@
 }
 
 /**
- * Reads of both sizes by an engine with these costs. Of one in four another instance's prompt was
- * read at the same time.
+ * Adds samples of short and long prompts of an engine with these costs. During one in four, the
+ * engine prefilled a prompt of another instance too.
  */
-void readSome(RequestCosts &costs, double fixedMillis, double millisPerToken)
+void addSamples(RequestCosts &costs, double fixedMillis, double millisPerToken)
 {
     for (int read = 0; read < 300; ++read) {
         const std::int64_t tokens = read % 3 == 0 ? 4'000 + 40 * read : 100 + 5 * read;
         const double shared = read % 4 == 1 ? 1.8 : 1;
-        costs.onUncontendedPrefill(tokens, shared * (fixedMillis + millisPerToken * double(tokens)));
+        costs.onUncontendedPrefill(tokens,
+                                   shared * (fixedMillis + millisPerToken * double(tokens)));
     }
 }
 
@@ -31,33 +32,33 @@
 BOOST_AUTO_TEST_SUITE(Costs)
 
 /**
- * Engines that read 15, 40 or 150 tokens a millisecond. By one assumed rate prompts at the slow
- * ones were late by seconds, and half of the fast ones' time was planned for nobody.
+ * Guards against one assumed prefill rate for engines of 15, 40 or 150 tokens per millisecond: it
+ * made prompts at slow engines seconds late and left half of the fast ones' capacity unused.
  */
-BOOST_AUTO_TEST_CASE(theReadingRateOfAnyEngineIsLearnt)
+BOOST_AUTO_TEST_CASE(prefillRateIsLearned)
 {
     for (const double tokensPerMilli : {15.0, 40.0, 150.0}) {
         RequestCosts costs;
-        BOOST_TEST(costs.prefillMillis(10'000) > 0); // Sensible before the first read.
-        readSome(costs, 25, 1 / tokensPerMilli);
+        BOOST_TEST(costs.prefillMillis(10'000) > 0); // Plausible before the first sample.
+        addSamples(costs, 25, 1 / tokensPerMilli);
         BOOST_TEST(costs.prefillComputeMillis(10'000) == 10'000 / tokensPerMilli,
                    boost::test_tools::tolerance(0.15));
         BOOST_TEST(costs.prefillMillis(300) < 25 + 300 / tokensPerMilli + 20);
     }
 }
 
-/** An engine that stood still for seconds says nothing of how it reads. */
-BOOST_AUTO_TEST_CASE(aStalledReadChangesNothing)
+/** A sample of an engine that stalled for seconds must not change the estimate. */
+BOOST_AUTO_TEST_CASE(stalledPrefillIsIgnored)
 {
     RequestCosts costs;
-    readSome(costs, 25, 0.025);
+    addSamples(costs, 25, 0.025);
     const double before = costs.prefillMillis(5'000);
     costs.onUncontendedPrefill(300, 8'000);
     costs.onUncontendedPrefill(0, 20);
     BOOST_TEST(costs.prefillMillis(5'000) == before);
 }
 
-BOOST_AUTO_TEST_CASE(answersOfEachRouteHaveTheirOwnLength)
+BOOST_AUTO_TEST_CASE(generationTimeIsLearnedPerRoute)
 {
     RequestCosts costs;
     for (int answer = 0; answer < 200; ++answer) {
@@ -70,7 +71,8 @@
     BOOST_TEST(costs.generateMillis("new") > 0);
 }
 
-/** The first second of a day, a steady rate, and the end of it. */
+/** Demand rises within two seconds of the first request, stays steady, and decays after the last.
+ */
 BOOST_AUTO_TEST_CASE(demandIsTheRateOfTheLastSeconds)
 {
     DemandMeter meter;
@@ -85,8 +87,8 @@
     BOOST_TEST(meter.at(at(60'000)).all() < 0.02);
 }
 
-/** A burst of three seconds among quiet ones: its height has to be seen while it lasts. */
-BOOST_AUTO_TEST_CASE(aBurstIsSeenAtNearlyItsHeight)
+/** The meter must show nearly the peak of a burst of three seconds while it lasts. */
+BOOST_AUTO_TEST_CASE(burstIsSeenAtNearlyItsPeak)
 {
     DemandMeter meter;
     double most = 0;
