--- a/libs/gateway/include/almondridge/gateway/endpoints.h
+++ b/libs/gateway/include/almondridge/gateway/endpoints.h
@@ -184,8 +184,10 @@
     void onSent(const EndpointId &id, int urgency, std::int64_t promptTokens, TimePoint now);
     /** The prompt of a request has been prefilled and leaves the queue. */
     void onPrefilled(const EndpointId &id, int urgency, std::int64_t promptTokens);
-    /** Adds a prefill time, with the time expected of an engine of usual speed; both include the
-     * queue. */
+    /**
+     * Adds a prefill time, with the time expected of an engine of usual speed; both include the
+     * queue.
+     */
     void onPrefillTime(const EndpointId &id, double expectedMillis, double milliseconds);
     /** A request of this instance has ended, whatever its result. */
     void onClosed(const EndpointId &id, int urgency);
@@ -203,14 +205,16 @@
     std::vector<const Endpoint *> outliers(TimePoint now) const;
     /** Endpoints at which requests of this instance recently failed to connect or timed out. */
     std::vector<EndpointId> recentlyUnreachable(TimePoint now) const;
-    /** A decode engine with free capacity failed to fetch a prefilled prompt from source: counts a
-     * failure for both, as either may be at fault. */
+    /**
+     * A decode engine with free capacity failed to fetch a prefilled prompt from source: counts a
+     * failure for both, as either may be at fault.
+     */
     void onHandoverRefused(const EndpointId &source, const EndpointId &target, TimePoint now);
     /** True if the signal takes the endpoint out of service or brings it back. */
     bool onHealthSignal(const EndpointId &id, HealthSignal signal, TimePoint now);
 
 private:
-    void forgetIfDone(const EndpointId &id);
+    void eraseIfUnused(const EndpointId &id);
     std::int64_t lastKnownStart(const EndpointId &id) const;
     static void restart(Endpoint &endpoint, TimePoint now);
     static void scheduleProbe(Endpoint &endpoint, TimePoint probeAt);
--- a/libs/gateway/include/almondridge/gateway/placement.h
+++ b/libs/gateway/include/almondridge/gateway/placement.h
@@ -26,8 +26,10 @@
     DomainId domain_; ///< Failure domain of this instance.
     /** Prefill speed of an engine that also decodes, relative to one that only prefills. */
     double decodePrefillSpeed_ = 0.5;
-    /** Time from the end of the prefill to the first event at the caller: the transfer of the
-     * prompt to the decode engine and the first decode step. */
+    /**
+     * Time from the end of the prefill to the first event at the caller: the transfer of the prompt
+     * to the decode engine and the first decode step.
+     */
     std::int64_t handoverMillis_ = 30;
 };
 
@@ -147,7 +149,8 @@
 
 private:
     struct Estimate;
-    /** An engine and its rendezvous weight for the prompt's leading part; the highest ranks first.
+    /**
+     * An engine and its rendezvous weight for the prompt's leading part; the highest ranks first.
      */
     struct Candidate
     {
--- a/libs/gateway/include/almondridge/gateway/requestcosts.h
+++ b/libs/gateway/include/almondridge/gateway/requestcosts.h
@@ -24,7 +24,8 @@
     void onUncontendedPrefill(std::int64_t tokens, double milliseconds);
     /** Prefill time of this many tokens on an engine with an empty queue, with fixed costs. */
     double prefillMillis(std::int64_t tokens) const;
-    /** Compute time of the prefill alone: the time by which it delays the engine's other prompts.
+    /**
+     * Compute time of the prefill alone: the time by which it delays the engine's other prompts.
      */
     double prefillComputeMillis(std::int64_t tokens) const;
 
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -169,7 +169,7 @@
         return false;
     }
     found->second.isListed_ = false;
-    forgetIfDone(id);
+    eraseIfUnused(id);
     return true;
 }
 
@@ -328,18 +328,18 @@
     if (endpoint->outstanding() == 0) {
         endpoint->trialInFlight_ = false;
     }
-    forgetIfDone(id);
+    eraseIfUnused(id);
 }
 
 void EndpointTable::onClosedOfEarlierLifetime(const EndpointId &id)
 {
     if (Endpoint *endpoint = find(id)) {
         --endpoint->openRequests_;
-        forgetIfDone(id);
+        eraseIfUnused(id);
     }
 }
 
-void EndpointTable::forgetIfDone(const EndpointId &id)
+void EndpointTable::eraseIfUnused(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
     if (found == endpoints_.end() || found->second.isListed_ || found->second.openRequests_ > 0) {
--- a/libs/gateway/tests/crashevidencetest.cpp
+++ b/libs/gateway/tests/crashevidencetest.cpp
@@ -29,15 +29,16 @@
 BOOST_AUTO_TEST_CASE(threeCrashesWithoutACompletedRunQuarantineARequest)
 {
     CrashEvidence evidence;
-    const RequestKey guilty = request(7);
-    evidence.onCrash(crashOf(1, Start), {guilty, request(8)}, Start);
-    BOOST_TEST((evidence.assess(guilty, Start).level_ == Suspicion::Weak));
-    evidence.onCrash(crashOf(2, Start + millis(2'000)), {guilty, request(9)},
+    const RequestKey crashingRequest = request(7);
+    evidence.onCrash(crashOf(1, Start), {crashingRequest, request(8)}, Start);
+    BOOST_TEST((evidence.assess(crashingRequest, Start).level_ == Suspicion::Weak));
+    evidence.onCrash(crashOf(2, Start + millis(2'000)), {crashingRequest, request(9)},
                      Start + millis(2'000));
-    BOOST_TEST((evidence.assess(guilty, Start + millis(2'000)).level_ == Suspicion::Strong));
+    BOOST_TEST(
+        (evidence.assess(crashingRequest, Start + millis(2'000)).level_ == Suspicion::Strong));
     const TimePoint third = Start + millis(4'000);
-    evidence.onCrash(crashOf(3, third), {guilty}, third);
-    const Assessment known = evidence.assess(guilty, third);
+    evidence.onCrash(crashOf(3, third), {crashingRequest}, third);
+    const Assessment known = evidence.assess(crashingRequest, third);
     BOOST_TEST((known.level_ == Suspicion::Quarantined));
     BOOST_TEST(known.crashes_ == 3);
     BOOST_TEST((evidence.assess(request(8), third).level_ == Suspicion::Weak));
@@ -47,13 +48,16 @@
 BOOST_AUTO_TEST_CASE(crashReportedRepeatedlyCountsOnce)
 {
     CrashEvidence evidence;
-    for (std::int64_t age = 0; age < 5; ++age) {
-        const TimePoint now = Start + millis(age * 700);
-        evidence.onUpdate(
-            {{{static_cast<CrashKey>(1), static_cast<CrashGroup>(1), 12, age * 700, {request(7)}}},
-             {},
-             {}},
-            now);
+    for (std::int64_t report = 0; report < 5; ++report) {
+        const TimePoint now = Start + millis(report * 700);
+        evidence.onUpdate({{{static_cast<CrashKey>(1),
+                             static_cast<CrashGroup>(1),
+                             12,
+                             report * 700,
+                             {request(7)}}},
+                           {},
+                           {}},
+                          now);
     }
     BOOST_TEST(evidence.assess(request(7), Start).crashes_ == 1);
 }
@@ -120,8 +124,8 @@
             CrashEvidence evidence;
             constexpr int StreamsOfAnEngine = 30;
             const auto streams = static_cast<std::uint64_t>(engines) * StreamsOfAnEngine;
-            const int ended = (3 * engines + 9) / 10;
-            std::uint64_t endNumber = 0;
+            const int crashedEngines = (3 * engines + 9) / 10;
+            std::uint64_t crashNumber = 0;
             TimePoint now = Start;
             for (int failure = 0; failure < 3; ++failure) {
                 now += millis(5'000);
@@ -130,9 +134,9 @@
                     inFlight[static_cast<int>(random() % static_cast<unsigned>(engines))].push_back(
                         request(stream));
                 }
-                for (int engine = 0; engine < ended; ++engine) {
+                for (int engine = 0; engine < crashedEngines; ++engine) {
                     const TimePoint at = now + millis(static_cast<std::int64_t>(random() % 100));
-                    evidence.onCrash(crashOf(++endNumber, at, engines), inFlight[engine], at);
+                    evidence.onCrash(crashOf(++crashNumber, at, engines), inFlight[engine], at);
                 }
             }
             now += millis(1'000);
@@ -183,14 +187,16 @@
     }
 }
 
-/** A flood of unique requests in crashes must neither exceed the memory limit nor evict a request
- * that was seen at several crashes. */
+/**
+ * A flood of unique requests in crashes must neither exceed the memory limit nor evict a request
+ * that was seen at several crashes.
+ */
 BOOST_AUTO_TEST_CASE(floodOfSuspectsEvictsTheLeastSuspicious)
 {
     constexpr std::size_t MaxSuspects = 4'096;
     constexpr std::uint64_t Crashes = 400;
     CrashEvidence evidence;
-    const RequestKey guilty = request(1);
+    const RequestKey crashingRequest = request(1);
     std::uint64_t next = 100;
     TimePoint now = Start;
     for (std::uint64_t crash = 1; crash <= Crashes; ++crash) {
@@ -201,12 +207,12 @@
             inFlight.push_back(request(++next));
         }
         if (crash == 1 || crash == 10 || crash == Crashes) {
-            inFlight.push_back(guilty);
+            inFlight.push_back(crashingRequest);
         }
         evidence.onCrash(crashOf(crash, now, 140), inFlight, now);
         BOOST_REQUIRE(evidence.suspects() <= MaxSuspects);
     }
-    BOOST_TEST(evidence.assess(guilty, now).crashes_ == 3);
+    BOOST_TEST(evidence.assess(crashingRequest, now).crashes_ == 3);
 }
 
 /** Guards against concurrent runs of a suspected request: one instance holds the lease. */
--- a/libs/gateway/tests/decisiontest.cpp
+++ b/libs/gateway/tests/decisiontest.cpp
@@ -73,7 +73,8 @@
     BOOST_TEST(splitter.rest() == "id: 3\nda");
 }
 
-/** While a service fails, all instances retry; without coordination they must keep to one budget.
+/**
+ * While a service fails, all instances retry; without coordination they must keep to one budget.
  */
 BOOST_AUTO_TEST_CASE(allInstancesTogetherKeepToTheRetryBudget)
 {
--- a/libs/gateway/tests/placementtest.cpp
+++ b/libs/gateway/tests/placementtest.cpp
@@ -32,8 +32,8 @@
 }
 
 /**
- * Guards against placement by a long common prefix (a system prompt): all prompts would go to a few
- * engines while the others idle.
+ * Guards against placement by a long text with which all prompts of a service begin: they would all
+ * go to a few engines while the others idle.
  */
 BOOST_AUTO_TEST_CASE(commonPrefixDoesNotConcentratePrompts)
 {
@@ -116,14 +116,14 @@
     EndpointTable table = fleet(1, 1);
     const Placement placement({DomainId("a")});
     const Prompt prompt = promptWith(1);
-    const EndpointId reader("engine-0");
+    const EndpointId prefillEngine("engine-0");
     const auto inTime = placement.planPrompt(table, query(prompt, 600, 2), at(0));
     BOOST_TEST(inTime->urgency_ == 2);
-    table.onSent(reader, 2, 60'000, at(0));
+    table.onSent(prefillEngine, 2, 60'000, at(0));
     const auto late = placement.planPrompt(table, query(prompt, 600, 2), at(0));
     BOOST_TEST(late->urgency_ == 7);
-    table.onPrefilled(reader, 2, 60'000);
-    table.onSent(reader, late->urgency_, 60'000, at(0));
+    table.onPrefilled(prefillEngine, 2, 60'000);
+    table.onSent(prefillEngine, late->urgency_, 60'000, at(0));
     const auto next = placement.planPrompt(table, query(prompt, 600, 2), at(0));
     BOOST_TEST(next->urgency_ == 2);
     BOOST_TEST(next->queuedTokens_ == 0);
--- a/libs/gateway/tests/requestcoststest.cpp
+++ b/libs/gateway/tests/requestcoststest.cpp
@@ -71,7 +71,8 @@
     BOOST_TEST(costs.generateMillis("new") > 0);
 }
 
-/** Demand rises within two seconds of the first request, stays steady, and decays after the last.
+/**
+ * Demand rises within two seconds of the first request, stays steady, and decays after the last.
  */
 BOOST_AUTO_TEST_CASE(demandIsTheRateOfTheLastSeconds)
 {
