--- a/libs/gateway/tests/placementtest.cpp
+++ b/libs/gateway/tests/placementtest.cpp
@@ -182,9 +182,9 @@
         note.queued_[EndpointId("engine-0")].add(1, Placement::handoverTokens(prompt));
         loads.onNote(note, table, at(0));
     }
-    for (std::uint64_t ticket = 0; ticket < 30; ++ticket) {
+    for (std::uint64_t tieBreaker = 0; tieBreaker < 30; ++tieBreaker) {
         const auto chosen =
-            placement.chooseDecodeEngine(table, {Models, DomainId("a")}, ticket, at(0));
+            placement.chooseDecodeEngine(table, {Models, DomainId("a")}, tieBreaker, at(0));
         BOOST_REQUIRE(chosen.has_value());
         BOOST_TEST(chosen->engine_.value() != "engine-0");
     }
@@ -196,9 +196,10 @@
     const EndpointTable table = fleet(0, 9);
     const Placement placement({DomainId("a")});
     std::set<EndpointId> taken;
-    for (std::uint64_t ticket = 0; ticket < 9; ++ticket) {
+    for (std::uint64_t tieBreaker = 0; tieBreaker < 9; ++tieBreaker) {
         taken.insert(
-            placement.chooseDecodeEngine(table, {Models, DomainId("b")}, ticket, at(0))->engine_);
+            placement.chooseDecodeEngine(table, {Models, DomainId("b")}, tieBreaker, at(0))
+                ->engine_);
     }
     BOOST_TEST(taken.size() == 3U); // The engines of the prompt's failure domain.
 }
