--- a/libs/gateway/include/almondridge/gateway/loaddigest.h
+++ b/libs/gateway/include/almondridge/gateway/loaddigest.h
@@ -9,7 +9,7 @@
 #include "almondridge/base/enumnames.h"
 #include "almondridge/base/ids.h"
 #include "almondridge/gateway/demandmeter.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 #include "almondridge/gateway/promptqueue.h"
 #include "almondridge/gateway/slotuse.h"
 
@@ -65,7 +65,7 @@
     /** Endpoints that an instance recently could not reach. */
     std::vector<EndpointId> unreached_ {};
     /** Keys of shared prompt parts that engines have recently read. */
-    std::vector<PromptMemory::Key> readParts_ {};
+    std::vector<PromptCacheIndex::Key> readParts_ {};
 };
 
 /** Returns the encoded size of an endpoint's load in a digest, in bytes. */
--- a/libs/gateway/include/almondridge/gateway/loadmesh.h
+++ b/libs/gateway/include/almondridge/gateway/loadmesh.h
@@ -64,13 +64,13 @@
      * Adds keys of shared prompt parts that engines have read for this instance; they go into the
      * next report.
      */
-    void addReadParts(const std::vector<PromptMemory::Key> &parts);
+    void addReadParts(const std::vector<PromptCacheIndex::Key> &parts);
     /** Returns the latest time for the next call of tick(). */
     TimePoint nextTick(TimePoint now) const;
 
     ReceiveResult onDatagram(std::string_view bytes, EndpointTable &table, TimePoint now);
     /** Returns the keys of shared prompt parts received from others since the last call. */
-    std::vector<PromptMemory::Key> takeReceivedParts();
+    std::vector<PromptCacheIndex::Key> takeReceivedParts();
 
     /** Returns whether no other instance is leader and no other candidate ranks before this one. */
     bool isPreferredLeader() const;
@@ -87,12 +87,12 @@
     /** Keys of prompt parts to send. Each is sent twice to make up for a lost datagram. */
     struct PendingParts
     {
-        std::vector<PromptMemory::Key> unsent_;
-        std::vector<PromptMemory::Key> sentOnce_;
+        std::vector<PromptCacheIndex::Key> unsent_;
+        std::vector<PromptCacheIndex::Key> sentOnce_;
 
-        void add(const std::vector<PromptMemory::Key> &parts);
+        void add(const std::vector<PromptCacheIndex::Key> &parts);
         /** Returns at most maxUnsent unsent keys and those that were sent once before. */
-        std::vector<PromptMemory::Key> take(std::size_t maxUnsent);
+        std::vector<PromptCacheIndex::Key> take(std::size_t maxUnsent);
     };
 
     struct OwnReport
@@ -119,7 +119,7 @@
     void addLeaders(const LoadReport &report, LoadDigest &digest) const;
     void addLeaders(const LoadDigest &other, LoadDigest &digest) const;
     std::vector<LoadDigest> splitIntoDigests(LoadDigest first, std::vector<LoadTable> loads,
-                                             const std::vector<PromptMemory::Key> &parts);
+                                             const std::vector<PromptCacheIndex::Key> &parts);
     ReceiveResult onReport(const LoadReport &report, EndpointTable &table, TimePoint now);
     ReceiveResult onDigest(const ReceivedDigest &received, EndpointTable &table, TimePoint now);
     const OwnReport *ownReport(std::uint64_t sequence) const;
@@ -144,7 +144,7 @@
     PendingParts reportParts_;
     PendingParts domainDigestParts_;
     PendingParts followerDigestParts_;
-    std::vector<PromptMemory::Key> receivedParts_;
+    std::vector<PromptCacheIndex::Key> receivedParts_;
     /** Received from relays of other failure domains, to be forwarded. */
     std::vector<EndpointId> remoteUnreached_;
 
--- a/libs/gateway/include/almondridge/gateway/peerload.h
+++ b/libs/gateway/include/almondridge/gateway/peerload.h
@@ -13,7 +13,7 @@
 #include "almondridge/gateway/demandmeter.h"
 #include "almondridge/gateway/endpoints.h"
 #include "almondridge/gateway/loaddigest.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <cstdint>
 #include <map>
@@ -46,7 +46,7 @@
     /** Endpoints that the sender recently could not reach. */
     std::vector<EndpointId> unreached_ {};
     /** Keys of shared prompt parts that engines have recently read for the sender. */
-    std::vector<PromptMemory::Key> readParts_ {};
+    std::vector<PromptCacheIndex::Key> readParts_ {};
     /** The relay that should send digests of all load to the sender; empty: none. */
     InstanceId followedRelay_ {};
 };
--- a/libs/gateway/src/crashguard.cpp
+++ b/libs/gateway/src/crashguard.cpp
@@ -8,8 +8,8 @@
 namespace almondridge::gateway {
 namespace {
 
-/** All connections to an ended endpoint have broken by then. */
-constexpr Duration CrashRemembered = millis(30'000);
+/** By then, all connections to a crashed endpoint have broken. */
+constexpr Duration CrashRetention = millis(30'000);
 
 CrashKey crashKeyOf(const ListedEndpoint &listed)
 {
@@ -23,42 +23,43 @@
         rendezvousWeight(listed.service_.value(), static_cast<std::uint64_t>(listed.stage_)));
 }
 
-/** One that was told to leave may close its connections, and is not sought for long. */
+/** An endpoint that is draining or unlisted may close its connections without a crash. */
 bool isExpectedToServe(const Endpoint *endpoint)
 {
-    return endpoint != nullptr && endpoint->listedNow_ && !endpoint->listed_.draining_;
+    return endpoint != nullptr && endpoint->isListed_ && !endpoint->listed_.draining_;
 }
 
 } // namespace
 
 CrashGuard::CrashGuard(GatewayState &gateway)
     : gateway_(gateway)
-    , number_(std::random_device {}())
+    , leaseHolder_(std::random_device {}())
 { }
 
-void CrashGuard::onBroke(const EndpointId &id, std::uint64_t lifetime, RequestKey key)
+void CrashGuard::onConnectionBroken(const EndpointId &id, std::uint64_t lifetime, RequestKey key)
 {
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (!isExpectedToServe(endpoint) || endpoint->lifetime_ != lifetime) {
         return;
     }
-    if (crashed_.contains(crashKeyOf(endpoint->listed_))) {
+    if (knownCrashes_.contains(crashKeyOf(endpoint->listed_))) {
         onCrashed(*endpoint, {key});
         return;
     }
-    const bool underTest = tested_.contains(id);
-    tested_[id].lifetime_ = lifetime;
-    tested_[id].inFlight_.insert(key);
-    if (!underTest) {
-        const TimePoint by = BootClock::now() + millis(gateway_.settings_.connectMillis_);
-        gateway_.client_.open(id.value(), endpoint->listed_.address_, by,
-                              [this, id](bool reached) { onTested(id, reached); });
+    const bool probeRunning = pendingProbes_.contains(id);
+    pendingProbes_[id].lifetime_ = lifetime;
+    pendingProbes_[id].inFlight_.insert(key);
+    if (!probeRunning) {
+        const TimePoint connectDeadline =
+            BootClock::now() + millis(gateway_.settings_.connectMillis_);
+        gateway_.client_.open(id.value(), endpoint->listed_.address_, connectDeadline,
+                              [this, id](bool reached) { onProbed(id, reached); });
     }
 }
 
-void CrashGuard::onTested(const EndpointId &id, bool reached)
+void CrashGuard::onProbed(const EndpointId &id, bool reached)
 {
-    const auto node = tested_.extract(id);
+    const auto node = pendingProbes_.extract(id);
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (node.empty() || reached || !isExpectedToServe(endpoint)
         || endpoint->lifetime_ != node.mapped().lifetime_) {
@@ -67,11 +68,11 @@
     onCrashed(*endpoint, node.mapped().inFlight_);
 }
 
-void CrashGuard::onUnreached(const EndpointId &id)
+void CrashGuard::onConnectFailed(const EndpointId &id)
 {
     const Endpoint *endpoint = gateway_.table_.find(id);
     if (isExpectedToServe(endpoint) && endpoint->outstanding() > 0
-        && !crashed_.contains(crashKeyOf(endpoint->listed_))) {
+        && !knownCrashes_.contains(crashKeyOf(endpoint->listed_))) {
         onCrashed(*endpoint, {});
     }
 }
@@ -85,14 +86,14 @@
             inFlight.insert(call->key());
         }
     }
-    std::erase_if(crashed_,
-                  [&](const auto &entry) { return entry.second.at_ + CrashRemembered < now; });
+    std::erase_if(knownCrashes_,
+                  [&](const auto &entry) { return entry.second.at_ + CrashRetention < now; });
     const CrashKey key = crashKeyOf(endpoint.listed_);
-    const auto [place, added] = crashed_.try_emplace(
+    const auto [place, added] = knownCrashes_.try_emplace(
         key, EndpointCrash {key, groupOf(endpoint.listed_), groupSize(endpoint), now});
     evidence_.onCrash(place->second, {inFlight.begin(), inFlight.end()}, now);
     if (added) {
-        gateway_.table_.onEvidence(id, Evidence::Unreachable, now);
+        gateway_.table_.onHealthSignal(id, HealthSignal::Unreachable, now);
         gateway_.metrics_.count("endpoints_crashed_total");
         logEvent(LogLevel::Warning, "endpoint_crashed",
                  {{"endpoint", id.value()},
@@ -103,10 +104,11 @@
 
 int CrashGuard::groupSize(const Endpoint &endpoint) const
 {
-    const auto like = gateway_.table_.listed(endpoint.listed_.service_);
-    return static_cast<int>(std::count_if(like.begin(), like.end(), [&](const Endpoint *one) {
-        return one->listed_.stage_ == endpoint.listed_.stage_;
-    }));
+    const auto sameService = gateway_.table_.listed(endpoint.listed_.service_);
+    return static_cast<int>(
+        std::count_if(sameService.begin(), sameService.end(), [&](const Endpoint *one) {
+            return one->listed_.stage_ == endpoint.listed_.stage_;
+        }));
 }
 
 void CrashGuard::onCompleted(RequestKey key)
@@ -123,22 +125,22 @@
 
 bool CrashGuard::acquireLease(RequestKey key)
 {
-    return evidence_.acquireLease(key, number_, BootClock::now());
+    return evidence_.acquireLease(key, leaseHolder_, BootClock::now());
 }
 
 void CrashGuard::renewLease(RequestKey key)
 {
-    evidence_.renewLease(key, number_, BootClock::now());
+    evidence_.renewLease(key, leaseHolder_, BootClock::now());
 }
 
 bool CrashGuard::holdsLease(RequestKey key) const
 {
-    return evidence_.holdsLease(key, number_, BootClock::now());
+    return evidence_.holdsLease(key, leaseHolder_, BootClock::now());
 }
 
 void CrashGuard::releaseLease(RequestKey key)
 {
-    evidence_.releaseLease(key, number_);
+    evidence_.releaseLease(key, leaseHolder_);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/crashguard.h
+++ b/libs/gateway/src/crashguard.h
@@ -1,6 +1,7 @@
 /**
- * Finds out which endpoints ended while requests of this instance were on them, and holds what is
- * known against requests.
+ * Detects crashes of endpoints that have requests of this instance, and feeds them to the crash
+ * evidence. A broken connection is followed by a probe: only an endpoint that can't be reached
+ * counts as crashed.
  */
 #pragma once
 
@@ -19,10 +20,11 @@
 public:
     explicit CrashGuard(GatewayState &gateway);
 
-    /** A request's connection to an endpoint broke, or was silent until the request ended. */
-    void onBroke(const EndpointId &id, std::uint64_t lifetime, RequestKey key);
-    /** A connection to the endpoint could not be made. */
-    void onUnreached(const EndpointId &id);
+    /** A request's connection to an endpoint broke, or got no data until the request ended. */
+    void onConnectionBroken(const EndpointId &id, std::uint64_t lifetime, RequestKey key);
+    /** A connection to the endpoint failed. */
+    void onConnectFailed(const EndpointId &id);
+    /** The request got a complete response. */
     void onCompleted(RequestKey key);
 
     Assessment assess(RequestKey key) const;
@@ -34,23 +36,23 @@
     CrashEvidence &evidence() noexcept { return evidence_; }
 
 private:
-    /** Requests whose connections to an endpoint broke, until it is known whether it has ended. */
-    struct Suspected
+    /** Requests whose connections to an endpoint broke, while the endpoint is being probed. */
+    struct PendingProbe
     {
         std::uint64_t lifetime_ = 0;
         std::set<RequestKey> inFlight_;
     };
 
-    void onTested(const EndpointId &id, bool reached);
+    void onProbed(const EndpointId &id, bool reached);
     void onCrashed(const Endpoint &endpoint, std::set<RequestKey> inFlight);
     int groupSize(const Endpoint &endpoint) const;
 
     GatewayState &gateway_;
     CrashEvidence evidence_;
-    std::uint64_t number_; ///< Of this instance, among those that want to run a request.
-    std::map<EndpointId, Suspected> tested_;
-    /** Ends that this instance has found out; later breaks need no test. */
-    std::map<CrashKey, EndpointCrash> crashed_;
+    std::uint64_t leaseHolder_; ///< Random number of this instance, for RunLease.
+    std::map<EndpointId, PendingProbe> pendingProbes_;
+    /** Crashes that this instance has detected; later broken connections need no probe. */
+    std::map<CrashKey, EndpointCrash> knownCrashes_;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/endpoints.cpp
+++ b/libs/gateway/src/endpoints.cpp
@@ -1,6 +1,6 @@
 #include "almondridge/gateway/endpoints.h"
 
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <algorithm>
 #include <set>
@@ -8,94 +8,96 @@
 namespace almondridge::gateway {
 namespace {
 
-/** How far one piece of evidence goes. */
-struct EvidenceRule
+/** Effect of a health signal on the circuit breaker. */
+struct HealthRule
 {
-    Evidence evidence_;
-    int weight_;     ///< Added to the failures in a row; 0 clears them.
-    int distrustAt_; ///< From this many on it gets no work.
+    HealthSignal signal_;
+    int failureWeight_; ///< Added to the failure score; 0 resets it and closes the circuit.
+    int openThreshold_; ///< Failure score from which on the circuit is open.
 };
 
 /**
- * Silence and a connection that cannot be made speak for themselves. Of broken connections the
- * second one stops new work, as a single one is also what a planned stop looks like. Errors need
- * more of them: a sound service fails some of its calls for reasons of its own.
+ * One timeout or one failed connection is enough to stop new work. It takes two broken connections,
+ * as a planned stop also breaks one, and eight server errors, as a healthy service fails some calls
+ * for reasons of its own.
  */
-constexpr std::array<EvidenceRule, 7> EvidenceRules {{
-    {Evidence::Sound, 0, 0},
-    {Evidence::Overloaded, 0, 0},
-    {Evidence::Unwilling, 8, 8},
-    {Evidence::ServerError, 1, 8},
-    {Evidence::Broken, 4, 8},
-    {Evidence::Unreachable, 0, 0}, // A connection of its own tests it.
-    {Evidence::Silent, 8, 8},
+constexpr std::array<HealthRule, 7> HealthRules {{
+    {HealthSignal::Healthy, 0, 0},
+    {HealthSignal::Overloaded, 0, 0},
+    {HealthSignal::Declined, 8, 8},
+    {HealthSignal::ServerError, 1, 8},
+    {HealthSignal::Broken, 4, 8},
+    {HealthSignal::Unreachable, 0, 0}, // Handled by probes.
+    {HealthSignal::TimedOut, 8, 8},
 }};
 
-/** First time without work; doubles with each further failure. */
-constexpr Duration FirstDistrust = millis(300);
-constexpr Duration LongestDistrust = millis(2'000);
+/** First time for which the circuit stays open; doubles with further failures. */
+constexpr Duration InitialOpenTime = millis(300);
+constexpr Duration MaxOpenTime = millis(2'000);
 
-/** First time until an endpoint that was not reached is tried; doubles with each failed test. */
-constexpr Duration FirstTest = millis(150);
-constexpr Duration LongestTest = millis(1'200);
-/** Peers are told of an endpoint for this long: three notes of a large fleet, or more. */
-constexpr Duration UnreachedIsNews = millis(1'000);
-/** An endpoint that answered us within this time is sound, whatever a peer met before. */
-constexpr Duration SoundIsFresh = millis(300);
+/** Delay of the first probe of an unreachable endpoint; doubles with each failed probe. */
+constexpr Duration InitialProbeDelay = millis(150);
+constexpr Duration MaxProbeDelay = millis(1'200);
+/** An endpoint is reported as unreachable for this long: three reports or more. */
+constexpr Duration UnreachableReportWindow = millis(1'000);
+/** A response within this time outweighs a peer's report that the endpoint is unreachable. */
+constexpr Duration MaxHealthyAge = millis(300);
 
-/** How much a new measurement counts for an engine's own speed. */
-constexpr double SpeedWeight = 0.1;
-/** Shorter reads tell fixed costs rather than the speed. */
-constexpr double LeastSampleMillis = 80;
-/** Speeds beyond these are measurements of something else: a stalled engine, or a cached prompt. */
-constexpr double LeastSpeed = 0.1;
-constexpr double MostSpeed = 4;
-/** What is left of failures says nothing any more. */
-constexpr double ForgottenFailures = 0.05;
-/** Forgotten endpoints whose last start is remembered: far more than leave within minutes. */
-constexpr std::size_t RememberedStarts = 2'048;
+/** Smoothing factor of an engine's measured speed. */
+constexpr double SpeedSmoothing = 0.1;
+/** Shorter prefill times measure fixed costs rather than the speed. */
+constexpr double MinSampleMillis = 80;
+/** Speeds beyond these limits measure something else: a stalled engine, or a cached prompt. */
+constexpr double MinSpeed = 0.1;
+constexpr double MaxSpeed = 4;
+/** A decayed failure count below this is ignored. */
+constexpr double NegligibleFailures = 0.05;
+/** Capacity for start times of erased endpoints: far more than leave within minutes. */
+constexpr std::size_t MaxRememberedStarts = 2'048;
 
-const EvidenceRule &ruleFor(Evidence evidence)
+const HealthRule &ruleFor(HealthSignal signal)
 {
-    return *std::find_if(EvidenceRules.begin(), EvidenceRules.end(),
-                         [&](const EvidenceRule &rule) { return rule.evidence_ == evidence; });
+    return *std::find_if(HealthRules.begin(), HealthRules.end(),
+                         [&](const HealthRule &rule) { return rule.signal_ == signal; });
 }
 
-Duration distrustFor(int failures, int distrustAt)
+Duration openTimeFor(int failures, int openThreshold)
 {
-    Duration span = FirstDistrust;
-    for (int step = distrustAt; step < failures && span < LongestDistrust; step += distrustAt / 2) {
-        span *= 2;
+    Duration openTime = InitialOpenTime;
+    for (int step = openThreshold; step < failures && openTime < MaxOpenTime;
+         step += openThreshold / 2) {
+        openTime *= 2;
     }
-    return std::min(span, LongestDistrust);
+    return std::min(openTime, MaxOpenTime);
 }
 
 } // namespace
 
-SlotUse Endpoint::usedByAll() const noexcept
+SlotUse Endpoint::fleetSlotUse() const noexcept
 {
     SlotUse use = slotUse_;
-    use.add(foreignSlotUse_);
+    use.add(peerSlotUse_);
     return use;
 }
 
-std::int64_t Endpoint::queuedByAll(int urgency) const noexcept
+std::int64_t Endpoint::fleetQueuedTokens(int urgency) const noexcept
 {
-    return queued_.ahead(urgency) + foreignQueued_.ahead(urgency);
+    return queued_.ahead(urgency) + peerQueued_.ahead(urgency);
 }
 
 bool Endpoint::isIdle(TimePoint now) const noexcept
 {
-    const bool hasRequests = openSends_ > 0 || usedByAll().all() > 0 || queuedByAll() > 0;
-    const bool hasFailures = recentFailures_.at(now) >= ForgottenFailures
-                             || toldFailures_ >= ForgottenFailures
-                             || unreachedAt_ + UnreachedIsNews > now;
-    return !hasRequests && !hasFailures && !awaitsTest_ && changingUntil_ <= now;
+    const bool hasRequests =
+        openRequests_ > 0 || fleetSlotUse().all() > 0 || fleetQueuedTokens() > 0;
+    const bool hasFailures = recentFailures_.at(now) >= NegligibleFailures
+                             || peerFailures_ >= NegligibleFailures
+                             || unreachableAt_ + UnreachableReportWindow > now;
+    return !hasRequests && !hasFailures && !awaitsProbe_ && changingUntil_ <= now;
 }
 
 std::string_view Endpoint::stateName(TimePoint now) const noexcept
 {
-    if (!listedNow_) {
+    if (!isListed_) {
         return "leaving";
     }
     if (listed_.draining_) {
@@ -104,43 +106,43 @@
     if (changingUntil_ > now) {
         return "changing";
     }
-    if (awaitsTest_) {
+    if (awaitsProbe_) {
         return "unreachable";
     }
-    return distrustedUntil_ > now || probing_ ? "distrusted" : "usable";
+    return circuitOpenUntil_ > now || trialInFlight_ ? "distrusted" : "usable";
 }
 
-Listing EndpointTable::list(const ListedEndpoint &listed, TimePoint now)
+ListingChange EndpointTable::list(const ListedEndpoint &listed, TimePoint now)
 {
-    const std::int64_t known = knownStart(listed.id_);
-    // Old entries come late and in any order: only a later start is news.
+    const std::int64_t known = lastKnownStart(listed.id_);
+    // Old entries may arrive late and in any order: only a later start is a restart.
     if (listed.startedAtMillis_ != 0 && listed.startedAtMillis_ < known) {
-        return Listing::Same;
+        return ListingChange::Unchanged;
     }
     const auto [place, added] = endpoints_.try_emplace(listed.id_);
     Endpoint &endpoint = place->second;
     const bool restarted = !added && known != 0 && listed.startedAtMillis_ > known;
-    const bool changed = added || !endpoint.listedNow_ || endpoint.listed_ != listed;
+    const bool changed = added || !endpoint.isListed_ || endpoint.listed_ != listed;
     if (restarted) {
         restart(endpoint, now);
     } else if (!added && endpoint.listed_.stage_ != listed.stage_) {
-        endpoint.changingUntil_ = {}; // The order is done.
+        endpoint.changingUntil_ = {}; // The stage change is complete.
     }
     endpoint.listed_ = listed;
     endpoint.listed_.startedAtMillis_ = std::max(known, listed.startedAtMillis_);
-    endpoint.listedNow_ = true;
+    endpoint.isListed_ = true;
     if (added) {
         endpoint.loadAt_ = now;
         endpoint.idHash_ = nameHash(listed.id_.value());
     }
     if (restarted) {
-        return Listing::Restarted;
+        return ListingChange::Restarted;
     }
-    return changed ? Listing::Changed : Listing::Same;
+    return changed ? ListingChange::Changed : ListingChange::Unchanged;
 }
 
-/** The latest start that was told of an endpoint, known or forgotten; 0: none. */
-std::int64_t EndpointTable::knownStart(const EndpointId &id) const
+/** Latest reported start time of an endpoint, even if it was erased; 0 if there is none. */
+std::int64_t EndpointTable::lastKnownStart(const EndpointId &id) const
 {
     if (const Endpoint *endpoint = find(id)) {
         return endpoint->listed_.startedAtMillis_;
@@ -149,12 +151,12 @@
     return found != lastStarts_.end() ? found->second : 0;
 }
 
-/** Queues, load, trust and orders of the lifetime before say nothing of the new one. */
+/** Resets queues, load, health and orders, none of which carry over to a new process. */
 void EndpointTable::restart(Endpoint &endpoint, TimePoint now)
 {
     Endpoint fresh;
     fresh.lifetime_ = endpoint.lifetime_ + 1;
-    fresh.openSends_ = endpoint.openSends_;
+    fresh.openRequests_ = endpoint.openRequests_;
     fresh.idHash_ = endpoint.idHash_;
     fresh.loadAt_ = now;
     endpoint = fresh;
@@ -163,11 +165,11 @@
 bool EndpointTable::unlist(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
-    if (found == endpoints_.end() || !found->second.listedNow_) {
+    if (found == endpoints_.end() || !found->second.isListed_) {
         return false;
     }
-    found->second.listedNow_ = false;
-    forgetIfDone(id);
+    found->second.isListed_ = false;
+    eraseIfUnused(id);
     return true;
 }
 
@@ -187,7 +189,7 @@
     return found != endpoints_.end() ? &found->second : nullptr;
 }
 
-void EndpointTable::forgetIdle(TimePoint now)
+void EndpointTable::deactivateIdle(TimePoint now)
 {
     std::erase_if(active_, [&](const auto &entry) { return entry.second->isIdle(now); });
 }
@@ -196,7 +198,7 @@
 {
     std::vector<const Endpoint *> found;
     for (const auto &[id, endpoint] : endpoints_) {
-        if (endpoint.listedNow_ && !endpoint.listed_.draining_
+        if (endpoint.isListed_ && !endpoint.listed_.draining_
             && endpoint.listed_.service_ == service) {
             found.push_back(&endpoint);
         }
@@ -204,48 +206,49 @@
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::trusted(const ServiceId &service, TimePoint now) const
+std::vector<const Endpoint *> EndpointTable::available(const ServiceId &service,
+                                                       TimePoint now) const
 {
     std::vector<const Endpoint *> found = listed(service);
     std::erase_if(found, [&](const Endpoint *endpoint) {
-        // Distrusted until a time, and then until the one request that tests it was answered.
-        return endpoint->distrustedUntil_ > now || endpoint->probing_ || endpoint->awaitsTest_
-               || endpoint->changingUntil_ > now;
+        // The circuit is open until a time, and then half-open until the trial request ends.
+        return endpoint->circuitOpenUntil_ > now || endpoint->trialInFlight_
+               || endpoint->awaitsProbe_ || endpoint->changingUntil_ > now;
     });
     return found;
 }
 
 std::vector<const Endpoint *> EndpointTable::usable(const ServiceId &service, TimePoint now) const
 {
-    std::vector<const Endpoint *> found = trusted(service, now);
-    for (const Endpoint *endpoint : failing(found, now)) {
+    std::vector<const Endpoint *> found = available(service, now);
+    for (const Endpoint *endpoint : outliersAmong(found, now)) {
         std::erase(found, endpoint);
     }
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::leftOut(TimePoint now) const
+std::vector<const Endpoint *> EndpointTable::outliers(TimePoint now) const
 {
     std::set<ServiceId> services;
     for (const auto &[id, endpoint] : active_) {
-        if (endpoint->failuresOfAll(now) >= MinFailures) {
+        if (endpoint->fleetFailures(now) >= MinFailures) {
             services.insert(endpoint->listed_.service_);
         }
     }
     std::vector<const Endpoint *> found;
     for (const ServiceId &service : services) {
-        const std::vector<const Endpoint *> ofService = failing(trusted(service, now), now);
+        const std::vector<const Endpoint *> ofService = outliersAmong(available(service, now), now);
         found.insert(found.end(), ofService.begin(), ofService.end());
     }
     return found;
 }
 
-std::vector<const Endpoint *> EndpointTable::failing(const std::vector<const Endpoint *> &endpoints,
-                                                     TimePoint now) const
+std::vector<const Endpoint *>
+EndpointTable::outliersAmong(const std::vector<const Endpoint *> &endpoints, TimePoint now) const
 {
     std::vector<const Endpoint *> found;
     const bool anyFails = std::any_of(active_.begin(), active_.end(), [&](const auto &entry) {
-        return entry.second->failuresOfAll(now) >= MinFailures;
+        return entry.second->fleetFailures(now) >= MinFailures;
     });
     if (!anyFails) {
         return found;
@@ -257,7 +260,7 @@
         for (const Endpoint *endpoint : endpoints) {
             if (endpoint->listed_.stage_ == stage) {
                 group.push_back(endpoint);
-                failures.push_back(endpoint->failuresOfAll(now));
+                failures.push_back(endpoint->fleetFailures(now));
                 sends += endpoint->recentSends_.at(now);
             }
         }
@@ -287,16 +290,16 @@
     if (endpoint == nullptr) {
         return;
     }
-    endpoint->slotUse_.add(urgency >= LateUrgencies);
-    ++endpoint->openSends_;
+    endpoint->slotUse_.add(urgency >= FirstLateUrgency);
+    ++endpoint->openRequests_;
     endpoint->recentSends_.add(1, now);
     endpoint->queued_.add(urgency, promptTokens);
-    if (endpoint->distrustedUntil_ != TimePoint {}) {
-        endpoint->probing_ = true;
+    if (endpoint->circuitOpenUntil_ != TimePoint {}) {
+        endpoint->trialInFlight_ = true;
     }
 }
 
-void EndpointTable::onRead(const EndpointId &id, int urgency, std::int64_t promptTokens)
+void EndpointTable::onPrefilled(const EndpointId &id, int urgency, std::int64_t promptTokens)
 {
     Endpoint *endpoint = find(id);
     if (endpoint != nullptr) {
@@ -304,14 +307,14 @@
     }
 }
 
-void EndpointTable::onReadTime(const EndpointId &id, double expectedMillis, double milliseconds)
+void EndpointTable::onPrefillTime(const EndpointId &id, double expectedMillis, double milliseconds)
 {
     Endpoint *endpoint = find(id);
-    if (endpoint == nullptr || expectedMillis < LeastSampleMillis || milliseconds <= 0) {
+    if (endpoint == nullptr || expectedMillis < MinSampleMillis || milliseconds <= 0) {
         return;
     }
-    const double speed = std::clamp(expectedMillis / milliseconds, LeastSpeed, MostSpeed);
-    endpoint->readingSpeed_ += SpeedWeight * (speed - endpoint->readingSpeed_);
+    const double speed = std::clamp(expectedMillis / milliseconds, MinSpeed, MaxSpeed);
+    endpoint->prefillSpeed_ += SpeedSmoothing * (speed - endpoint->prefillSpeed_);
 }
 
 void EndpointTable::onClosed(const EndpointId &id, int urgency)
@@ -320,30 +323,31 @@
     if (endpoint == nullptr) {
         return;
     }
-    endpoint->slotUse_.remove(urgency >= LateUrgencies);
-    --endpoint->openSends_;
+    endpoint->slotUse_.remove(urgency >= FirstLateUrgency);
+    --endpoint->openRequests_;
     if (endpoint->outstanding() == 0) {
-        endpoint->probing_ = false;
+        endpoint->trialInFlight_ = false;
     }
-    forgetIfDone(id);
+    eraseIfUnused(id);
 }
 
 void EndpointTable::onClosedOfEarlierLifetime(const EndpointId &id)
 {
     if (Endpoint *endpoint = find(id)) {
-        --endpoint->openSends_;
-        forgetIfDone(id);
+        --endpoint->openRequests_;
+        eraseIfUnused(id);
     }
 }
 
-void EndpointTable::forgetIfDone(const EndpointId &id)
+void EndpointTable::eraseIfUnused(const EndpointId &id)
 {
     const auto found = endpoints_.find(id);
-    if (found == endpoints_.end() || found->second.listedNow_ || found->second.openSends_ > 0) {
+    if (found == endpoints_.end() || found->second.isListed_ || found->second.openRequests_ > 0) {
         return;
     }
-    if (lastStarts_.size() >= RememberedStarts) {
-        lastStarts_.clear(); // A late entry that comes back is found out by its first request.
+    if (lastStarts_.size() >= MaxRememberedStarts) {
+        // If a late entry brings an endpoint back, its first request fails and takes it out.
+        lastStarts_.clear();
     }
     if (found->second.listed_.startedAtMillis_ != 0) {
         lastStarts_[id] = found->second.listed_.startedAtMillis_;
@@ -361,76 +365,77 @@
     }
 }
 
-void EndpointTable::awaitTest(Endpoint &endpoint, TimePoint testAt)
+void EndpointTable::scheduleProbe(Endpoint &endpoint, TimePoint probeAt)
 {
-    if (!endpoint.awaitsTest_) {
-        endpoint.awaitsTest_ = true;
-        endpoint.testAt_ = testAt;
+    if (!endpoint.awaitsProbe_) {
+        endpoint.awaitsProbe_ = true;
+        endpoint.probeAt_ = probeAt;
     }
 }
 
-void EndpointTable::endTest(Endpoint &endpoint)
+void EndpointTable::cancelProbe(Endpoint &endpoint)
 {
-    endpoint.awaitsTest_ = false;
-    endpoint.failedTests_ = 0;
+    endpoint.awaitsProbe_ = false;
+    endpoint.failedProbes_ = 0;
 }
 
 void EndpointTable::onSuspected(const EndpointId &id, TimePoint now)
 {
     if (Endpoint *endpoint = find(id)) {
-        awaitTest(*endpoint, now);
+        scheduleProbe(*endpoint, now);
     }
 }
 
-void EndpointTable::onUnreachedByPeer(const EndpointId &id, TimePoint now)
+void EndpointTable::onPeerReportedUnreachable(const EndpointId &id, TimePoint now)
 {
     Endpoint *endpoint = find(id);
-    // News is told in several notes, and by several peers: one test answers them all.
-    if (endpoint != nullptr && endpoint->soundAt_ + SoundIsFresh < now
-        && endpoint->reachedAt_ + UnreachedIsNews < now) {
-        awaitTest(*endpoint, now);
+    // Several reports of several peers name the same endpoint: one probe covers them all.
+    if (endpoint != nullptr && endpoint->healthyAt_ + MaxHealthyAge < now
+        && endpoint->probeSucceededAt_ + UnreachableReportWindow < now) {
+        scheduleProbe(*endpoint, now);
     }
 }
 
-std::vector<EndpointId> EndpointTable::takeTests(TimePoint now)
+std::vector<EndpointId> EndpointTable::takeDueProbes(TimePoint now)
 {
     std::vector<EndpointId> due;
     for (const auto &[id, endpoint] : active_) {
-        if (endpoint->awaitsTest_ && endpoint->listedNow_ && endpoint->testAt_ <= now) {
+        if (endpoint->awaitsProbe_ && endpoint->isListed_ && endpoint->probeAt_ <= now) {
             due.push_back(id);
         }
     }
     for (const EndpointId &id : due) {
-        find(id)->testAt_ = TimePoint::max();
+        find(id)->probeAt_ = TimePoint::max();
     }
     return due;
 }
 
-void EndpointTable::onTested(const EndpointId &id, bool reached, TimePoint now)
+void EndpointTable::onProbed(const EndpointId &id, bool reached, TimePoint now)
 {
     Endpoint *endpoint = find(id);
-    if (endpoint == nullptr || !endpoint->awaitsTest_) {
+    if (endpoint == nullptr || !endpoint->awaitsProbe_) {
         return;
     }
     if (reached) {
-        endTest(*endpoint);
-        endpoint->reachedAt_ = now;
+        cancelProbe(*endpoint);
+        endpoint->probeSucceededAt_ = now;
         return;
     }
-    ++endpoint->failedTests_;
-    constexpr int MostDoublings = 3;
-    const Duration pause = FirstTest * (1 << std::min(endpoint->failedTests_, MostDoublings));
-    endpoint->testAt_ = now + std::min(pause, LongestTest);
+    ++endpoint->failedProbes_;
+    constexpr int MaxDoublings = 3;
+    const Duration pause =
+        InitialProbeDelay * (1 << std::min(endpoint->failedProbes_, MaxDoublings));
+    endpoint->probeAt_ = now + std::min(pause, MaxProbeDelay);
 }
 
-std::vector<EndpointId> EndpointTable::unreached(TimePoint now) const
+std::vector<EndpointId> EndpointTable::recentlyUnreachable(TimePoint now) const
 {
     std::vector<EndpointId> found;
     for (const auto &[id, endpoint] : active_) {
-        const bool isNews = endpoint->unreachedAt_ != TimePoint {}
-                            && endpoint->unreachedAt_ + UnreachedIsNews > now
-                            && endpoint->unreachedAt_ > endpoint->soundAt_;
-        if (isNews && endpoint->listedNow_) {
+        const bool isRecent = endpoint->unreachableAt_ != TimePoint {}
+                              && endpoint->unreachableAt_ + UnreachableReportWindow > now
+                              && endpoint->unreachableAt_ > endpoint->healthyAt_;
+        if (isRecent && endpoint->isListed_) {
             found.push_back(id);
         }
     }
@@ -447,41 +452,42 @@
     }
 }
 
-bool EndpointTable::onEvidence(const EndpointId &id, Evidence evidence, TimePoint now)
+bool EndpointTable::onHealthSignal(const EndpointId &id, HealthSignal signal, TimePoint now)
 {
     Endpoint *endpoint = find(id);
     if (endpoint == nullptr) {
         return false;
     }
-    const bool wasTrusted = endpoint->distrustedUntil_ == TimePoint {} && !endpoint->awaitsTest_;
-    const EvidenceRule &rule = ruleFor(evidence);
-    endpoint->probing_ = false;
-    if (evidence == Evidence::Unreachable || evidence == Evidence::Silent) {
-        endpoint->unreachedAt_ = now;
+    const bool wasAvailable =
+        endpoint->circuitOpenUntil_ == TimePoint {} && !endpoint->awaitsProbe_;
+    const HealthRule &rule = ruleFor(signal);
+    endpoint->trialInFlight_ = false;
+    if (signal == HealthSignal::Unreachable || signal == HealthSignal::TimedOut) {
+        endpoint->unreachableAt_ = now;
     }
-    if (evidence == Evidence::Unreachable) {
-        awaitTest(*endpoint, now + FirstTest);
-        return wasTrusted;
+    if (signal == HealthSignal::Unreachable) {
+        scheduleProbe(*endpoint, now + InitialProbeDelay);
+        return wasAvailable;
     }
-    if (evidence == Evidence::Silent) {
-        awaitTest(*endpoint, now); // Hung or gone: a connection tells in a moment.
+    if (signal == HealthSignal::TimedOut) {
+        scheduleProbe(*endpoint, now); // Hung or gone: a probe shows which.
     }
-    if (evidence == Evidence::Sound) {
-        endTest(*endpoint);
-        endpoint->soundAt_ = now;
+    if (signal == HealthSignal::Healthy) {
+        cancelProbe(*endpoint);
+        endpoint->healthyAt_ = now;
     }
-    if (rule.weight_ == 0) {
-        endpoint->failures_ = 0;
-        endpoint->distrustedUntil_ = {};
-        return !wasTrusted;
+    if (rule.failureWeight_ == 0) {
+        endpoint->failureScore_ = 0;
+        endpoint->circuitOpenUntil_ = {};
+        return !wasAvailable;
     }
-    endpoint->failures_ += rule.weight_;
+    endpoint->failureScore_ += rule.failureWeight_;
     endpoint->recentFailures_.add(1, now);
-    if (endpoint->failures_ < rule.distrustAt_) {
+    if (endpoint->failureScore_ < rule.openThreshold_) {
         return false;
     }
-    endpoint->distrustedUntil_ = now + distrustFor(endpoint->failures_, rule.distrustAt_);
-    return wasTrusted;
+    endpoint->circuitOpenUntil_ = now + openTimeFor(endpoint->failureScore_, rule.openThreshold_);
+    return wasAvailable;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/loadexchange.cpp
+++ b/libs/gateway/src/loadexchange.cpp
@@ -99,9 +99,9 @@
             onDropped(result);
         }
     }
-    const std::vector<PromptMemory::Key> parts = mesh_.takeReceivedParts();
+    const std::vector<PromptCacheIndex::Key> parts = mesh_.takeReceivedParts();
     if (!parts.empty()) {
-        gateway_.onPartsTold(parts);
+        gateway_.onPeerCachedParts(parts);
     }
 }
 
@@ -116,7 +116,7 @@
     if (handler != handlers_.end()) {
         return handler->second(datagram, now);
     }
-    if (!isCrashNews(datagram)) {
+    if (!isCrashDatagram(datagram)) {
         return mesh_.onDatagram(datagram, gateway_.endpoints(), now);
     }
     std::vector<MeshDatagram> answers;
@@ -180,7 +180,7 @@
         }
     }
     report.demand_ = gateway_.demand();
-    report.unreached_ = gateway_.endpoints().unreached(now);
+    report.unreached_ = gateway_.endpoints().recentlyUnreachable(now);
     if (report.unreached_.size() > MaxUnreachedPerReport) {
         report.unreached_.resize(MaxUnreachedPerReport);
     }
@@ -191,9 +191,9 @@
 {
     const TimePoint now = BootClock::now();
     timer_.startAt(mesh_.nextTick(now), [this] { tick(); });
-    gateway_.endpoints().forgetIdle(now);
+    gateway_.endpoints().deactivateIdle(now);
     std::erase_if(changing_, [&](const auto &entry) { return entry.second <= now; });
-    mesh_.addReadParts(gateway_.takeReadParts());
+    mesh_.addReadParts(gateway_.takeNewCachedParts());
     send(mesh_.tick(currentReport(now), gateway_.endpoints(), now));
     send(crashGossip_.tick(now));
 }
--- a/libs/gateway/src/loadmesh.cpp
+++ b/libs/gateway/src/loadmesh.cpp
@@ -37,20 +37,20 @@
     , relaySelector_(self_, domain_)
 { }
 
-void LoadMesh::PendingParts::add(const std::vector<PromptMemory::Key> &parts)
+void LoadMesh::PendingParts::add(const std::vector<PromptCacheIndex::Key> &parts)
 {
     const std::size_t room = MaxPendingParts - std::min(MaxPendingParts, unsent_.size());
     const auto taken = static_cast<std::ptrdiff_t>(std::min(room, parts.size()));
     unsent_.insert(unsent_.end(), parts.begin(), parts.begin() + taken);
 }
 
-std::vector<PromptMemory::Key> LoadMesh::PendingParts::take(std::size_t maxUnsent)
+std::vector<PromptCacheIndex::Key> LoadMesh::PendingParts::take(std::size_t maxUnsent)
 {
     const auto end =
         unsent_.begin() + static_cast<std::ptrdiff_t>(std::min(maxUnsent, unsent_.size()));
-    std::vector<PromptMemory::Key> now(unsent_.begin(), end);
+    std::vector<PromptCacheIndex::Key> now(unsent_.begin(), end);
     unsent_.erase(unsent_.begin(), end);
-    std::vector<PromptMemory::Key> parts = std::exchange(sentOnce_, now);
+    std::vector<PromptCacheIndex::Key> parts = std::exchange(sentOnce_, now);
     parts.insert(parts.end(), now.begin(), now.end());
     return parts;
 }
@@ -155,7 +155,7 @@
                                   isDirect() ? FleetSize::Small : FleetSize::Large);
 }
 
-void LoadMesh::addReadParts(const std::vector<PromptMemory::Key> &parts)
+void LoadMesh::addReadParts(const std::vector<PromptCacheIndex::Key> &parts)
 {
     reportParts_.add(parts);
 }
@@ -164,7 +164,7 @@
 {
     LoadReport report = own;
     report.sequence_ = ++reportSequence_;
-    const std::vector<PromptMemory::Key> parts = reportParts_.take(MaxPartsPerReport);
+    const std::vector<PromptCacheIndex::Key> parts = reportParts_.take(MaxPartsPerReport);
     report.readParts_ = parts;
     if (isRelay()) {
         domainDigestParts_.add(parts);
@@ -280,7 +280,7 @@
         table.onChanging(engine, now + millis(std::min(remaining, MaxChangeMillis)));
     }
     for (const EndpointId &endpoint : digest.unreached_) {
-        table.onUnreachedByPeer(endpoint, now);
+        table.onPeerReportedUnreachable(endpoint, now);
     }
     receivedParts_.insert(receivedParts_.end(), digest.readParts_.begin(), digest.readParts_.end());
     if (isRelay() && stream.isInUse()) {
@@ -290,7 +290,7 @@
     return ReceiveResult::Accepted;
 }
 
-std::vector<PromptMemory::Key> LoadMesh::takeReceivedParts()
+std::vector<PromptCacheIndex::Key> LoadMesh::takeReceivedParts()
 {
     return std::exchange(receivedParts_, {});
 }
--- a/libs/gateway/src/loadmeshrelay.cpp
+++ b/libs/gateway/src/loadmeshrelay.cpp
@@ -90,7 +90,7 @@
  * into one packet.
  */
 std::vector<LoadDigest> LoadMesh::splitIntoDigests(LoadDigest first, std::vector<LoadTable> loads,
-                                                   const std::vector<PromptMemory::Key> &parts)
+                                                   const std::vector<PromptCacheIndex::Key> &parts)
 {
     std::vector<LoadDigest> digests;
     if (first.unreached_.size() + first.changingMillis_.size() > MaxListedBesideLoads) {
@@ -192,8 +192,7 @@
     }
     appendMissing(std::exchange(remoteUnreached_, {}), digest.unreached_, MaxUnreachedPerDigest);
     for (const auto &[id, endpoint] : table.active()) {
-        EndpointLoad load {endpoint->foreignQueued_, endpoint->foreignSlotUse_,
-                           endpoint->toldFailures_};
+        EndpointLoad load {endpoint->peerQueued_, endpoint->peerSlotUse_, endpoint->peerFailures_};
         if (!load.isZero()) {
             sums[id].add(load);
         }
--- a/libs/gateway/src/peerload.cpp
+++ b/libs/gateway/src/peerload.cpp
@@ -1,7 +1,7 @@
 #include "almondridge/gateway/peerload.h"
 
 #include "almondridge/base/cbor.h"
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 #include <algorithm>
 #include <array>
@@ -218,7 +218,7 @@
         if (!part.is_number_unsigned()) {
             return std::nullopt;
         }
-        report.readParts_.push_back(part.get<PromptMemory::Key>());
+        report.readParts_.push_back(part.get<PromptCacheIndex::Key>());
     }
     return report;
 }
@@ -258,17 +258,17 @@
 {
     for (const auto &[id, queue] : report.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignQueued_.add(queue);
+            endpoint->peerQueued_.add(queue);
         }
     }
     for (const auto &[id, use] : report.slotUse_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignSlotUse_.add(use);
+            endpoint->peerSlotUse_.add(use);
         }
     }
     for (const auto &[id, failures] : report.failures_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->toldFailures_ += failures;
+            endpoint->peerFailures_ += failures;
         }
     }
 }
@@ -277,18 +277,18 @@
 {
     for (const auto &[id, queue] : report.queued_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignQueued_.remove(queue);
+            endpoint->peerQueued_.remove(queue);
         }
     }
     for (const auto &[id, use] : report.slotUse_) {
         if (Endpoint *endpoint = table.find(id)) {
-            endpoint->foreignSlotUse_.remove(use);
+            endpoint->peerSlotUse_.remove(use);
         }
     }
     for (const auto &[id, failures] : report.failures_) {
         if (Endpoint *endpoint = table.find(id)) {
             // Stops at zero: the endpoint may have been listed after the report came.
-            endpoint->toldFailures_ = std::max(0.0, endpoint->toldFailures_ - failures);
+            endpoint->peerFailures_ = std::max(0.0, endpoint->peerFailures_ - failures);
         }
     }
 }
@@ -311,7 +311,7 @@
         table.onChanging(endpoint, now + millis(std::min(remaining, MaxChangeMillis)));
     }
     for (const EndpointId &endpoint : report.unreached_) {
-        table.onUnreachedByPeer(endpoint, now);
+        table.onPeerReportedUnreachable(endpoint, now);
     }
     return true;
 }
--- a/libs/gateway/src/placement.cpp
+++ b/libs/gateway/src/placement.cpp
@@ -9,36 +9,36 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Shared parts that are remembered: some thousand subjects on a few engines each. */
-constexpr std::size_t RememberedParts = 8'192;
+/** Capacity of the cache index: some thousand shared parts on a few engines each. */
+constexpr std::size_t MaxIndexedParts = 8'192;
 /**
- * An engine slower than this share of the usual rate is taken for slow. The speeds of sound ones
- * differ by chance, and choosing by them would send prompts away from their cached parts.
+ * Only a measured speed below this fraction of the usual one counts as slow. Measured speeds of
+ * healthy engines vary by chance, and placing prompts by them would lose cache hits.
  */
-constexpr double SlowSpeed = 0.5;
+constexpr double SlowSpeedRatio = 0.5;
 
-/** Parts that wait to be told: more than an instance sends anew between two notes. */
-constexpr std::size_t MostPartsToTell = 256;
-/** Fewer tokens are read within what a measurement is off by. */
-constexpr double LeastTellingTokens = 4'000;
-/** How much one more prompt counts for the share of unknown parts that are cached. */
-constexpr double UnknownWeight = 0.1;
+/** Parts kept for the next load report: more than an instance caches between two reports. */
+constexpr std::size_t MaxPendingParts = 256;
+/** The prefill time of fewer shared tokens is within the measurement error. */
+constexpr double MinSampleTokens = 4'000;
+/** Smoothing factor of the hit rate that is assumed for unknown parts. */
+constexpr double HitRateSmoothing = 0.1;
 
-/** How long a load told by an answer says something of the queue now. */
-constexpr Duration LoadIsFresh = millis(400);
+/** Older load reports say nothing about the current queue. */
+constexpr Duration MaxLoadAge = millis(400);
 
 /**
- * Engines that may read one part: the first of its order, and another one when that one's queue is
- * long. Each copy takes a read of its own and memory from the other parts; without a bound a loaded
- * fleet copies everything everywhere and reads it again and again.
+ * Engines that may prefill and cache the same part: the first of its ranking, and the second if
+ * the first one's queue is long. Each copy costs a prefill and evicts other parts; without a limit,
+ * a loaded fleet copies every part to every engine and keeps recomputing what was evicted.
  */
-constexpr std::size_t HomesOfAPart = 2;
+constexpr std::size_t ReplicasPerPart = 2;
 
 /**
- * What reading a part again elsewhere costs beside its own time: the engine reads nothing else
- * meanwhile, and the copy pushes others out of its memory.
+ * Weight of the time to recompute a shared part on another engine, added to that time itself: the
+ * engine prefills nothing else meanwhile, and the copy evicts other parts from its cache.
  */
-constexpr double ReadAgainWeight = 2;
+constexpr double RecomputePenalty = 2;
 
 bool contains(const std::vector<EndpointId> &ids, const EndpointId &id)
 {
@@ -52,36 +52,36 @@
                   [&](const Endpoint *one) { return contains(excluded, one->listed_.id_); });
 }
 
-/** Requests that a new one would share the endpoint with, as a share of its slots. */
-double fullness(const Endpoint &endpoint, TimePoint now)
+/** Requests at the endpoint per slot. */
+double utilization(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
     double busy = endpoint.outstanding();
-    if (endpoint.loadAt_ + LoadIsFresh > now) {
+    if (endpoint.loadAt_ + MaxLoadAge > now) {
         busy = std::max<double>(busy, endpoint.load_.running_ + endpoint.load_.waiting_);
     }
     return busy / slots;
 }
 
-/** The same of an engine that generates, of which the other instances tell. */
-double generatorFullness(const Endpoint &endpoint, TimePoint now)
+/** As utilization(), including the requests that peers report for a decode engine. */
+double decodeUtilization(const Endpoint &endpoint, TimePoint now)
 {
     const int slots = std::max(1, endpoint.listed_.slots_);
-    return std::max(static_cast<double>(endpoint.usedByAll().all()) / slots,
-                    fullness(endpoint, now));
+    return std::max(static_cast<double>(endpoint.fleetSlotUse().all()) / slots,
+                    utilization(endpoint, now));
 }
 
 /**
- * The endpoint that costs least. Among equals the ticket decides: in the order of their ids all
- * instances would send to the first idle one.
+ * The endpoint of least cost. The search starts at a position given by tieBreaker: if it always
+ * started at the lowest id, all instances would send to the same idle endpoint.
  */
-const Endpoint *cheapest(const std::vector<const Endpoint *> &endpoints, std::uint64_t ticket,
+const Endpoint *cheapest(const std::vector<const Endpoint *> &endpoints, std::uint64_t tieBreaker,
                          const std::function<double(const Endpoint &)> &costOf)
 {
     const Endpoint *best = nullptr;
     double bestCost = 0;
     for (std::size_t index = 0; index < endpoints.size(); ++index) {
-        const Endpoint *one = endpoints[(index + ticket) % endpoints.size()];
+        const Endpoint *one = endpoints[(index + tieBreaker) % endpoints.size()];
         const double cost = costOf(*one);
         if (best == nullptr || cost < bestCost) {
             best = one;
@@ -92,9 +92,9 @@
 }
 
 /**
- * The part that decides where a prompt goes: the last one that others share, so that prompts with
- * the same shared beginning meet, and no others. By the largest part all prompts that begin with
- * one common text would meet on a few engines: the busiest got 7.4 times the mean.
+ * The part that decides where a prompt goes: the last shared one, so that exactly the prompts with
+ * the same shared prefix go to the same engine. If the largest part decided, all prompts that begin
+ * with the same long text would go to a few engines; the busiest got 7.4 times the mean load.
  */
 const PromptPart *leadingPart(const Prompt &prompt)
 {
@@ -107,18 +107,18 @@
 
 } // namespace
 
-/** What one engine could do for a prompt. */
-struct Placement::Offer
+/** Estimated cost of prefilling a prompt on one engine. */
+struct Placement::Estimate
 {
     const Endpoint *engine_ = nullptr;
     int urgency_ = 0;
-    std::int64_t newTokens_ = 0;
-    std::int64_t aheadTokens_ = 0;
-    bool partsUnknown_ = false; ///< Whether the shared parts are cached is a guess.
-    double millis_ = 0;         ///< Until the prompt is read.
-    double cost_ = 0;           ///< The same, and what it takes from other prompts.
+    std::int64_t uncachedTokens_ = 0;
+    std::int64_t queuedTokens_ = 0;
+    bool cacheHitUnknown_ = false; ///< As in PromptPlan.
+    double millis_ = 0;            ///< Time until the prefill ends, including the queue.
+    double cost_ = 0;              ///< millis_ plus the penalty for recomputing shared parts.
 
-    bool betterThan(const Offer &other) const
+    bool isCheaperThan(const Estimate &other) const
     {
         return other.engine_ == nullptr || cost_ < other.cost_;
     }
@@ -126,52 +126,54 @@
 
 Placement::Placement(PlacementSettings settings)
     : settings_(std::move(settings))
-    , memory_(RememberedParts)
+    , cacheIndex_(MaxIndexedParts)
 { }
 
 double Placement::millisPerToken(const RequestCosts &costs, const Endpoint &engine) const
 {
-    double millis = costs.readingMillis(1);
-    if (engine.readingSpeed_ < SlowSpeed) {
-        millis /= engine.readingSpeed_;
+    double millis = costs.prefillComputeMillis(1);
+    if (engine.prefillSpeed_ < SlowSpeedRatio) {
+        millis /= engine.prefillSpeed_;
     }
-    return engine.listed_.stage_ == Stage::Prefill ? millis : millis / settings_.decodeReadShare_;
+    return engine.listed_.stage_ == Stage::Prefill ? millis
+                                                   : millis / settings_.decodePrefillSpeed_;
 }
 
-Placement::Offer Placement::offerOf(const Endpoint &engine, const PromptQuery &query,
-                                    bool mayHold) const
+Placement::Estimate Placement::estimateTokens(const Endpoint &engine, const PromptQuery &query,
+                                              bool mayBeCached) const
 {
     const Prompt &prompt = *query.prompt_;
-    std::int64_t cached = memory_.cachedTokens(engine.listed_, prompt);
+    std::int64_t cached = cacheIndex_.cachedTokens(engine.listed_, prompt);
     const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
-    Offer offer;
-    offer.engine_ = &engine;
-    if (mayHold && cached < shared) {
-        // Read there before this instance was listening, or never: as often as it proved so.
-        offer.partsUnknown_ = true;
-        cached += std::llround(unknownCached_ * static_cast<double>(shared - cached));
+    Estimate estimate;
+    estimate.engine_ = &engine;
+    if (mayBeCached && cached < shared) {
+        // Either cached before this instance started, or not at all: uses the learned hit rate.
+        estimate.cacheHitUnknown_ = true;
+        cached += std::llround(unknownHitRate_ * static_cast<double>(shared - cached));
     }
-    offer.newTokens_ = std::max<std::int64_t>(1, prompt.tokens_ - cached);
-    return offer;
+    estimate.uncachedTokens_ = std::max<std::int64_t>(1, prompt.tokens_ - cached);
+    return estimate;
 }
 
-Placement::Offer Placement::rank(const Endpoint &engine, const PromptQuery &query, bool mayHold,
-                                 int urgency) const
+Placement::Estimate Placement::estimatePrefill(const Endpoint &engine, const PromptQuery &query,
+                                               bool mayBeCached, int urgency) const
 {
-    Offer offer = offerOf(engine, query, mayHold);
+    Estimate estimate = estimateTokens(engine, query, mayBeCached);
     const double perToken = millisPerToken(*query.costs_, engine);
-    offer.urgency_ = urgency;
-    // All that can be in time counts as ahead, also what is less urgent: an engine reads several
-    // prompts at once, and does not stop those that it has begun.
-    const int counted = urgency < LateUrgencies ? LateUrgencies - 1 : Urgencies - 1;
-    offer.aheadTokens_ = engine.queuedByAll(counted);
-    offer.millis_ = query.costs_->readMillis(0)
-                    + perToken * static_cast<double>(offer.aheadTokens_ + offer.newTokens_);
-    const std::int64_t again = offer.newTokens_ - query.prompt_->ownTokens();
-    offer.cost_ =
-        offer.millis_
-        + ReadAgainWeight * perToken * static_cast<double>(std::max<std::int64_t>(0, again));
-    return offer;
+    estimate.urgency_ = urgency;
+    // Every queued prompt that can still be in time counts as ahead, even a less urgent one: an
+    // engine prefills several prompts at once and doesn't preempt those that it has begun.
+    const int maxUrgency = urgency < FirstLateUrgency ? FirstLateUrgency - 1 : UrgencyLevels - 1;
+    estimate.queuedTokens_ = engine.fleetQueuedTokens(maxUrgency);
+    estimate.millis_ =
+        query.costs_->prefillMillis(0)
+        + perToken * static_cast<double>(estimate.queuedTokens_ + estimate.uncachedTokens_);
+    const std::int64_t recomputed = estimate.uncachedTokens_ - query.prompt_->ownTokens();
+    estimate.cost_ =
+        estimate.millis_
+        + RecomputePenalty * perToken * static_cast<double>(std::max<std::int64_t>(0, recomputed));
+    return estimate;
 }
 
 Placement::Candidates Placement::candidates(const EndpointTable &table, const PromptQuery &query,
@@ -189,30 +191,30 @@
     return found;
 }
 
-/** The first ones of the order that read prompts. */
-std::vector<const Endpoint *> Placement::homesAmong(const Candidates &engines)
+/** The highest-ranked prefill engines. */
+std::vector<const Endpoint *> Placement::replicaEngines(const Candidates &engines)
 {
-    Candidates homes;
+    Candidates replicas;
     for (const Candidate &one : engines) {
         if (one.engine_->listed_.stage_ != Stage::Prefill) {
             continue;
         }
-        const auto place = std::find_if(homes.begin(), homes.end(), [&](const Candidate &home) {
-            return home.weight_ < one.weight_;
-        });
-        if (place != homes.end() || homes.size() < HomesOfAPart) {
-            homes.insert(place, one);
-            homes.resize(std::min(homes.size(), HomesOfAPart));
+        const auto place =
+            std::find_if(replicas.begin(), replicas.end(),
+                         [&](const Candidate &replica) { return replica.weight_ < one.weight_; });
+        if (place != replicas.end() || replicas.size() < ReplicasPerPart) {
+            replicas.insert(place, one);
+            replicas.resize(std::min(replicas.size(), ReplicasPerPart));
         }
     }
     std::vector<const Endpoint *> found;
-    std::transform(homes.begin(), homes.end(), std::back_inserter(found),
-                   [](const Candidate &home) { return home.engine_; });
+    std::transform(replicas.begin(), replicas.end(), std::back_inserter(found),
+                   [](const Candidate &replica) { return replica.engine_; });
     return found;
 }
 
-/** The first one of the order that generates; null: there is none. */
-const Endpoint *Placement::firstGenerator(const Candidates &engines)
+/** The highest-ranked engine that decodes; null if there is none. */
+const Endpoint *Placement::firstDecodeEngine(const Candidates &engines)
 {
     Candidate first;
     for (const Candidate &one : engines) {
@@ -224,78 +226,85 @@
     return first.engine_;
 }
 
-Placement::Offer Placement::bestReader(const Candidates &engines, const PromptQuery &query,
-                                       TimePoint now) const
+Placement::Estimate Placement::bestPrefillEngine(const Candidates &engines,
+                                                 const PromptQuery &query, TimePoint now) const
 {
-    const std::vector<const Endpoint *> homes = homesAmong(engines);
+    const std::vector<const Endpoint *> replicas = replicaEngines(engines);
     const PromptPart *leading = leadingPart(*query.prompt_);
     const bool known =
-        leading == nullptr || std::any_of(homes.begin(), homes.end(), [&](const Endpoint *home) {
-            return memory_.holds(home->listed_, leading->id_);
-        });
+        leading == nullptr
+        || std::any_of(replicas.begin(), replicas.end(), [&](const Endpoint *replica) {
+               return cacheIndex_.holds(replica->listed_, leading->id_);
+           });
     const auto bestAt = [&](int urgency) {
-        Offer best;
-        for (const Endpoint *home : homes) {
-            const bool mayHold = !known && home == homes.front();
-            const Offer offer = rank(*home, query, mayHold, urgency);
-            if (offer.betterThan(best)) {
-                best = offer;
+        Estimate best;
+        for (const Endpoint *replica : replicas) {
+            const bool mayBeCached = !known && replica == replicas.front();
+            const Estimate estimate = estimatePrefill(*replica, query, mayBeCached, urgency);
+            if (estimate.isCheaperThan(best)) {
+                best = estimate;
             }
         }
         return best;
     };
-    const int inTime = std::clamp(query.priority_, 0, LateUrgencies - 1);
-    const Offer best = bestAt(inTime);
-    const auto left = static_cast<double>(toMillis(query.inTime_ - now) - settings_.handoverMillis_)
-                      - query.slotWaitMillis_;
-    return best.engine_ == nullptr || best.millis_ <= left ? best : bestAt(LateUrgencies + inTime);
+    const int inTime = std::clamp(query.priority_, 0, FirstLateUrgency - 1);
+    const Estimate best = bestAt(inTime);
+    const auto budgetMillis =
+        static_cast<double>(toMillis(query.firstEventDeadline_ - now) - settings_.handoverMillis_)
+        - query.slotWaitMillis_;
+    return best.engine_ == nullptr || best.millis_ <= budgetMillis
+               ? best
+               : bestAt(FirstLateUrgency + inTime);
 }
 
-Placement::Offer Placement::bestGenerator(const Candidates &engines, const PromptQuery &query) const
+Placement::Estimate Placement::bestInPlaceEngine(const Candidates &engines,
+                                                 const PromptQuery &query) const
 {
-    Offer best;
-    std::uint64_t weightOfBest = 0;
+    Estimate best;
+    std::uint64_t bestWeight = 0;
     for (const auto &[weight, engine] : engines) {
         if (engine->listed_.stage_ == Stage::Prefill) {
             continue;
         }
-        const Offer offer =
-            rank(*engine, query, false, std::clamp(query.priority_, 0, LateUrgencies - 1));
-        const bool isFirstOfEqual = offer.cost_ == best.cost_ && weight > weightOfBest;
-        if (offer.betterThan(best) || isFirstOfEqual) {
-            best = offer;
-            weightOfBest = weight;
+        const Estimate estimate = estimatePrefill(
+            *engine, query, false, std::clamp(query.priority_, 0, FirstLateUrgency - 1));
+        const bool isFirstOfEqual = estimate.cost_ == best.cost_ && weight > bestWeight;
+        if (estimate.isCheaperThan(best) || isFirstOfEqual) {
+            best = estimate;
+            bestWeight = weight;
         }
     }
     return best;
 }
 
-const Endpoint *Placement::partsSource(const Candidates &engines, const Endpoint &reader,
-                                       const Prompt &prompt, TimePoint now) const
+const Endpoint *Placement::cacheCopySource(const Candidates &engines, const Endpoint &prefillEngine,
+                                           const Prompt &prompt, TimePoint now) const
 {
-    // What was sent to be read a moment ago is not there yet.
-    constexpr Duration ReadBy = millis(1'500);
-    // Fewer tokens are read about as fast as a copy is set up.
-    constexpr std::int64_t LeastTokens = 1'000;
+    // A prompt that was sent more recently may not be prefilled yet.
+    constexpr Duration MinCacheAge = millis(1'500);
+    // Prefilling fewer tokens takes about as long as setting up a copy.
+    constexpr std::int64_t MinCopiedTokens = 1'000;
     const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
-    const std::int64_t least = memory_.cachedTokens(reader.listed_, prompt) + LeastTokens;
-    if (least >= shared) {
-        return nullptr; // Most prompts: their shared parts are there, or are short.
+    const std::int64_t minTokens =
+        cacheIndex_.cachedTokens(prefillEngine.listed_, prompt) + MinCopiedTokens;
+    if (minTokens >= shared) {
+        return nullptr; // Most prompts: the shared parts are cached there or are short.
     }
-    // The most tokens, then the reader's own failure domain, then the order.
+    // Most cached tokens first, then the same failure domain, then the rendezvous weight.
     using Rank = std::tuple<std::int64_t, bool, std::uint64_t>;
     const Endpoint *best = nullptr;
-    Rank rankOfBest;
+    Rank bestRank;
     for (const auto &[weight, engine] : engines) {
         const std::int64_t kept =
-            std::min(shared, memory_.cachedTokens(engine->listed_, prompt, now - ReadBy));
-        if (engine == &reader || kept <= least) {
+            std::min(shared, cacheIndex_.cachedTokens(engine->listed_, prompt, now - MinCacheAge));
+        if (engine == &prefillEngine || kept <= minTokens) {
             continue;
         }
-        const Rank rank {kept, engine->listed_.domain_ == reader.listed_.domain_, weight};
-        if (best == nullptr || rank > rankOfBest) {
+        const Rank engineRank {kept, engine->listed_.domain_ == prefillEngine.listed_.domain_,
+                               weight};
+        if (best == nullptr || engineRank > bestRank) {
             best = engine;
-            rankOfBest = rank;
+            bestRank = engineRank;
         }
     }
     return best;
@@ -305,73 +314,74 @@
                                                 const PromptQuery &query, TimePoint now) const
 {
     const Candidates engines = candidates(table, query, now);
-    const Endpoint *generator = firstGenerator(engines);
-    if (generator == nullptr) {
+    const Endpoint *decodeEngine = firstDecodeEngine(engines);
+    if (decodeEngine == nullptr) {
         return std::nullopt;
     }
-    const Offer reader = bestReader(engines, query, now);
-    const bool isInPlace = query.inPlace_ || reader.engine_ == nullptr;
-    const Offer inPlace = isInPlace ? bestGenerator(engines, query) : Offer();
-    const Offer &reads = reader.engine_ != nullptr ? reader : inPlace;
+    const Estimate separate = bestPrefillEngine(engines, query, now);
+    const bool isInPlace = query.prefillInPlace_ || separate.engine_ == nullptr;
+    const Estimate inPlace = isInPlace ? bestInPlaceEngine(engines, query) : Estimate();
+    const Estimate &prefill = separate.engine_ != nullptr ? separate : inPlace;
     PromptPlan plan;
-    if (reader.engine_ != nullptr) {
-        plan.prefill_ = reader.engine_->listed_.id_;
+    if (separate.engine_ != nullptr) {
+        plan.prefill_ = separate.engine_->listed_.id_;
     }
-    plan.decode_ = (isInPlace ? inPlace.engine_ : generator)->listed_.id_;
-    plan.urgency_ = reads.urgency_;
-    plan.newTokens_ = reads.newTokens_;
-    plan.aheadTokens_ = reads.aheadTokens_;
-    plan.partsUnknown_ = reads.partsUnknown_;
-    const Endpoint *source = partsSource(engines, *reads.engine_, *query.prompt_, now);
+    plan.decode_ = (isInPlace ? inPlace.engine_ : decodeEngine)->listed_.id_;
+    plan.urgency_ = prefill.urgency_;
+    plan.uncachedTokens_ = prefill.uncachedTokens_;
+    plan.queuedTokens_ = prefill.queuedTokens_;
+    plan.cacheHitUnknown_ = prefill.cacheHitUnknown_;
+    const Endpoint *source = cacheCopySource(engines, *prefill.engine_, *query.prompt_, now);
     if (source != nullptr) {
         plan.copyFrom_ = source->listed_.id_;
     }
-    plan.readMillis_ = reads.millis_;
+    plan.prefillMillis_ = prefill.millis_;
     return plan;
 }
 
-std::optional<GeneratorChoice> Placement::chooseGenerator(const EndpointTable &table,
-                                                          const GeneratorQuery &query,
-                                                          std::uint64_t ticket, TimePoint now) const
+std::optional<DecodeChoice> Placement::chooseDecodeEngine(const EndpointTable &table,
+                                                          const DecodeQuery &query,
+                                                          std::uint64_t tieBreaker,
+                                                          TimePoint now) const
 {
-    // Moving a prompt between failure domains takes twice as long and is dearer: another domain's
-    // engine is taken when ours is fuller by a quarter of its slots.
-    constexpr double OtherDomainCost = 0.25;
-    // Prompts that wait for their first event there count like a full engine from this wait on,
-    // in milliseconds: an engine whose links are slow has few requests, and each takes a second.
-    constexpr double WaitOfAFullEngine = 100;
+    // Transfers between failure domains take twice as long and cost more: an engine of another
+    // domain is chosen only if those of the source's domain are fuller by a quarter of the slots.
+    constexpr double CrossDomainPenalty = 0.25;
+    // Prompts that wait this long for their first event count as much as a full engine. An engine
+    // with slow links has few requests, so its slots look free though each request takes a second.
+    constexpr double FullEngineWaitMillis = 100;
     std::vector<const Endpoint *> engines = table.usable(query.service_, now);
     removeExcluded(engines, query.excluded_);
     std::erase_if(engines,
                   [](const Endpoint *one) { return one->listed_.stage_ == Stage::Prefill; });
-    const Endpoint *best = cheapest(engines, ticket, [&](const Endpoint &one) {
+    const Endpoint *best = cheapest(engines, tieBreaker, [&](const Endpoint &one) {
         const double waitMillis =
-            static_cast<double>(one.queuedByAll()) * millisPerToken(*query.costs_, one);
-        return generatorFullness(one, now) + waitMillis / WaitOfAFullEngine
-               + (one.listed_.domain_ == query.source_ ? 0 : OtherDomainCost);
+            static_cast<double>(one.fleetQueuedTokens()) * millisPerToken(*query.costs_, one);
+        return decodeUtilization(one, now) + waitMillis / FullEngineWaitMillis
+               + (one.listed_.domain_ == query.source_ ? 0 : CrossDomainPenalty);
     });
     if (best == nullptr) {
         return std::nullopt;
     }
-    const SlotUse use = best->usedByAll();
+    const SlotUse use = best->fleetSlotUse();
     const int slots = best->listed_.slots_;
     const double slotMillis = query.costs_->meanGenerateMillis();
-    return GeneratorChoice {best->listed_.id_, slotWaitMillis(use.inTime_ + 1, slots, slotMillis),
-                            slotWaitMillis(use.all() + 1, slots, slotMillis),
-                            use.all() >= 2 * std::max(1, slots)};
+    return DecodeChoice {best->listed_.id_, slotWaitMillis(use.inTime_ + 1, slots, slotMillis),
+                         slotWaitMillis(use.all() + 1, slots, slotMillis),
+                         use.all() >= 2 * std::max(1, slots)};
 }
 
-bool Placement::someGeneratorHasRoom(const EndpointTable &table, const ServiceId &service,
-                                     const std::vector<EndpointId> &excluded, TimePoint now) const
+bool Placement::anyDecodeEngineHasRoom(const EndpointTable &table, const ServiceId &service,
+                                       const std::vector<EndpointId> &excluded, TimePoint now) const
 {
-    // An engine that is full answers every request with its load; one that has not been heard of
-    // for this long gets few, as far as this instance can know.
-    constexpr Duration WordHolds = millis(2'000);
+    // A full engine reports its load with every response, so an engine without a report for this
+    // long gets few requests as far as this instance can tell.
+    constexpr Duration MaxFullLoadAge = millis(2'000);
     std::vector<const Endpoint *> engines = table.usable(service, now);
     removeExcluded(engines, excluded);
     return std::any_of(engines.begin(), engines.end(), [&](const Endpoint *engine) {
         const LoadSample &load = engine->load_;
-        const bool full = engine->loadAt_ + WordHolds > now && load.slots_ > 0
+        const bool full = engine->loadAt_ + MaxFullLoadAge > now && load.slots_ > 0
                           && load.running_ + load.waiting_ >= load.slots_;
         return engine->listed_.stage_ != Stage::Prefill && !full
                && engine->outstanding() < engine->listed_.slots_;
@@ -381,76 +391,78 @@
 std::optional<EndpointId> Placement::chooseService(const EndpointTable &table,
                                                    const ServiceId &service,
                                                    const std::vector<EndpointId> &excluded,
-                                                   std::uint64_t ticket, TimePoint now) const
+                                                   std::uint64_t tieBreaker, TimePoint now) const
 {
-    // A call is short: half a slot's difference is worth the way into another failure domain.
-    constexpr double OtherDomainCost = 0.1;
+    // Calls are short: a tenth of the slots less load outweighs the longer way to another domain.
+    constexpr double CrossDomainPenalty = 0.1;
     std::vector<const Endpoint *> endpoints = table.usable(service, now);
     removeExcluded(endpoints, excluded);
-    const Endpoint *best = cheapest(endpoints, ticket, [&](const Endpoint &one) {
-        return fullness(one, now)
-               + (one.listed_.domain_ == settings_.domain_ ? 0 : OtherDomainCost);
+    const Endpoint *best = cheapest(endpoints, tieBreaker, [&](const Endpoint &one) {
+        return utilization(one, now)
+               + (one.listed_.domain_ == settings_.domain_ ? 0 : CrossDomainPenalty);
     });
     return best != nullptr ? std::optional(best->listed_.id_) : std::nullopt;
 }
 
-std::optional<QuietChoice> Placement::chooseQuietest(const EndpointTable &table,
-                                                     const ServiceId &service,
-                                                     const std::vector<EndpointId> &excluded,
-                                                     std::uint64_t ticket, TimePoint now) const
+std::optional<LeastLoadedChoice>
+Placement::chooseLeastLoaded(const EndpointTable &table, const ServiceId &service,
+                             const std::vector<EndpointId> &excluded, std::uint64_t tieBreaker,
+                             TimePoint now) const
 {
-    const auto onlyReads = [](const Endpoint *one) {
+    const auto isPrefillOnly = [](const Endpoint *one) {
         return one->listed_.stage_ == Stage::Prefill;
     };
     std::vector<const Endpoint *> listed = table.listed(service);
-    std::erase_if(listed, onlyReads);
-    std::vector<const Endpoint *> serving = table.usable(service, now);
-    std::erase_if(serving, onlyReads);
-    const bool last = serving.size() == 1 && listed.size() > 1;
-    removeExcluded(serving, excluded);
-    const Endpoint *best = cheapest(serving, ticket, [&](const Endpoint &one) {
-        return generatorFullness(one, now) * std::max(1, one.listed_.slots_);
+    std::erase_if(listed, isPrefillOnly);
+    std::vector<const Endpoint *> usableEngines = table.usable(service, now);
+    std::erase_if(usableEngines, isPrefillOnly);
+    const bool last = usableEngines.size() == 1 && listed.size() > 1;
+    removeExcluded(usableEngines, excluded);
+    const Endpoint *best = cheapest(usableEngines, tieBreaker, [&](const Endpoint &one) {
+        return decodeUtilization(one, now) * std::max(1, one.listed_.slots_);
     });
-    return best != nullptr ? std::optional(QuietChoice {best->listed_.id_, last}) : std::nullopt;
+    return best != nullptr ? std::optional(LeastLoadedChoice {best->listed_.id_, last})
+                           : std::nullopt;
 }
 
 std::int64_t Placement::handoverTokens(const Prompt &prompt)
 {
-    // Moving a prompt of some thousand tokens and its first step take as long as reading a
-    // sixteenth of them where it is generated.
-    constexpr std::int64_t MovedPerRead = 16;
-    return prompt.tokens_ / MovedPerRead;
+    // Transferring a prompt of some thousand tokens, plus its first decode step, takes as long as
+    // prefilling a sixteenth of the tokens on the decode engine.
+    constexpr std::int64_t TransferSpeedup = 16;
+    return prompt.tokens_ / TransferSpeedup;
 }
 
-void Placement::onPromptRead(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now)
+void Placement::onPromptSent(const ListedEndpoint &engine, const Prompt &prompt, TimePoint now)
 {
     for (std::size_t index = 0; index < prompt.parts_.size(); ++index) {
-        const PromptMemory::Key key = PromptMemory::keyOf(engine, prompt.parts_[index].id_);
+        const PromptCacheIndex::Key key = PromptCacheIndex::keyOf(engine, prompt.parts_[index].id_);
         const bool shared = index + 1 < prompt.parts_.size();
-        if (memory_.remember(key, now) && shared && readParts_.size() < MostPartsToTell) {
-            readParts_.push_back(key);
+        if (cacheIndex_.insert(key, now) && shared && newCachedParts_.size() < MaxPendingParts) {
+            newCachedParts_.push_back(key);
         }
     }
 }
 
-void Placement::onPartsTold(const std::vector<PromptMemory::Key> &parts, TimePoint now)
+void Placement::onPeerCachedParts(const std::vector<PromptCacheIndex::Key> &parts, TimePoint now)
 {
-    for (const PromptMemory::Key part : parts) {
-        memory_.remember(part, now);
+    for (const PromptCacheIndex::Key part : parts) {
+        cacheIndex_.insert(part, now);
     }
 }
 
-void Placement::onUnknownRead(const RequestCosts &costs, const Endpoint &engine,
-                              const Prompt &prompt, std::int64_t aheadTokens, double milliseconds)
+void Placement::onUnknownPartsPrefilled(const RequestCosts &costs, const Endpoint &engine,
+                                        const Prompt &prompt, std::int64_t queuedTokens,
+                                        double milliseconds)
 {
     const auto shared = static_cast<double>(prompt.tokens_ - prompt.ownTokens());
-    if (shared < LeastTellingTokens) {
+    if (shared < MinSampleTokens) {
         return;
     }
-    const double read = (milliseconds - costs.readMillis(0)) / millisPerToken(costs, engine)
-                        - static_cast<double>(aheadTokens + prompt.ownTokens());
-    const double cached = read < shared / 2 ? 1 : 0;
-    unknownCached_ += UnknownWeight * (cached - unknownCached_);
+    const double computed = (milliseconds - costs.prefillMillis(0)) / millisPerToken(costs, engine)
+                            - static_cast<double>(queuedTokens + prompt.ownTokens());
+    const double cached = computed < shared / 2 ? 1 : 0;
+    unknownHitRate_ += HitRateSmoothing * (cached - unknownHitRate_);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/promptmemory.cpp
+++ b/libs/gateway/src/promptcacheindex.cpp
@@ -1,10 +1,10 @@
-#include "almondridge/gateway/promptmemory.h"
+#include "almondridge/gateway/promptcacheindex.h"
 
 namespace almondridge::gateway {
 namespace {
 
-/** FNV-1a, so that all instances and builds agree on it. */
-std::uint64_t stableHash(std::string_view text)
+/** Unlike std::hash, the same in all instances and builds. */
+std::uint64_t fnv1aHash(std::string_view text)
 {
     std::uint64_t hash = 14'695'981'039'346'656'037ULL;
     for (const char letter : text) {
@@ -14,7 +14,7 @@
     return hash;
 }
 
-/** The finalizer of a 64-bit mixer: spreads nearby values over the whole range. */
+/** The finalizer of MurmurHash3: spreads nearby values over the whole range. */
 std::uint64_t mix(std::uint64_t value)
 {
     value ^= value >> 33U;
@@ -33,7 +33,7 @@
 
 std::uint64_t nameHash(std::string_view name)
 {
-    return stableHash(name);
+    return fnv1aHash(name);
 }
 
 std::uint64_t rendezvousWeight(std::uint64_t nameHash, std::uint64_t key)
@@ -41,49 +41,50 @@
     return mix(nameHash ^ mix(key));
 }
 
-PromptMemory::PromptMemory(std::size_t capacity)
+PromptCacheIndex::PromptCacheIndex(std::size_t capacity)
     : capacity_(capacity)
 { }
 
-PromptMemory::Key PromptMemory::keyOf(const ListedEndpoint &engine, std::uint64_t part)
+PromptCacheIndex::Key PromptCacheIndex::keyOf(const ListedEndpoint &engine, std::uint64_t part)
 {
     const auto start = static_cast<std::uint64_t>(engine.startedAtMillis_);
     return rendezvousWeight(engine.id_.value(), part ^ mix(start));
 }
 
-bool PromptMemory::remember(Key key, TimePoint now)
+bool PromptCacheIndex::insert(Key key, TimePoint now)
 {
     const auto found = entries_.find(key);
     if (found != entries_.end()) {
-        byUse_.splice(byUse_.begin(), byUse_, found->second.use_);
+        lruOrder_.splice(lruOrder_.begin(), lruOrder_, found->second.lruPosition_);
         return false;
     }
-    byUse_.push_front(key);
-    entries_.emplace(key, Entry {byUse_.begin(), now});
+    lruOrder_.push_front(key);
+    entries_.emplace(key, Entry {lruOrder_.begin(), now});
     if (entries_.size() > capacity_) {
-        entries_.erase(byUse_.back());
-        byUse_.pop_back();
+        entries_.erase(lruOrder_.back());
+        lruOrder_.pop_back();
     }
     return true;
 }
 
-bool PromptMemory::holds(const ListedEndpoint &engine, std::uint64_t part) const
+bool PromptCacheIndex::holds(const ListedEndpoint &engine, std::uint64_t part) const
 {
     return entries_.contains(keyOf(engine, part));
 }
 
-std::int64_t PromptMemory::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt) const
+std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine,
+                                            const Prompt &prompt) const
 {
     return cachedTokens(engine, prompt, TimePoint::max());
 }
 
-std::int64_t PromptMemory::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt,
-                                        TimePoint before) const
+std::int64_t PromptCacheIndex::cachedTokens(const ListedEndpoint &engine, const Prompt &prompt,
+                                            TimePoint before) const
 {
     std::int64_t tokens = 0;
     for (const PromptPart &part : prompt.parts_) {
         const auto found = entries_.find(keyOf(engine, part.id_));
-        if (found == entries_.end() || found->second.since_ >= before) {
+        if (found == entries_.end() || found->second.insertedAt_ >= before) {
             break;
         }
         tokens += part.tokens_;
--- a/libs/gateway/src/requestcosts.cpp
+++ b/libs/gateway/src/requestcosts.cpp
@@ -5,40 +5,40 @@
 namespace almondridge::gateway {
 namespace {
 
-/** An engine of a large model reads a token in this time until reads have told otherwise. */
+/** Prefill time per token of a large model's engine, assumed until there are samples. */
 constexpr double AssumedMillisPerToken = 0.025;
-/** And answers a read of nothing after this: a connection, a step and the way back. */
+/** Assumed time of an empty prefill: a connection, one step and the response. */
 constexpr double AssumedFixedMillis = 20;
-/** The assumption counts like so many reads, at two sizes that a prompt may have. */
-constexpr double AssumedReads = 4;
+/** The assumption counts as much as this many samples, at two typical prompt sizes. */
+constexpr double AssumedSamples = 4;
 constexpr double ShortPrompt = 500;
 constexpr double LongPrompt = 8'000;
 /**
- * What is kept of earlier reads at each new one: some hundred count. Engines change in seconds
- * (crashes, slow ones), and an instance sees some reads alone in each second.
+ * Weight decay of earlier samples at each new one, so that about a hundred count. Engines change
+ * within seconds (crashes, slowdowns), and an instance gets some uncontended samples per second.
  */
-constexpr double KeptReads = 0.99;
+constexpr double SampleDecay = 0.99;
 /**
- * Weight of a read that took longer than usual. Another instance's prompt may have been read at
- * the same time, which its note told too late: at half of the load the plain mean said that
- * reading takes 1.6 times what it takes.
+ * Weight of a sample that is slower than the current estimate: the engine may have prefilled a
+ * prompt of another instance at the same time, whose load report came too late. With equal weights,
+ * the estimate at half load was 1.6 times the real prefill time.
  */
-constexpr double SlowReadWeight = 0.15;
-/** Rates beyond these are measurements of something else: a stalled engine, or a cached prompt. */
-constexpr double LeastMillisPerToken = 1.0 / 300;
-constexpr double MostMillisPerToken = 0.2;
-constexpr double MostFixedMillis = 200;
+constexpr double SlowSampleWeight = 0.15;
+/** Times beyond these limits measure something else: a stalled engine, or a cached prompt. */
+constexpr double MinMillisPerToken = 1.0 / 300;
+constexpr double MaxMillisPerToken = 0.2;
+constexpr double MaxFixedMillis = 200;
 
-/** Until a route's first answer: 100 tokens at eight milliseconds. */
+/** Used until a route's first sample: 100 tokens at eight milliseconds. */
 constexpr double AssumedGenerateMillis = 800;
-/** How much one more answer counts; their lengths differ by some times. */
-constexpr double GeneratedWeight = 0.05;
-/** Routes that are remembered; a configuration with thousands of them serves few at a time. */
-constexpr std::size_t MostRoutes = 1'024;
+/** Smoothing factor of generation times; answer lengths differ by a factor of several. */
+constexpr double GenerateSmoothing = 0.05;
+/** Routes with a time of their own; of thousands of configured routes few are busy at a time. */
+constexpr std::size_t MaxRoutes = 1'024;
 
 } // namespace
 
-void RequestCosts::Line::add(double tokens, double milliseconds, double weight)
+void RequestCosts::LeastSquares::add(double tokens, double milliseconds, double weight)
 {
     weight_ += weight;
     tokens_ += weight * tokens;
@@ -47,19 +47,20 @@
     tokensMillis_ += weight * tokens * milliseconds;
 }
 
-void RequestCosts::Line::fade(double kept)
+void RequestCosts::LeastSquares::decay(double factor)
 {
-    weight_ *= kept;
-    tokens_ *= kept;
-    millis_ *= kept;
-    tokensSquared_ *= kept;
-    tokensMillis_ *= kept;
+    weight_ *= factor;
+    tokens_ *= factor;
+    millis_ *= factor;
+    tokensSquared_ *= factor;
+    tokensMillis_ *= factor;
 }
 
 RequestCosts::RequestCosts()
 {
     for (const double tokens : {ShortPrompt, LongPrompt}) {
-        reads_.add(tokens, AssumedFixedMillis + AssumedMillisPerToken * tokens, AssumedReads / 2);
+        prefillSamples_.add(tokens, AssumedFixedMillis + AssumedMillisPerToken * tokens,
+                            AssumedSamples / 2);
     }
     fit();
 }
@@ -72,62 +73,67 @@
 
 void RequestCosts::fit()
 {
-    const double spread = reads_.weight_ * reads_.tokensSquared_ - reads_.tokens_ * reads_.tokens_;
+    const double spread = prefillSamples_.weight_ * prefillSamples_.tokensSquared_
+                          - prefillSamples_.tokens_ * prefillSamples_.tokens_;
     if (spread <= 0) {
-        return; // All of one size: the line before holds.
+        return; // All samples are of one size: keeps the previous fit.
     }
-    const double slope =
-        (reads_.weight_ * reads_.tokensMillis_ - reads_.tokens_ * reads_.millis_) / spread;
-    millisPerToken_ = std::clamp(slope, LeastMillisPerToken, MostMillisPerToken);
-    const double fixed = (reads_.millis_ - millisPerToken_ * reads_.tokens_) / reads_.weight_;
-    fixedMillis_ = std::clamp(fixed, 0.0, MostFixedMillis);
+    const double slope = (prefillSamples_.weight_ * prefillSamples_.tokensMillis_
+                          - prefillSamples_.tokens_ * prefillSamples_.millis_)
+                         / spread;
+    millisPerToken_ = std::clamp(slope, MinMillisPerToken, MaxMillisPerToken);
+    const double fixed = (prefillSamples_.millis_ - millisPerToken_ * prefillSamples_.tokens_)
+                         / prefillSamples_.weight_;
+    fixedMillis_ = std::clamp(fixed, 0.0, MaxFixedMillis);
 }
 
-void RequestCosts::onReadAlone(std::int64_t tokens, double milliseconds)
+void RequestCosts::onUncontendedPrefill(std::int64_t tokens, double milliseconds)
 {
     const auto count = static_cast<double>(tokens);
-    const double longest = MostFixedMillis + MostMillisPerToken * count;
-    if (tokens <= 0 || milliseconds <= 0 || milliseconds > longest) {
+    const double maxMillis = MaxFixedMillis + MaxMillisPerToken * count;
+    if (tokens <= 0 || milliseconds <= 0 || milliseconds > maxMillis) {
         return;
     }
-    reads_.fade(KeptReads);
-    reads_.add(count, milliseconds, milliseconds > readMillis(tokens) ? SlowReadWeight : 1);
+    prefillSamples_.decay(SampleDecay);
+    prefillSamples_.add(count, milliseconds,
+                        milliseconds > prefillMillis(tokens) ? SlowSampleWeight : 1);
     fit();
 }
 
-double RequestCosts::readMillis(std::int64_t tokens) const
+double RequestCosts::prefillMillis(std::int64_t tokens) const
 {
-    return fixedMillis_ + readingMillis(tokens);
+    return fixedMillis_ + prefillComputeMillis(tokens);
 }
 
-double RequestCosts::readingMillis(std::int64_t tokens) const
+double RequestCosts::prefillComputeMillis(std::int64_t tokens) const
 {
     return millisPerToken_ * static_cast<double>(tokens);
 }
 
 void RequestCosts::onGenerated(const std::string &route, double milliseconds)
 {
-    if (generated_.size() >= MostRoutes && !generated_.contains(route)) {
-        generated_.clear();
+    if (generateMillis_.size() >= MaxRoutes && !generateMillis_.contains(route)) {
+        generateMillis_.clear();
     }
-    meanGenerated_ = meanGenerated_ > 0
-                         ? meanGenerated_ + GeneratedWeight * (milliseconds - meanGenerated_)
-                         : milliseconds;
-    const auto [place, added] = generated_.try_emplace(route, milliseconds);
+    meanGenerateMillis_ =
+        meanGenerateMillis_ > 0
+            ? meanGenerateMillis_ + GenerateSmoothing * (milliseconds - meanGenerateMillis_)
+            : milliseconds;
+    const auto [place, added] = generateMillis_.try_emplace(route, milliseconds);
     if (!added) {
-        place->second += GeneratedWeight * (milliseconds - place->second);
+        place->second += GenerateSmoothing * (milliseconds - place->second);
     }
 }
 
 double RequestCosts::meanGenerateMillis() const
 {
-    return meanGenerated_ > 0 ? meanGenerated_ : AssumedGenerateMillis;
+    return meanGenerateMillis_ > 0 ? meanGenerateMillis_ : AssumedGenerateMillis;
 }
 
 double RequestCosts::generateMillis(const std::string &route) const
 {
-    const auto found = generated_.find(route);
-    return found != generated_.end() ? found->second : AssumedGenerateMillis;
+    const auto found = generateMillis_.find(route);
+    return found != generateMillis_.end() ? found->second : AssumedGenerateMillis;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/sendbudget.cpp
+++ b/libs/gateway/src/retrybudget.cpp
@@ -1,30 +1,30 @@
-#include "almondridge/gateway/sendbudget.h"
+#include "almondridge/gateway/retrybudget.h"
 
 #include <algorithm>
 
 namespace almondridge::gateway {
 namespace {
 
-/** A window is counted in this many parts; it slides by one of them. */
+/** The window slides by one slice at a time. */
 constexpr int SlicesPerWindow = 20;
 /**
- * The share of the ratio that is spent. The rest covers requests that others count in the window
- * next to ours, and sends that arrive later than they were made.
+ * Fraction of the budget that is spent. The rest covers requests that an observer counts in an
+ * adjacent window, and retries that arrive later than they were sent.
  */
 constexpr double UsedShare = 0.75;
 
 } // namespace
 
-SendBudget::SendBudget(const SendBudgetLimits &limits)
+RetryBudget::RetryBudget(const RetryBudgetLimits &limits)
     : limits_(limits)
 { }
 
-void SendBudget::setInstances(int count)
+void RetryBudget::setInstances(int count)
 {
     instances_ = std::max(1, count);
 }
 
-SendBudget::Slice &SendBudget::current(TimePoint now)
+RetryBudget::Slice &RetryBudget::current(TimePoint now)
 {
     const Duration length = millis(limits_.windowMillis_ / SlicesPerWindow);
     while (!slices_.empty() && slices_.front().end_ + millis(limits_.windowMillis_) <= now) {
@@ -36,30 +36,30 @@
     return slices_.back();
 }
 
-void SendBudget::onRequest(TimePoint now)
+void RetryBudget::onRequest(TimePoint now)
 {
     current(now).requests_ += 1;
 }
 
-double SendBudget::left(TimePoint now)
+double RetryBudget::left(TimePoint now)
 {
     current(now);
     double requests = 0;
-    double sends = 0;
+    double retries = 0;
     for (const Slice &slice : slices_) {
         requests += slice.requests_;
-        sends += slice.sends_;
+        retries += slice.retries_;
     }
     const double allowed = UsedShare * (limits_.ratio_ * requests + limits_.slack_ / instances_);
-    return allowed - sends;
+    return allowed - retries;
 }
 
-bool SendBudget::take(TimePoint now)
+bool RetryBudget::take(TimePoint now)
 {
     if (left(now) < 1) {
         return false;
     }
-    current(now).sends_ += 1;
+    current(now).retries_ += 1;
     return true;
 }
 
--- a/libs/gateway/src/stagecontroller.cpp
+++ b/libs/gateway/src/stagecontroller.cpp
@@ -121,7 +121,7 @@
 void StageController::updateStartTime(const EndpointId &id, const EngineReport &report)
 {
     const Endpoint *engine = gateway_.endpoints().find(id);
-    if (engine != nullptr && engine->listedNow_
+    if (engine != nullptr && engine->isListed_
         && report.startedAtMillis_ > engine->listed_.startedAtMillis_) {
         ListedEndpoint listed = engine->listed_;
         listed.startedAtMillis_ = report.startedAtMillis_;
--- a/libs/gateway/tests/crashevidencetest.cpp
+++ b/libs/gateway/tests/crashevidencetest.cpp
@@ -25,41 +25,45 @@
 
 BOOST_AUTO_TEST_SUITE(CrashEvidenceOfOneInstance)
 
-/** Guards against a request that crashes engine after engine because nobody counts. */
+/** Guards against a request that crashes engine after engine because the crashes aren't counted. */
 BOOST_AUTO_TEST_CASE(threeCrashesWithoutACompletedRunQuarantineARequest)
 {
     CrashEvidence evidence;
-    const RequestKey guilty = request(7);
-    evidence.onCrash(crashOf(1, Start), {guilty, request(8)}, Start);
-    BOOST_TEST((evidence.assess(guilty, Start).level_ == Suspicion::Weak));
-    evidence.onCrash(crashOf(2, Start + millis(2'000)), {guilty, request(9)},
+    const RequestKey crashingRequest = request(7);
+    evidence.onCrash(crashOf(1, Start), {crashingRequest, request(8)}, Start);
+    BOOST_TEST((evidence.assess(crashingRequest, Start).level_ == Suspicion::Weak));
+    evidence.onCrash(crashOf(2, Start + millis(2'000)), {crashingRequest, request(9)},
                      Start + millis(2'000));
-    BOOST_TEST((evidence.assess(guilty, Start + millis(2'000)).level_ == Suspicion::Strong));
+    BOOST_TEST(
+        (evidence.assess(crashingRequest, Start + millis(2'000)).level_ == Suspicion::Strong));
     const TimePoint third = Start + millis(4'000);
-    evidence.onCrash(crashOf(3, third), {guilty}, third);
-    const Assessment known = evidence.assess(guilty, third);
+    evidence.onCrash(crashOf(3, third), {crashingRequest}, third);
+    const Assessment known = evidence.assess(crashingRequest, third);
     BOOST_TEST((known.level_ == Suspicion::Quarantined));
     BOOST_TEST(known.crashes_ == 3);
     BOOST_TEST((evidence.assess(request(8), third).level_ == Suspicion::Weak));
 }
 
-/** The same crash told again, by other instances and later, is one crash. */
-BOOST_AUTO_TEST_CASE(oneEndCountsOnce)
+/** Repeated and late reports of a crash must count as one crash. */
+BOOST_AUTO_TEST_CASE(crashReportedRepeatedlyCountsOnce)
 {
     CrashEvidence evidence;
-    for (std::int64_t told = 0; told < 5; ++told) {
-        const TimePoint now = Start + millis(told * 700);
-        evidence.onNews(
-            {{{static_cast<CrashKey>(1), static_cast<CrashGroup>(1), 12, told * 700, {request(7)}}},
-             {},
-             {}},
-            now);
+    for (std::int64_t report = 0; report < 5; ++report) {
+        const TimePoint now = Start + millis(report * 700);
+        evidence.onUpdate({{{static_cast<CrashKey>(1),
+                             static_cast<CrashGroup>(1),
+                             12,
+                             report * 700,
+                             {request(7)}}},
+                           {},
+                           {}},
+                          now);
     }
     BOOST_TEST(evidence.assess(request(7), Start).crashes_ == 1);
 }
 
-/** A popular request is in flight at each crash, and is answered whole elsewhere all the time. */
-BOOST_AUTO_TEST_CASE(aCompletedRunClearsOfWhatWasBefore)
+/** A popular request may be in flight at many crashes while it completes elsewhere. */
+BOOST_AUTO_TEST_CASE(completedRunClearsEarlierCrashes)
 {
     CrashEvidence evidence;
     for (int crash = 1; crash <= 2; ++crash) {
@@ -71,24 +75,24 @@
     BOOST_TEST(evidence.assess(request(7), later).crashes_ == 1);
 }
 
-/** News of a crash that comes after the completed run that was under way when it happened. */
-BOOST_AUTO_TEST_CASE(evidenceFromBeforeACompletedRunComesTooLate)
+/** An update about a crash may arrive after a later completed run and must not count. */
+BOOST_AUTO_TEST_CASE(crashBeforeACompletedRunIsIgnored)
 {
     CrashEvidence evidence;
     evidence.onCompleted(request(7), Start + millis(3'000));
     for (std::uint64_t crash = 1; crash <= 3; ++crash) {
-        evidence.onNews(
+        evidence.onUpdate(
             {{{static_cast<CrashKey>(crash), static_cast<CrashGroup>(1), 12, 1'500, {request(7)}}},
              {},
              {}},
             Start + millis(4'000));
     }
     BOOST_TEST(evidence.assess(request(7), Start + millis(4'000)).crashes_ == 0);
-    BOOST_TEST(evidence.takeNews(Start + millis(4'000)).cleared_.size() == 1);
+    BOOST_TEST(evidence.takeUpdate(Start + millis(4'000)).cleared_.size() == 1);
 }
 
-/** A release may mend the endpoints: one run tells, and a failed one doubles the wait. */
-BOOST_AUTO_TEST_CASE(quarantineEndsAndComesBackForLonger)
+/** A new release may fix the endpoints: a trial run decides, and a failed one doubles the time. */
+BOOST_AUTO_TEST_CASE(quarantineEndsAndReturnsForLonger)
 {
     CrashEvidence evidence;
     TimePoint last = Start;
@@ -98,7 +102,7 @@
     }
     const Duration first = evidence.assess(request(7), last).quarantinedUntil_ - last;
     const TimePoint later = last + first;
-    evidence.forgetOld(later);
+    evidence.removeExpired(later);
     BOOST_TEST((evidence.assess(request(7), later).level_ == Suspicion::HalfOpen));
     evidence.onCrash(crashOf(4, later), {request(7)}, later);
     const Assessment again = evidence.assess(request(7), later);
@@ -109,10 +113,10 @@
 }
 
 /**
- * Guards against quarantining innocents of mass failures: three times in a row 30% of all engines
- * crash at once, each with 30 streams, which their callers send again at once.
+ * Guards against quarantining innocent requests after mass failures: three times in a row, 30% of
+ * all engines crash at once, each with 30 streams, which their callers retry immediately.
  */
-BOOST_AUTO_TEST_CASE(nobodyIsQuarantinedForThreeMassFailures)
+BOOST_AUTO_TEST_CASE(threeMassFailuresQuarantineNoRequest)
 {
     for (const int engines : {11, 18, 90, 140}) {
         for (std::uint64_t seed = 0; seed < 20; ++seed) {
@@ -120,8 +124,8 @@
             CrashEvidence evidence;
             constexpr int StreamsOfAnEngine = 30;
             const auto streams = static_cast<std::uint64_t>(engines) * StreamsOfAnEngine;
-            const int ended = (3 * engines + 9) / 10;
-            std::uint64_t endNumber = 0;
+            const int crashedEngines = (3 * engines + 9) / 10;
+            std::uint64_t crashNumber = 0;
             TimePoint now = Start;
             for (int failure = 0; failure < 3; ++failure) {
                 now += millis(5'000);
@@ -130,9 +134,9 @@
                     inFlight[static_cast<int>(random() % static_cast<unsigned>(engines))].push_back(
                         request(stream));
                 }
-                for (int engine = 0; engine < ended; ++engine) {
+                for (int engine = 0; engine < crashedEngines; ++engine) {
                     const TimePoint at = now + millis(static_cast<std::int64_t>(random() % 100));
-                    evidence.onCrash(crashOf(++endNumber, at, engines), inFlight[engine], at);
+                    evidence.onCrash(crashOf(++crashNumber, at, engines), inFlight[engine], at);
                 }
             }
             now += millis(1'000);
@@ -145,11 +149,11 @@
 }
 
 /**
- * Guards against quarantining what many callers ask: one crash a second somewhere in a large fleet
- * for a minute, equal requests on up to half of the engines at any time, each answered whole after
- * two seconds where its engine lives on.
+ * Guards against quarantining popular requests: one crash per second somewhere in a large fleet for
+ * a minute, with equal requests on up to half of the engines at any time, each of which completes
+ * after two seconds unless its engine crashes.
  */
-BOOST_AUTO_TEST_CASE(popularRequestsAreNotQuarantinedForACrashASecond)
+BOOST_AUTO_TEST_CASE(popularRequestsAreNotQuarantined)
 {
     constexpr int Engines = 140;
     constexpr double RunSeconds = 2;
@@ -183,13 +187,16 @@
     }
 }
 
-/** A flood of unique requests in crashes: memory is bounded, and what was seen twice stays. */
-BOOST_AUTO_TEST_CASE(aFloodOfSuspectsDropsTheLeastSuspicious)
+/**
+ * A flood of unique requests in crashes must neither exceed the memory limit nor evict a request
+ * that was seen at several crashes.
+ */
+BOOST_AUTO_TEST_CASE(floodOfSuspectsEvictsTheLeastSuspicious)
 {
-    constexpr std::size_t MostSuspects = 4'096;
+    constexpr std::size_t MaxSuspects = 4'096;
     constexpr std::uint64_t Crashes = 400;
     CrashEvidence evidence;
-    const RequestKey guilty = request(1);
+    const RequestKey crashingRequest = request(1);
     std::uint64_t next = 100;
     TimePoint now = Start;
     for (std::uint64_t crash = 1; crash <= Crashes; ++crash) {
@@ -200,28 +207,28 @@
             inFlight.push_back(request(++next));
         }
         if (crash == 1 || crash == 10 || crash == Crashes) {
-            inFlight.push_back(guilty);
+            inFlight.push_back(crashingRequest);
         }
         evidence.onCrash(crashOf(crash, now, 140), inFlight, now);
-        BOOST_REQUIRE(evidence.suspects() <= MostSuspects);
+        BOOST_REQUIRE(evidence.suspects() <= MaxSuspects);
     }
-    BOOST_TEST(evidence.assess(guilty, now).crashes_ == 3);
+    BOOST_TEST(evidence.assess(crashingRequest, now).crashes_ == 3);
 }
 
-/** A suspected request runs once at a time. */
-BOOST_AUTO_TEST_CASE(aTurnIsTakenByOneInstance)
+/** Guards against concurrent runs of a suspected request: one instance holds the lease. */
+BOOST_AUTO_TEST_CASE(leaseIsHeldByOneInstance)
 {
     CrashEvidence evidence;
     BOOST_TEST(evidence.acquireLease(request(7), 5, Start));
     BOOST_TEST(!evidence.acquireLease(request(7), 5, Start));
     BOOST_TEST(evidence.holdsLease(request(7), 5, Start));
-    evidence.onNews({{}, {}, {{request(7), 3, 10}}}, Start + millis(100));
+    evidence.onUpdate({{}, {}, {{request(7), 3, 10}}}, Start + millis(100));
     BOOST_TEST(!evidence.holdsLease(request(7), 5, Start + millis(100)));
     BOOST_TEST(evidence.acquireLease(request(7), 5, Start + millis(60'000)));
 }
 
-/** Guards against a run that begins as its lease lapses, when another instance takes the next. */
-BOOST_AUTO_TEST_CASE(aLeaseThatIsAboutToLapseBeginsNoRun)
+/** Guards against a run that starts when its lease is about to expire and pass to a peer. */
+BOOST_AUTO_TEST_CASE(leaseThatIsAboutToExpireStartsNoRun)
 {
     CrashEvidence evidence;
     evidence.acquireLease(request(7), 5, Start);
@@ -229,8 +236,8 @@
     BOOST_TEST(!evidence.holdsLease(request(7), 5, Start + millis(20'000)));
 }
 
-/** A run that lasts longer than a lease is told of again, and no second one is begun. */
-BOOST_AUTO_TEST_CASE(aLastingRunKeepsItsLease)
+/** Guards against a second run while the first one outlasts the lease: renewals must be sent. */
+BOOST_AUTO_TEST_CASE(longRunKeepsItsLease)
 {
     CrashEvidence here;
     CrashEvidence there;
@@ -239,9 +246,9 @@
         const TimePoint now = Start + millis(renewal * 9'000);
         here.renewLease(request(7), 5, now);
         for (int round = 0; round < 10; ++round) {
-            there.onNews(here.takeNews(now), now);
+            there.onUpdate(here.takeUpdate(now), now);
         }
-        BOOST_TEST(there.takeNews(now).leases_.size() == 1);
+        BOOST_TEST(there.takeUpdate(now).leases_.size() == 1);
         BOOST_TEST(!there.acquireLease(request(7), 3, now + millis(9'000)));
     }
     BOOST_TEST(here.holdsLease(request(7), 5, Start + millis(6LL * 9'000)));
--- a/libs/gateway/tests/crashgossiptest.cpp
+++ b/libs/gateway/tests/crashgossiptest.cpp
@@ -20,10 +20,10 @@
 {
     return {static_cast<CrashKey>(number), static_cast<CrashGroup>(1), groupSize, at};
 }
-/** Until all instances in touch must know a request that has ended its third endpoint. */
-constexpr Duration KnownWithin = millis(3'000);
+/** By then, all reachable instances must quarantine a request after its third crash. */
+constexpr Duration ConvergenceBound = millis(3'000);
 
-/** Instances that tell each other by datagrams, some of which are lost, late or come twice. */
+/** Instances that exchange datagrams, some of which are lost, delayed or duplicated. */
 class Fleet
 {
 public:
@@ -81,20 +81,20 @@
         });
     }
 
-    void cutOff(const std::set<int> &instances)
+    void partition(const std::set<int> &instances)
     {
-        cut_.clear();
+        partitioned_.clear();
         for (const int index : instances) {
-            cut_.insert(ids_.at(static_cast<std::size_t>(index)));
+            partitioned_.insert(ids_.at(static_cast<std::size_t>(index)));
         }
     }
     void kill(int index) { dead_.insert(ids_.at(static_cast<std::size_t>(index))); }
 
     TimePoint now_ = Start;
-    double lost_ = 0;
-    double repeated_ = 0;
-    std::int64_t latestMillis_ = 20;
-    std::size_t greatestDatagram_ = 0;
+    double lossRate_ = 0;
+    double duplicateRate_ = 0;
+    std::int64_t maxDelayMillis_ = 20;
+    std::size_t maxDatagramBytes_ = 0;
     std::size_t bytes_ = 0;
 
 private:
@@ -109,24 +109,25 @@
     void send(const InstanceId &from, const std::vector<MeshDatagram> &datagrams)
     {
         for (const MeshDatagram &datagram : datagrams) {
-            greatestDatagram_ = std::max(greatestDatagram_, datagram.bytes_.size());
+            maxDatagramBytes_ = std::max(maxDatagramBytes_, datagram.bytes_.size());
             bytes_ += datagram.bytes_.size();
-            if (cut_.contains(from) != cut_.contains(datagram.to_) || happens(lost_)) {
+            if (partitioned_.contains(from) != partitioned_.contains(datagram.to_)
+                || happens(lossRate_)) {
                 continue;
             }
-            const int copies = happens(repeated_) ? 2 : 1;
+            const int copies = happens(duplicateRate_) ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
-                std::uniform_int_distribution<std::int64_t> delay(1, latestMillis_);
-                onTheirWay_.emplace(now_ + millis(delay(random_)), datagram);
+                std::uniform_int_distribution<std::int64_t> delay(1, maxDelayMillis_);
+                inTransit_.emplace(now_ + millis(delay(random_)), datagram);
             }
         }
     }
 
     void deliver()
     {
-        while (!onTheirWay_.empty() && onTheirWay_.begin()->first <= now_) {
-            const MeshDatagram datagram = onTheirWay_.begin()->second;
-            onTheirWay_.erase(onTheirWay_.begin());
+        while (!inTransit_.empty() && inTransit_.begin()->first <= now_) {
+            const MeshDatagram datagram = inTransit_.begin()->second;
+            inTransit_.erase(inTransit_.begin());
             if (!dead_.contains(datagram.to_)) {
                 std::vector<MeshDatagram> answers;
                 const ReceiveResult taken =
@@ -140,8 +141,8 @@
     std::mt19937_64 random_;
     std::vector<InstanceId> ids_;
     std::map<InstanceId, Member> members_;
-    std::multimap<TimePoint, MeshDatagram> onTheirWay_;
-    std::set<InstanceId> cut_;
+    std::multimap<TimePoint, MeshDatagram> inTransit_;
+    std::set<InstanceId> partitioned_;
     std::set<InstanceId> dead_;
 };
 
@@ -149,8 +150,8 @@
 
 BOOST_AUTO_TEST_SUITE(CrashEvidenceOfAFleet)
 
-/** Three instances saw one crash each: all know within the bound, in a small and a large fleet. */
-BOOST_AUTO_TEST_CASE(crashesSeenByThreeInstancesAreAddedUp)
+/** Three instances see one crash each: all must quarantine the request within the bound. */
+BOOST_AUTO_TEST_CASE(crashesSeenByThreeInstancesAddUp)
 {
     for (const int size : {3, 9, 80, 195}) {
         for (std::uint64_t seed = 0; seed < 5; ++seed) {
@@ -162,35 +163,35 @@
                     {request(7), request(static_cast<std::uint64_t>(crash) + 100)}, fleet.now_);
                 fleet.runUntil(fleet.now_ + millis(500));
             }
-            fleet.runUntil(fleet.now_ - millis(500) + KnownWithin);
+            fleet.runUntil(fleet.now_ - millis(500) + ConvergenceBound);
             BOOST_TEST(fleet.allQuarantine(request(7)), size << " instances, seed " << seed);
             BOOST_TEST(fleet.noneRefuses(request(100)));
         }
     }
 }
 
-/** The same with datagrams that are lost, late, repeated and out of order. */
-BOOST_AUTO_TEST_CASE(lostAndLateNewsIsMadeGood)
+/** Updates must spread despite datagrams that are lost, late, duplicated or out of order. */
+BOOST_AUTO_TEST_CASE(lostAndLateUpdatesAreRecovered)
 {
     for (const int size : {9, 195}) {
         for (std::uint64_t seed = 0; seed < 5; ++seed) {
             Fleet fleet(size, seed);
-            fleet.lost_ = 0.2;
-            fleet.repeated_ = 0.3;
-            fleet.latestMillis_ = 400;
+            fleet.lossRate_ = 0.2;
+            fleet.duplicateRate_ = 0.3;
+            fleet.maxDelayMillis_ = 400;
             fleet.runUntil(Start + millis(6'000));
             for (int crash = 0; crash < 3; ++crash) {
                 fleet.at(crash).onCrash(crashOf(static_cast<std::uint64_t>(crash) + 1, fleet.now_),
                                         {request(7)}, fleet.now_);
                 fleet.runUntil(fleet.now_ + millis(1'000));
             }
-            fleet.runUntil(fleet.now_ - millis(1'000) + KnownWithin);
+            fleet.runUntil(fleet.now_ - millis(1'000) + ConvergenceBound);
             BOOST_TEST(fleet.allQuarantine(request(7)), size << " instances, seed " << seed);
         }
     }
 }
 
-/** The instance that told first dies, another one starts again without a memory. */
+/** Updates must survive the death of the first sender and the restart of another instance. */
 BOOST_AUTO_TEST_CASE(deathsAndRestartsLoseNothing)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
@@ -204,15 +205,15 @@
                 fleet.kill(0);
             }
         }
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         fleet.restart(40);
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         BOOST_TEST(fleet.allQuarantine(request(7)));
     }
 }
 
-/** A failure domain is cut off while the others learn, saw one of the crashes, and comes back. */
-BOOST_AUTO_TEST_CASE(aDomainThatWasCutOffLearnsOnceItIsBack)
+/** A partitioned failure domain saw one of the crashes; all must converge when it is back. */
+BOOST_AUTO_TEST_CASE(partitionedDomainConvergesWhenItIsBack)
 {
     for (std::uint64_t seed = 0; seed < 5; ++seed) {
         Fleet fleet(80, seed);
@@ -221,21 +222,21 @@
         for (int index = 0; index < 26; ++index) {
             domain.insert(index);
         }
-        fleet.cutOff(domain);
+        fleet.partition(domain);
         for (const int witness : {0, 40, 60}) {
             fleet.at(witness).onCrash(crashOf(static_cast<std::uint64_t>(witness) + 1, fleet.now_),
                                       {request(7)}, fleet.now_);
             fleet.runUntil(fleet.now_ + millis(2'000));
         }
         BOOST_TEST(!fleet.allQuarantine(request(7)));
-        fleet.cutOff({});
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.partition({});
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         BOOST_TEST(fleet.allQuarantine(request(7)));
     }
 }
 
-/** A completed run at one instance clears at all, whoever saw the crashes. */
-BOOST_AUTO_TEST_CASE(aCompletedRunAnywhereClearsEverywhere)
+/** A completed run at one instance must clear the request at all of them. */
+BOOST_AUTO_TEST_CASE(completedRunClearsTheRequestEverywhere)
 {
     Fleet fleet(80, 1);
     fleet.runUntil(Start + millis(6'000));
@@ -243,15 +244,15 @@
         fleet.at(crash).onCrash(crashOf(static_cast<std::uint64_t>(crash) + 1, fleet.now_),
                                 {request(7)}, fleet.now_);
     }
-    fleet.runUntil(fleet.now_ + KnownWithin);
+    fleet.runUntil(fleet.now_ + ConvergenceBound);
     BOOST_TEST(fleet.allQuarantine(request(7)));
     fleet.at(50).onCompleted(request(7), fleet.now_);
-    fleet.runUntil(fleet.now_ + KnownWithin);
+    fleet.runUntil(fleet.now_ + ConvergenceBound);
     BOOST_TEST(fleet.noneRefuses(request(7)));
 }
 
-/** An instance that never completes a popular request learns each time that others did. */
-BOOST_AUTO_TEST_CASE(whoNeverCompletesARequestIsToldThatOthersDo)
+/** An instance that sees only crashes of a popular request must learn that peers complete it. */
+BOOST_AUTO_TEST_CASE(instanceWithOnlyCrashesLearnsOfCompletedRuns)
 {
     Fleet fleet(9, 1);
     fleet.runUntil(Start + millis(6'000));
@@ -265,8 +266,8 @@
     }
 }
 
-/** Guards against news that is passed on for ever, a little younger each time it arrives. */
-BOOST_AUTO_TEST_CASE(aClearedRequestIsNotToldForEver)
+/** Guards against updates that circulate forever because their age shrinks on each hop. */
+BOOST_AUTO_TEST_CASE(clearedRequestIsNotReportedForever)
 {
     for (const int size : {9, 80}) {
         Fleet fleet(size, 1);
@@ -274,22 +275,21 @@
         for (std::uint64_t crash = 1; crash <= 2; ++crash) {
             fleet.at(1).onCrash(crashOf(crash, fleet.now_), {request(7)}, fleet.now_);
         }
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         fleet.at(2).onCompleted(request(7), fleet.now_);
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         const std::size_t before = fleet.bytes_;
-        fleet.runUntil(fleet.now_ + KnownWithin);
+        fleet.runUntil(fleet.now_ + ConvergenceBound);
         BOOST_TEST(fleet.bytes_ == before);
     }
 }
 
-/** Once the quarantine is over, of all instances that are asked at one moment one runs the request.
- */
-BOOST_AUTO_TEST_CASE(oneInstanceOfAllTriesAgain)
+/** After the quarantine, several instances ask for the lease at once: exactly one may run it. */
+BOOST_AUTO_TEST_CASE(oneInstanceRunsTheTrial)
 {
     for (std::uint64_t seed = 0; seed < 10; ++seed) {
         Fleet fleet(80, seed);
-        fleet.lost_ = 0.1;
+        fleet.lossRate_ = 0.1;
         fleet.runUntil(Start + millis(6'000));
         for (int index = 0; index < 80; index += 7) {
             fleet.at(index).acquireLease(
@@ -307,8 +307,8 @@
     }
 }
 
-/** Datagrams fit into a packet, and a mass failure of a large fleet costs a bounded sum. */
-BOOST_AUTO_TEST_CASE(aMassFailureIsToldInSmallDatagrams)
+/** A mass failure of a large fleet must not exceed the packet size or the traffic limit. */
+BOOST_AUTO_TEST_CASE(massFailureIsReportedInSmallDatagrams)
 {
     constexpr std::size_t Packet = 1'472;
     constexpr int Instances = 195;
@@ -326,25 +326,25 @@
             .onCrash(crashOf(crash, fleet.now_, 140), inFlight, fleet.now_);
     }
     fleet.runUntil(fleet.now_ + millis(10'000));
-    BOOST_TEST(fleet.greatestDatagram_ <= Packet);
-    const std::size_t ofAnInstance = (fleet.bytes_ - before) / Instances;
-    BOOST_TEST(ofAnInstance < 60'000U);
+    BOOST_TEST(fleet.maxDatagramBytes_ <= Packet);
+    const std::size_t bytesPerInstance = (fleet.bytes_ - before) / Instances;
+    BOOST_TEST(bytesPerInstance < 60'000U);
 }
 
-/** Anybody may send datagrams: what cannot be is dropped whole. */
-BOOST_AUTO_TEST_CASE(unreadableNewsIsDropped)
+/** Guards against datagrams from anyone: malformed ones must be dropped as a whole. */
+BOOST_AUTO_TEST_CASE(malformedUpdatesAreDropped)
 {
     CrashMessage message {InstanceId("a"), false, {}};
-    message.news_.crashes_.push_back(
+    message.update_.crashes_.push_back(
         {static_cast<CrashKey>(1), static_cast<CrashGroup>(2), 3, 4, {request(5)}});
-    message.news_.cleared_.push_back({request(6), 7});
-    message.news_.leases_.push_back({request(8), 9, 10});
+    message.update_.cleared_.push_back({request(6), 7});
+    message.update_.leases_.push_back({request(8), 9, 10});
     const std::string whole = encodeCrashMessage(message);
     const auto read = decodeCrashMessage(whole);
     BOOST_REQUIRE(read.has_value());
-    BOOST_TEST(read->news_.crashes_.front().inFlight_.size() == 1);
-    BOOST_TEST(read->news_.cleared_.front().ageMillis_ == 7);
-    BOOST_TEST(read->news_.leases_.front().holder_ == 9);
+    BOOST_TEST(read->update_.crashes_.front().inFlight_.size() == 1);
+    BOOST_TEST(read->update_.cleared_.front().ageMillis_ == 7);
+    BOOST_TEST(read->update_.leases_.front().holder_ == 9);
     for (std::size_t length = 0; length < whole.size(); ++length) {
         BOOST_TEST(!decodeCrashMessage(whole.substr(0, length)).has_value());
     }
@@ -352,9 +352,9 @@
     for (int round = 0; round < 20'000; ++round) {
         std::string bytes = whole;
         bytes[1 + random() % (bytes.size() - 1)] = static_cast<char>(random());
-        decodeCrashMessage(bytes); // Whatever it reads, it returns.
+        decodeCrashMessage(bytes); // Must return, whatever the bytes are.
     }
-    message.news_.crashes_.front().groupSize_ = 0;
+    message.update_.crashes_.front().groupSize_ = 0;
     BOOST_TEST(!decodeCrashMessage(encodeCrashMessage(message)).has_value());
 }
 
--- a/libs/gateway/tests/peerloadtest.cpp
+++ b/libs/gateway/tests/peerloadtest.cpp
@@ -24,19 +24,19 @@
     Placement reader({DomainId("a")});
     Placement other({DomainId("a")});
     const PromptPlan first = *planFor(reader, table, prompt);
-    BOOST_TEST(first.partsUnknown_);
-    BOOST_TEST(first.newTokens_ > prompt.ownTokens());
-    reader.onPromptRead(table.find(*first.prefill_)->listed_, prompt, at(0));
+    BOOST_TEST(first.cacheHitUnknown_);
+    BOOST_TEST(first.uncachedTokens_ > prompt.ownTokens());
+    reader.onPromptSent(table.find(*first.prefill_)->listed_, prompt, at(0));
     LoadReport report {InstanceId("reader"), 1, 1};
-    report.readParts_ = reader.takeReadParts();
+    report.readParts_ = reader.takeNewCachedParts();
     BOOST_TEST(report.readParts_.size() == 1U); // No other prompt shares the prompt's own part.
-    BOOST_TEST(reader.takeReadParts().empty());
-    other.onPartsTold(decodeLoadReport(encodeLoadReport(report))->readParts_, at(0));
-    BOOST_TEST(other.takeReadParts().empty()); // Received parts are not forwarded.
+    BOOST_TEST(reader.takeNewCachedParts().empty());
+    other.onPeerCachedParts(decodeLoadReport(encodeLoadReport(report))->readParts_, at(0));
+    BOOST_TEST(other.takeNewCachedParts().empty()); // Received parts are not forwarded.
     const PromptPlan second = *planFor(other, table, prompt);
     BOOST_TEST((second.prefill_ == first.prefill_));
-    BOOST_TEST(!second.partsUnknown_);
-    BOOST_TEST(second.newTokens_ == prompt.ownTokens());
+    BOOST_TEST(!second.cacheHitUnknown_);
+    BOOST_TEST(second.uncachedTokens_ == prompt.ownTokens());
 }
 
 /**
@@ -66,7 +66,7 @@
         LoadReport report {InstanceId("other"), lifetime, number};
         report.queued_[id].add(0, tokens);
         loads.onReport(report, table, at(0));
-        return table.find(id)->foreignQueued_.all();
+        return table.find(id)->peerQueued_.all();
     };
     BOOST_TEST(receive(1, 2, 500) == 500);
     BOOST_TEST(receive(1, 1, 900) == 500);
