--- a/libs/app/src/explainverb.cpp
+++ b/libs/app/src/explainverb.cpp
@@ -1,7 +1,7 @@
 /**
  * The verb that tells a request's story from logs.
  */
-#include "almondridge/observe/logstory.h"
+#include "almondridge/observe/requesthistory.h"
 #include "options.h"
 #include "textfile.h"
 #include "verbs.h"
--- a/libs/fleet/src/fieldreader.cpp
+++ b/libs/fleet/src/fieldcontext.cpp
@@ -1,4 +1,4 @@
-#include "fieldreader.h"
+#include "fieldcontext.h"
 
 #include <array>
 #include <functional>
--- a/libs/fleet/src/fieldrules.h
+++ b/libs/fleet/src/fieldrules.h
@@ -4,7 +4,7 @@
  */
 #pragma once
 
-#include "fieldreader.h"
+#include "fieldcontext.h"
 #include "textrules.h"
 
 #include "almondridge/base/ids.h"
--- a/libs/fleet/src/fleetdraft.h
+++ b/libs/fleet/src/fleetdraft.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "fieldreader.h"
+#include "fieldcontext.h"
 
 #include "almondridge/fleet/fleet.h"
 
--- a/libs/gateway/include/almondridge/gateway/authoritykeeper.h
+++ b/libs/gateway/include/almondridge/gateway/leaderelection.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "almondridge/async/eventloop.h"
-#include "almondridge/gateway/authority.h"
+#include "almondridge/gateway/leaderstate.h"
 
 #include <functional>
 
--- a/libs/gateway/include/almondridge/gateway/sizekeeper.h
+++ b/libs/gateway/include/almondridge/gateway/sizekeeper.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "almondridge/gateway/authoritykeeper.h"
+#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/gateway.h"
 #include "almondridge/gateway/sizeplan.h"
 
--- a/libs/gateway/include/almondridge/gateway/stagekeeper.h
+++ b/libs/gateway/include/almondridge/gateway/stagekeeper.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "almondridge/async/httpclient.h"
-#include "almondridge/gateway/authoritykeeper.h"
+#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/gateway.h"
 #include "almondridge/gateway/stageplan.h"
 
--- a/libs/gateway/src/gatewaystate.h
+++ b/libs/gateway/src/gatewaystate.h
@@ -4,13 +4,13 @@
 #pragma once
 
 #include "almondridge/async/httpserver.h"
-#include "almondridge/base/lineallowance.h"
+#include "almondridge/base/logratelimiter.h"
 #include "almondridge/gateway/access.h"
 #include "almondridge/gateway/gateway.h"
 #include "almondridge/gateway/placement.h"
 #include "almondridge/gateway/requestcosts.h"
 #include "crashguard.h"
-#include "waitingkeys.h"
+#include "unknownkeyqueue.h"
 
 #include <map>
 #include <random>
--- a/libs/gateway/src/authoritykeeper.cpp
+++ b/libs/gateway/src/leaderelection.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/authoritykeeper.h"
+#include "almondridge/gateway/leaderelection.h"
 
 #include "almondridge/base/log.h"
 
--- a/libs/gateway/src/authority.cpp
+++ b/libs/gateway/src/leaderstate.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/gateway/authority.h"
+#include "almondridge/gateway/leaderstate.h"
 
 #include <algorithm>
 
--- a/libs/gateway/src/waitingkeys.cpp
+++ b/libs/gateway/src/unknownkeyqueue.cpp
@@ -1,4 +1,4 @@
-#include "waitingkeys.h"
+#include "unknownkeyqueue.h"
 
 #include <utility>
 
--- a/libs/gateway/tests/decisiontest.cpp
+++ b/libs/gateway/tests/decisiontest.cpp
@@ -1,5 +1,5 @@
 #include "../src/eventsplitter.h"
-#include "almondridge/gateway/authority.h"
+#include "almondridge/gateway/leaderstate.h"
 #include "almondridge/gateway/config.h"
 #include "almondridge/gateway/patience.h"
 #include "almondridge/gateway/sendbudget.h"
--- a/libs/observe/src/logstory.cpp
+++ b/libs/observe/src/requesthistory.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/observe/logstory.h"
+#include "almondridge/observe/requesthistory.h"
 
 #include <algorithm>
 #include <array>
