--- a/libs/gateway/include/almondridge/gateway/access.h
+++ b/libs/gateway/include/almondridge/gateway/access.h
@@ -1,10 +1,10 @@
 /**
- * Whether a caller may use a route, and as which account. Pure: the configuration, what the caller
- * showed and the time go in.
+ * Access control: whether a caller may use a route, and as which account. No I/O: the
+ * configuration, the credentials and the current time are arguments.
  *
- * What a key allows is a lease: a key may be taken away at any moment, and must not work for longer
- * than a bound afterwards, also at an instance that cannot learn of it. So keys count only while
- * the configuration is known to have been the newest at a moment less than that bound ago.
+ * A key can be revoked at any time and must stop working within a bound, even at an instance that
+ * is cut off and can't learn of the revocation. Access by key is therefore a lease: keys are
+ * accepted only while the configuration was confirmed to be the newest less than that bound ago.
  */
 #pragma once
 
@@ -15,16 +15,17 @@
 
 namespace almondridge::gateway {
 
+/** The time until which keys are accepted without another confirmation. */
 class KeyLease
 {
 public:
-    /** boundMillis: until a key that was taken away must not work any more; 0: no such bound. */
+    /** boundMillis: time after which a revoked key is refused everywhere; 0: no bound. */
     explicit KeyLease(std::int64_t boundMillis);
 
-    /** The configuration in force was the store's newest at that time. */
+    /** The configuration in force was the newest one in the store at that time. */
     void confirm(TimePoint asOf);
     bool holds(TimePoint now) const noexcept { return !isBounded_ || now < until_; }
-    /** When the configuration was last known to be the newest; none: never. */
+    /** When the configuration was last known to be the newest; nullopt: never. */
     std::optional<TimePoint> asOf() const noexcept { return asOf_; }
 
 private:
@@ -35,9 +36,9 @@
 };
 
 enum class Access {
-    Anonymous, ///< No key is needed, and none that counts was shown.
-    Granted,
-    Unproven, ///< Keys may have been taken away without this instance knowing.
+    Anonymous, ///< No key is needed, and no valid one was sent.
+    Granted,   ///< The key belongs to an account.
+    Unproven,  ///< The lease has expired: keys may have been revoked since.
     KeyMissing,
     KeyMalformed,
     KeyUnknown,
@@ -52,18 +53,20 @@
     {Access::KeyUnknown, "key-unknown"},
 }};
 
-struct AccessVerdict
+/** The result of an access check. */
+struct AccessResult
 {
     Access access_ = Access::Anonymous;
-    Account account_ {};  ///< When granted.
-    KeyDigest digest_ {}; ///< Of the key that was shown, when granted.
+    Account account_ {};  ///< If granted.
+    KeyDigest digest_ {}; ///< Of the caller's key, if granted.
 };
 
-AccessVerdict checkAccess(const Config &config, const Route &route, const Credentials &credentials,
-                          const KeyLease &lease, TimePoint now);
+/** Checks a request when it arrives. */
+AccessResult checkAccess(const Config &config, const Route &route, const Credentials &credentials,
+                         const KeyLease &lease, TimePoint now);
 
-/** Whether a key that was granted earlier still belongs to that account now. */
-bool isStillGranted(const Config &config, const AccessVerdict &granted, const KeyLease &lease,
+/** Whether access that was granted earlier still holds: the key belongs to the same account. */
+bool isStillGranted(const Config &config, const AccessResult &granted, const KeyLease &lease,
                     TimePoint now);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/accounts.h
+++ b/libs/gateway/include/almondridge/gateway/accounts.h
@@ -1,6 +1,6 @@
 /**
- * Client accounts and the keys that their callers show. A key is kept as a keyed hash only, so that
- * no log, message or core dump has it. Pure.
+ * Client accounts and their API keys. Only a keyed hash of each key is stored, so that keys can't
+ * leak through logs, messages or core dumps.
  */
 #pragma once
 
@@ -19,21 +19,21 @@
 struct Account
 {
     AccountId id_;
-    std::optional<int> priority_ {}; ///< Goes before the route's; 0 is the most urgent.
+    std::optional<int> priority_ {}; ///< Overrides the route's; 0 is the most urgent.
 };
 
-/** HMAC-SHA-256 of a key; comparable within one process only. */
+/** HMAC-SHA-256 of a key with a per-process secret: comparable within one process only. */
 using KeyDigest = std::array<unsigned char, 32>;
 
 KeyDigest digestOf(std::string_view key);
 
-/** The accounts of one configuration and the keys that they hold, immutable once built. */
+/** The accounts of one configuration and their keys, immutable once built. */
 class Accounts
 {
 public:
     class Builder;
 
-    /** The account that holds the key; null: none does. */
+    /** The account that the key belongs to; null if there is none. */
     const Account *find(const KeyDigest &digest) const;
     const Account *find(const AccountId &id) const;
     std::size_t size() const noexcept { return accounts_.size(); }
@@ -53,7 +53,7 @@
 class Accounts::Builder
 {
 public:
-    /** A key that an earlier account holds stays with that one. */
+    /** A key that was added with an earlier account stays with that account. */
     Builder &add(Account account, const std::vector<std::string> &keys);
     Accounts build();
 
--- a/libs/gateway/include/almondridge/gateway/config.h
+++ b/libs/gateway/include/almondridge/gateway/config.h
@@ -1,6 +1,6 @@
 /**
- * The operator's configuration as the gateway uses it: which service a request goes to and what
- * may be done with it.
+ * The operator's configuration as the gateway uses it: the routes that map requests to services,
+ * the services' engines and scaling limits, the limits for callers, and the client accounts.
  */
 #pragma once
 
@@ -20,9 +20,9 @@
 namespace almondridge::gateway {
 
 enum class RouteKind {
-    Safe,      ///< May run more than once.
-    Unsafe,    ///< Runs at most once.
-    Streaming, ///< A series of events; runs at most once unless it may be resumed.
+    Safe,      ///< Idempotent: may be executed more than once.
+    Unsafe,    ///< Executed at most once.
+    Streaming, ///< Answered by a stream of events; executed at most once unless it is resumable.
 };
 
 inline constexpr std::array<EnumName<RouteKind>, 3> RouteKindNames {{
@@ -31,13 +31,14 @@
     {RouteKind::Streaming, "streaming"},
 }};
 
-/** One of the services that share a route's requests. */
+/** A service that gets a weighted part of a route's requests. */
 struct ServiceShare
 {
     ServiceId service_;
-    int weight_ = 1;
+    int weight_ = 1; ///< Relative to the other services of the route.
 };
 
+/** Requests of one host and path prefix, and how they are handled. */
 struct Route
 {
     std::string name_;
@@ -45,61 +46,63 @@
     std::string pathPrefix_; ///< Begins and ends with a slash.
     RouteKind kind_ = RouteKind::Unsafe;
     std::vector<ServiceShare> services_;
-    std::int64_t timeoutMillis_ = 0;      ///< The longest that a caller is kept waiting.
-    std::int64_t objectiveMillis_ = 0;    ///< For the whole answer; streams: for the first event.
-    std::int64_t gapObjectiveMillis_ = 0; ///< Streams: the longest pause between two events.
-    int priority_ = 5;                    ///< 0 is the most urgent.
-    int maxAttempts_ = 1;                 ///< Servers that may run one request.
-    bool resumable_ = false;
-    bool public_ = false; ///< Callers need no key.
-
-    /** Whether a request may run again after it may have run. */
+    std::int64_t timeoutMillis_ = 0;   ///< From arrival to the whole answer; 0: as the caller asks.
+    std::int64_t objectiveMillis_ = 0; ///< Latency target: whole answer, or a stream's first event.
+    std::int64_t gapObjectiveMillis_ = 0; ///< Streams: target for the pause between two events.
+    int priority_ = 5;       ///< 0 is the most urgent; an account's own has precedence.
+    int maxAttempts_ = 1;    ///< Executions that one request may have.
+    bool resumable_ = false; ///< Streams: can be continued after the last received event.
+    bool public_ = false;    ///< Callers need no API key.
+
+    /** Whether a request may be executed again when it may already have been executed. */
     bool idempotent() const noexcept
     {
         return kind_ == RouteKind::Safe || (kind_ == RouteKind::Streaming && resumable_);
     }
 };
 
-/** What a service's engines are built for; all of one service are alike. */
+/** Capacity and timing of a service's engines; all engines of a service are the same. */
 struct EngineTraits
 {
-    int slots_ = 1;
-    std::int64_t kvTokens_ = 0;
+    int slots_ = 1;             ///< Requests that one engine runs at the same time.
+    std::int64_t kvTokens_ = 0; ///< Capacity of the KV cache; 0: unlimited.
     double kvBytesPerToken_ = 0;
-    std::int64_t handleMillis_ = 0; ///< How long a prefilled prompt waits to be fetched.
-    std::int64_t switchMillis_ = 0; ///< How long a change of stage takes an engine away.
+    std::int64_t handleTtlMillis_ = 0;   ///< How long a prefilled prompt is kept for fetching.
+    std::int64_t stageChangeMillis_ = 0; ///< How long a stage change makes an engine unavailable.
 };
 
-/** Within which a service's endpoints may be ordered and given back. */
+/** Limits and prices for adding and removing endpoints of a service. */
 struct SizeLimits
 {
-    int least_ = 0; ///< Of each failure domain, both kinds together.
-    int most_ = 0;
-    std::int64_t bootMillis_ = 0;          ///< Until an ordered endpoint serves.
-    double spotPrice_ = 1;                 ///< Of a spot endpoint, against another one's.
-    std::map<DomainId, double> prices_ {}; ///< Of a second of an endpoint; none: 1.
-
-    bool hasSpot() const noexcept { return spotPrice_ < 1; }
+    /** Endpoints in each failure domain, spot and other ones together. */
+    int minPerDomain_ = 0;
+    int maxPerDomain_ = 0;
+    std::int64_t startupMillis_ = 0; ///< From the order of an endpoint until it serves.
+    double spotPriceRatio_ = 1;      ///< Price of a spot endpoint relative to another one's.
+    /** Price of an endpoint per second; 1 for domains that aren't listed. */
+    std::map<DomainId, double> domainPrices_ {};
+
+    bool hasSpot() const noexcept { return spotPriceRatio_ < 1; }
     double priceAt(const DomainId &domain) const
     {
-        const auto found = prices_.find(domain);
-        return found != prices_.end() ? found->second : 1;
+        const auto found = domainPrices_.find(domain);
+        return found != domainPrices_.end() ? found->second : 1;
     }
 };
 
 struct ServiceTraits
 {
     ServiceId id_;
-    int maxConnections_ = 0; ///< An endpoint's, from all instances together. 0: unlimited.
-    std::optional<EngineTraits> engine_ {};
-    std::optional<SizeLimits> size_ {}; ///< None: its endpoints cannot be ordered.
+    int maxConnections_ = 0; ///< Per endpoint, from all instances together; 0: unlimited.
+    std::optional<EngineTraits> engine_ {}; ///< nullopt: not a model service.
+    std::optional<SizeLimits> size_ {};     ///< nullopt: its endpoints aren't scaled.
 };
 
-/** What callers may send and how long they may take. */
+/** Limits on the size of callers' requests and on the time that callers take. */
 struct CallerLimits
 {
-    std::int64_t headBytes_ = 16'384;
-    std::int64_t bodyBytes_ = 4'194'304;
+    std::int64_t maxHeadBytes_ = 16'384;
+    std::int64_t maxBodyBytes_ = 4'194'304;
     std::int64_t headerTimeoutMillis_ = 3'000;
     std::int64_t idleTimeoutMillis_ = 15'000;
 };
@@ -112,12 +115,13 @@
 
     std::uint64_t version() const noexcept { return version_; }
     const CallerLimits &limits() const noexcept { return limits_; }
-    /** The route whose prefix is the longest that begins path; null when none does. */
+    /** The route of the host with the longest prefix of the path; null if there is none. */
     const Route *find(std::string_view host, std::string_view path) const;
+    /** Null if the service isn't configured. */
     const ServiceTraits *service(const ServiceId &id) const;
     const std::vector<Route> &routes() const noexcept { return routes_; }
     const std::vector<ServiceTraits> &services() const noexcept { return services_; }
-    /** nullopt: callers need no keys. */
+    /** nullopt: no accounts are configured, and callers need no keys. */
     const std::optional<Accounts> &accounts() const noexcept { return accounts_; }
 
 private:
@@ -126,7 +130,8 @@
     std::vector<Route> routes_;
     std::vector<ServiceTraits> services_;
     std::optional<Accounts> accounts_;
-    std::unordered_map<std::string, std::size_t> byPlace_; ///< "host/prefix/" to index in routes_.
+    /** From "host/prefix/" to the index in routes_. */
+    std::unordered_map<std::string, std::size_t> routeByHostAndPrefix_;
 };
 
 class Config::Builder
--- a/libs/gateway/include/almondridge/gateway/credentials.h
+++ b/libs/gateway/include/almondridge/gateway/credentials.h
@@ -1,6 +1,6 @@
 /**
- * The key in a request's Authorization header, read strictly: one header, one scheme, one token
- * (RFC 9110, section 11.6.2). Pure.
+ * Strict parser for the API key in a request's Authorization header: exactly one header, one
+ * scheme and one token (RFC 9110, section 11.6.2).
  */
 #pragma once
 
@@ -15,22 +15,22 @@
 
 enum class CredentialState {
     Absent,
-    Malformed, ///< Doubled, of another scheme, or no token.
+    Malformed, ///< Several headers, another scheme, or not a token.
     Present,
 };
 
 struct Credentials
 {
     CredentialState state_ = CredentialState::Absent;
-    std::string key_; ///< Empty unless present.
+    std::string key_; ///< Empty unless the state is Present.
 };
 
 /** Longer keys are malformed. */
-inline constexpr std::size_t MostKeyBytes = 512;
+inline constexpr std::size_t MaxKeyBytes = 512;
 
 Credentials readCredentials(const net::Headers &headers, std::string_view scheme);
 
-/** Takes every Authorization header off, so that no endpoint and no log is shown one. */
+/** Removes every Authorization header, so that keys reach neither endpoints nor logs. */
 void removeCredentials(net::Headers &headers);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/include/almondridge/gateway/gateway.h
+++ b/libs/gateway/include/almondridge/gateway/gateway.h
@@ -1,6 +1,6 @@
 /**
- * One instance's way from callers to endpoints: takes requests, places, sends and repeats them
- * where that is allowed, and passes answers on. Runs on one event loop; nothing locks.
+ * The reverse proxy of one instance: accepts callers' requests, chooses endpoints for them, retries
+ * where that is allowed, and forwards the responses. Runs on one event loop, without locks.
  */
 #pragma once
 
@@ -26,15 +26,19 @@
 
 struct GatewaySettings
 {
-    DomainId domain_;
-    SendBudgetLimits secondSends_;
-    std::int64_t connectMillis_ = 400; ///< Until a connection to an endpoint counts as refused.
-    std::size_t maxKeptConnections_ = 512;
-    /** Until a key that was taken away must not work any more, in touch or not; 0: no bound. */
+    DomainId domain_;                         ///< Failure domain of this instance.
+    SendBudgetLimits retryBudget_;            ///< For each service, shared by all instances.
+    std::int64_t connectTimeoutMillis_ = 400; ///< To connect to an endpoint.
+    std::size_t maxIdleConnections_ = 512;    ///< To all endpoints together.
+    /**
+     * Time after which a revoked key is refused, even by an instance that can't reach the store;
+     * 0: no bound.
+     */
     std::int64_t revokeBoundMillis_ = 0;
-    /** Until a configuration that was accepted is in force everywhere; 0: no bound. */
+    /** Time after which an accepted configuration is in force at every instance; 0: no bound. */
     std::int64_t configBoundMillis_ = 0;
-    std::string keySecret_ {}; ///< Of request keys; the same for all instances of a deployment.
+    /** HMAC key for request keys; the same for all instances of a deployment. */
+    std::string keySecret_ {};
 };
 
 class Gateway
@@ -45,44 +49,48 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
+    /** Starts to accept callers; fails if the address can't be bound. */
     Result<void> listen(const net::Address &address);
     std::uint16_t port() const;
 
-    /** Puts a configuration in force; an older one than the present is ignored. */
+    /** Puts a configuration in force, unless its version isn't newer than the current one's. */
     void setConfig(std::shared_ptr<const Config> config);
+    /** The configuration in force; null until the first one. */
     const std::shared_ptr<const Config> &config() const noexcept;
-    /** Told of each request of an account that an endpoint began to run, and when. */
-    using OnBegan = std::function<void(const AccountId &account, TimePoint began)>;
-    void setOnBegan(OnBegan onBegan);
-    /** The configuration in force was the store's newest at that time. */
+    /** Called for each request of an account when an endpoint began to execute it. */
+    using OnExecutionStarted = std::function<void(const AccountId &account, TimePoint startedAt)>;
+    void setOnExecutionStarted(OnExecutionStarted onExecutionStarted);
+    /** The configuration in force was the newest one in the store at that time. */
     void confirmConfig(TimePoint asOf);
-    /** Since the keys were last known to be those in force; -1: never. */
+    /** Seconds since the keys were last confirmed to be current; -1: never confirmed. */
     double keysAgeSeconds(TimePoint now) const;
+    /** Adds or updates an endpoint of the endpoint list. */
     void listEndpoint(const ListedEndpoint &listed);
+    /** An endpoint was removed from the endpoint list. */
     void unlistEndpoint(const EndpointId &id);
-    /** How many instances may share the allowance for second sends and the endpoints' connections.
-     */
+    /** Number of instances that share the retry budget and the endpoints' connection limits. */
     void setInstances(int count);
     EndpointTable &endpoints() noexcept;
-    /** Shared parts that came to engines by this instance since the last call. */
+    /** Shared prompt parts that engines cached for this instance's requests since the last call. */
     std::vector<PromptMemory::Key> takeReadParts();
-    /** The same as another instance told. */
+    /** Shared prompt parts that another instance reported as cached by engines. */
     void onPartsTold(const std::vector<PromptMemory::Key> &parts);
-    /** What this instance's callers asked of each service's engines in the last seconds. */
+    /** Recent load of this instance's requests on the engines of each service. */
     std::map<ServiceId, StageDemand> demand() const;
-    /** The demand with what requests of the service cost, as this instance has learnt. */
+    /** The demand together with this instance's estimates of what the service's requests cost. */
     StageLoad stageLoad(const ServiceId &service, const StageDemand &demand) const;
-    /** What is held against requests; other instances' part of it goes in and out here. */
+    /** Evidence of requests that crash endpoints, to be exchanged with other instances. */
     CrashEvidence &crashEvidence() noexcept;
-    /** What requests came to, for the metrics page; the owner adds its own. */
+    /** Metrics of requests; the owner of the gateway adds its own. */
     observe::Metrics &metrics() noexcept;
-    /** Second sends that are left now, for each service. */
-    std::map<ServiceId, double> secondSendsLeft();
+    /** Retries that each service's budget allows now. */
+    std::map<ServiceId, double> retryBudgetLeft();
     const async::ClientCounters &clientCounters() const noexcept;
 
-    /** From now on answers close their connections, so that callers go elsewhere. */
+    /** Makes each response close its connection, so that callers reconnect to other instances. */
     void closeAfterAnswers();
     void stopListening();
+    /** Closes callers' connections that have no request in progress. */
     void closeIdle();
     std::size_t openCalls() const noexcept;
 
--- a/libs/gateway/include/almondridge/gateway/leaderelection.h
+++ b/libs/gateway/include/almondridge/gateway/leaderelection.h
@@ -1,6 +1,7 @@
 /**
- * Keeps the right to act for all instances, if the store names this one: asks again and again, and
- * claims a fencing number. One right for whatever only one instance may do at a time.
+ * Leader election through the store: queries periodically whether this instance is the leader, and
+ * claims a fencing number when it is. One lease covers all work that only one instance may do at a
+ * time.
  */
 #pragma once
 
@@ -11,39 +12,39 @@
 
 namespace almondridge::gateway {
 
-/** What the right is taken from. Answers may come late or never. */
-class AuthorityStore
+/** The store that names the leader. Replies may come late or never. */
+class LeaderStore
 {
 public:
-    virtual ~AuthorityStore() = default;
+    virtual ~LeaderStore() = default;
 
-    /** Asks whether this instance is the one that is named; nullopt: no answer. */
-    virtual void ask(const std::function<void(std::optional<bool>)> &done) = 0;
-    /** Appends a claim and gives its offset; nullopt: it may or may not be there. */
-    virtual void claim(const std::function<void(std::optional<LogOffset>)> &done) = 0;
+    /** Queries whether this instance is the leader; nullopt: no reply. */
+    virtual void queryLeader(const std::function<void(std::optional<bool>)> &done) = 0;
+    /** Appends a claim to the log and passes on its offset; nullopt: unknown whether appended. */
+    virtual void claimFence(const std::function<void(std::optional<LogOffset>)> &done) = 0;
 };
 
-class AuthorityKeeper
+class LeaderElection
 {
 public:
-    AuthorityKeeper(async::EventLoop &loop, AuthorityStore &store, AuthoritySettings settings);
+    LeaderElection(async::EventLoop &loop, LeaderStore &store, LeaderLeaseSettings settings);
 
     void start();
     void stop();
-    /** The right to act now; nullopt: none. */
-    std::optional<OrderRight> right() const;
-    /** Whether the store names this instance, as far as it knows. */
-    bool named() const { return authority_.namedNow(BootClock::now()); }
-    /** Whoever was addressed has seen a higher fencing number. */
-    void onOvertaken();
+    /** The lease to act under now; nullopt: none. */
+    std::optional<LeaderLease> lease() const;
+    /** Whether the store named this instance as leader and the lease hasn't expired. */
+    bool isLeader() const { return state_.isLeader(BootClock::now()); }
+    /** A receiver of orders has seen a higher fencing number. */
+    void onHigherFenceSeen();
 
 private:
     void renew();
-    void claimIfNeeded();
+    void claimFenceIfNeeded();
 
-    AuthorityStore &store_;
-    AuthoritySettings settings_;
-    Authority authority_;
+    LeaderStore &store_;
+    LeaderLeaseSettings settings_;
+    LeaderState state_;
     async::Timer renewal_;
     bool claiming_ = false;
     bool running_ = false;
--- a/libs/gateway/include/almondridge/gateway/leaderstate.h
+++ b/libs/gateway/include/almondridge/gateway/leaderstate.h
@@ -1,13 +1,14 @@
 /**
- * Whether this instance may give orders to engines: a lease, and a fencing number that rises from
- * holder to holder. Pure: what the store answered and the time go in.
+ * State of the leader lease: whether this instance may give orders to engines, and with which
+ * fencing number. Fencing numbers rise from leader to leader. No I/O: the store's replies and the
+ * current time are arguments.
  *
- * The store names one member of a group. Its word is a lease that runs from the moment it was
- * asked, so a holder that was frozen or cut off finds it lapsed by its own clock. The store may
- * name another member at any time without telling this one; so a new holder waits until the one
- * before it has surely asked again or lapsed. Where fencing numbers are checked these keep the one
- * before out, and a holder only waits for its own earlier right to be long over: two holders that
- * take turns within a term would undo each other's work.
+ * The store names one member of a group as the leader. The lease runs from the moment of the query,
+ * so that it expires by the leader's own clock when the leader was frozen or cut off. The store may
+ * name another member at any time without notifying this one, so a new leader waits until the
+ * previous one must have queried again or its lease has expired. Where receivers check fencing
+ * numbers, orders of the previous leader are refused, and a leader waits only until its own earlier
+ * lease is long over: two leaders that alternate within a term would undo each other's work.
  */
 #pragma once
 
@@ -18,51 +19,52 @@
 
 namespace almondridge::gateway {
 
-struct AuthoritySettings
+struct LeaderLeaseSettings
 {
-    std::int64_t termMillis_ = 3'000;  ///< How long the store's word holds.
-    std::int64_t renewMillis_ = 1'000; ///< Between two questions to the store.
-    std::int64_t marginMillis_ = 500;  ///< Clocks that run apart, and orders on their way.
-    /** Whoever gets an order refuses lower fencing numbers than it has seen. */
+    std::int64_t termMillis_ = 3'000;  ///< How long a reply of the store is valid.
+    std::int64_t renewMillis_ = 1'000; ///< Between two queries to the store.
+    std::int64_t marginMillis_ = 500;  ///< Allowance for clock drift and for orders in flight.
+    /** Receivers of orders refuse fencing numbers lower than the highest that they have seen. */
     bool fencesAreChecked_ = false;
 };
 
-/** A right to give orders, until a point in time. */
-struct OrderRight
+/** The right to give orders, until a point in time. */
+struct LeaderLease
 {
     Fence fence_ = 0;
     TimePoint until_ {};
 };
 
-class Authority
+class LeaderState
 {
 public:
-    Authority(AuthoritySettings settings, TimePoint startedAt);
+    LeaderState(LeaderLeaseSettings settings, TimePoint startedAt);
 
-    /** The store named this instance, or another one, when asked at askedAt. */
-    void onNamed(bool named, TimePoint askedAt, TimePoint now);
-    /** Whether a fencing number has to be claimed before any order. */
+    /** The store named this instance (or another one) as leader, in reply to a query at askedAt. */
+    void onLeaderReply(bool isNamed, TimePoint askedAt, TimePoint now);
+    /** Whether this instance is the leader but has no fencing number yet. */
     bool needsFence(TimePoint now) const;
-    /** The claim was accepted at this offset of the claims' log. */
-    void onClaimed(LogOffset offset, TimePoint now);
-    /** An engine has seen a higher fence: another holder was named since. */
-    void onOvertaken(TimePoint now);
+    /** The claim of a fencing number was appended to the log of claims at this offset. */
+    void onFenceClaimed(LogOffset offset, TimePoint now);
+    /** A receiver has seen a higher fencing number: another instance has become the leader. */
+    void onHigherFenceSeen(TimePoint now);
 
-    /** The right to give orders now; nullopt: none. */
-    std::optional<OrderRight> right(TimePoint now) const;
-    bool named() const noexcept { return named_; }
-    /** Named, and the store's word still holds. */
-    bool namedNow(TimePoint now) const noexcept { return named_ && namedUntil_ > now; }
+    /** The lease to give orders under now; nullopt: none. */
+    std::optional<LeaderLease> lease(TimePoint now) const;
+    /** Whether the last reply of the store named this instance; its lease may have expired. */
+    bool wasNamed() const noexcept { return named_; }
+    /** Whether the store named this instance and the lease hasn't expired. */
+    bool isLeader(TimePoint now) const noexcept { return named_ && leaseUntil_ > now; }
 
 private:
-    Duration takeOverWait() const;
+    Duration takeoverWait() const;
     TimePoint firstOrderAt(TimePoint now) const;
 
-    AuthoritySettings settings_;
+    LeaderLeaseSettings settings_;
     bool named_ = false;
-    TimePoint namedUntil_ {};
-    TimePoint ordersFrom_ {};
-    TimePoint mayHaveActedUntil_; ///< By an earlier right, or in an earlier lifetime.
+    TimePoint leaseUntil_ {};
+    TimePoint ordersAllowedAt_ {};
+    TimePoint lastLeaseEnd_; ///< End of an earlier lease, or the start of this process.
     std::optional<Fence> fence_;
 };
 
--- a/libs/gateway/include/almondridge/gateway/sizekeeper.h
+++ b/libs/gateway/include/almondridge/gateway/sizekeeper.h
@@ -3,8 +3,8 @@
  */
 #pragma once
 
-#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/gateway.h"
+#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/sizeplan.h"
 
 #include <functional>
@@ -32,15 +32,15 @@
 {
 public:
     virtual ~SizeApi() = default;
-    virtual void order(const OrderRight &right, const ServiceId &service, const SizeOrder &order,
+    virtual void order(const LeaderLease &lease, const ServiceId &service, const SizeOrder &order,
                        std::function<void(OrderOutcome)> done) = 0;
 };
 
 class SizeKeeper
 {
 public:
-    SizeKeeper(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority, SizeApi &api,
-               SizePlanSettings settings);
+    SizeKeeper(async::EventLoop &loop, Gateway &gateway, LeaderElection &leaderElection,
+               SizeApi &api, SizePlanSettings settings);
 
     void start() { planAll(); }
     void stop() { timer_.stop(); }
@@ -50,11 +50,11 @@
 private:
     void planAll();
     SizePlan &planOf(const ServiceId &service);
-    void planService(const ServiceTraits &service, const OrderRight &right, TimePoint now);
-    void give(const OrderRight &right, const ServiceId &service, const SizeOrder &order);
+    void planService(const ServiceTraits &service, const LeaderLease &lease, TimePoint now);
+    void give(const LeaderLease &lease, const ServiceId &service, const SizeOrder &order);
 
     Gateway &gateway_;
-    AuthorityKeeper &authority_;
+    LeaderElection &leaderElection_;
     SizeApi &api_;
     SizePlanSettings settings_;
     std::map<ServiceId, SizePlan> plans_;
--- a/libs/gateway/include/almondridge/gateway/stagekeeper.h
+++ b/libs/gateway/include/almondridge/gateway/stagekeeper.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "almondridge/async/httpclient.h"
-#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/gateway.h"
+#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/stageplan.h"
 
 #include <functional>
@@ -30,7 +30,7 @@
 {
 public:
     StageKeeper(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
-                AuthorityKeeper &authority, StageKeeperSettings settings);
+                LeaderElection &leaderElection, StageKeeperSettings settings);
     ~StageKeeper();
 
     void start();
@@ -40,8 +40,8 @@
 private:
     void planAll();
     void readEngine(const ServiceId &service, const StageChange &change);
-    void learnStart(const EndpointId &id, const EngineReport &report);
-    void give(const ServiceId &service, const StageChange &change, const EngineReport &report);
+    void learnStart(const EndpointId &id, const EngineStatus &report);
+    void give(const ServiceId &service, const StageChange &change, const EngineStatus &report);
     void ask(const EndpointId &engine, std::string text,
              const std::function<void(int status, const std::string &body)> &done);
     void onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status);
@@ -50,7 +50,7 @@
 
     Gateway &gateway_;
     const Dialect &dialect_;
-    AuthorityKeeper &authority_;
+    LeaderElection &leaderElection_;
     StageKeeperSettings settings_;
     std::map<ServiceId, StagePlan> plans_;
     async::HttpClient client_;
--- a/libs/gateway/src/access.cpp
+++ b/libs/gateway/src/access.cpp
@@ -5,24 +5,24 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Of the bound; the rest is for clocks that run apart. */
-constexpr double TermShare = 0.9;
+/** Share of the bound; the rest allows for clock drift. */
+constexpr double LeaseTermShare = 0.9;
 
 constexpr double NanosPerMilli = 1e6;
 
-AccessVerdict withoutKey(CredentialState state)
+AccessResult missingKeyResult(CredentialState state)
 {
-    AccessVerdict verdict;
-    verdict.access_ = state == CredentialState::Absent ? Access::KeyMissing : Access::KeyMalformed;
-    return verdict;
+    AccessResult result;
+    result.access_ = state == CredentialState::Absent ? Access::KeyMissing : Access::KeyMalformed;
+    return result;
 }
 
 } // namespace
 
 KeyLease::KeyLease(std::int64_t boundMillis)
     : isBounded_(boundMillis > 0)
-    , term_(
-          static_cast<Duration::rep>(TermShare * NanosPerMilli * static_cast<double>(boundMillis)))
+    , term_(static_cast<Duration::rep>(LeaseTermShare * NanosPerMilli
+                                       * static_cast<double>(boundMillis)))
 { }
 
 void KeyLease::confirm(TimePoint asOf)
@@ -31,31 +31,31 @@
     until_ = *asOf_ + term_;
 }
 
-AccessVerdict checkAccess(const Config &config, const Route &route, const Credentials &credentials,
-                          const KeyLease &lease, TimePoint now)
+AccessResult checkAccess(const Config &config, const Route &route, const Credentials &credentials,
+                         const KeyLease &lease, TimePoint now)
 {
-    AccessVerdict verdict;
+    AccessResult result;
     if (!config.accounts()) {
-        return verdict;
+        return result;
     }
     if (!lease.holds(now)) {
-        verdict.access_ = route.public_ ? Access::Anonymous : Access::Unproven;
-        return verdict;
+        result.access_ = route.public_ ? Access::Anonymous : Access::Unproven;
+        return result;
     }
     if (credentials.state_ != CredentialState::Present) {
-        return route.public_ ? verdict : withoutKey(credentials.state_);
+        return route.public_ ? result : missingKeyResult(credentials.state_);
     }
-    verdict.digest_ = digestOf(credentials.key_);
-    if (const Account *account = config.accounts()->find(verdict.digest_)) {
-        verdict.access_ = Access::Granted;
-        verdict.account_ = *account;
+    result.digest_ = digestOf(credentials.key_);
+    if (const Account *account = config.accounts()->find(result.digest_)) {
+        result.access_ = Access::Granted;
+        result.account_ = *account;
     } else if (!route.public_) {
-        verdict.access_ = Access::KeyUnknown;
+        result.access_ = Access::KeyUnknown;
     }
-    return verdict;
+    return result;
 }
 
-bool isStillGranted(const Config &config, const AccessVerdict &granted, const KeyLease &lease,
+bool isStillGranted(const Config &config, const AccessResult &granted, const KeyLease &lease,
                     TimePoint now)
 {
     if (granted.access_ != Access::Granted) {
--- a/libs/gateway/src/accounts.cpp
+++ b/libs/gateway/src/accounts.cpp
@@ -11,23 +11,23 @@
 namespace almondridge::gateway {
 namespace {
 
-KeyDigest makeSecret()
+KeyDigest generateSecret()
 {
     KeyDigest secret {};
     if (RAND_bytes(secret.data(), static_cast<int>(secret.size())) != 1) {
-        throw std::runtime_error("no random bytes for the secret of account keys");
+        throw std::runtime_error("no random bytes available for the account key secret");
     }
     return secret;
 }
 
-/** Without a secret the time of a look-up would tell of a hash that a caller can choose. */
+/** With an unkeyed hash the look-up time would leak information on a hash that callers choose. */
 const KeyDigest &processSecret()
 {
-    static const KeyDigest secret = makeSecret();
+    static const KeyDigest secret = generateSecret();
     return secret;
 }
 
-std::uint64_t tableKey(const KeyDigest &digest)
+std::uint64_t hashTableKey(const KeyDigest &digest)
 {
     std::uint64_t number = 0;
     std::memcpy(&number, digest.data(), sizeof number);
@@ -48,7 +48,7 @@
 
 const Account *Accounts::find(const KeyDigest &digest) const
 {
-    const auto found = byDigest_.find(tableKey(digest));
+    const auto found = byDigest_.find(hashTableKey(digest));
     const bool isSame =
         found != byDigest_.end()
         && CRYPTO_memcmp(found->second.digest_.data(), digest.data(), digest.size()) == 0;
@@ -68,7 +68,7 @@
     accounts_.accounts_.push_back(std::move(account));
     for (const std::string &key : keys) {
         const KeyDigest digest = digestOf(key);
-        accounts_.byDigest_.try_emplace(tableKey(digest), Entry {digest, index});
+        accounts_.byDigest_.try_emplace(hashTableKey(digest), Entry {digest, index});
     }
     return *this;
 }
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -8,110 +8,111 @@
 namespace almondridge::gateway {
 namespace {
 
-/** How long a caller is waited for that does not say how long it waits itself. */
-constexpr std::int64_t DefaultPatienceMillis = 30'000;
+/** Deadline of requests whose callers give none; a route's timeout can only shorten it. */
+constexpr std::int64_t DefaultMaxWaitMillis = 30'000;
 /**
- * When a refused caller is asked to come back, if no endpoint said: a queue of prompts that an
- * engine has room for is read in this time.
+ * Retry-After of refused requests if no endpoint gave one: an engine prefills a full queue of
+ * prompts in this time.
  */
 constexpr std::int64_t DefaultRetryAfterMillis = 300;
-/** Between two looks whether a suspected request may start. */
-constexpr Duration BeginInterval = millis(100);
-/** Longer than most runs that crash an endpoint, and little to whoever does not. */
+/** Between two checks whether a suspected request may start. */
+constexpr Duration StartRetryInterval = millis(100);
+/** Longer than most executions that crash an endpoint, and a short delay for harmless requests. */
 constexpr Duration WeakSuspicionWait = millis(1'000);
-/** Until whoever else wants to run the same suspected request has been heard. */
-constexpr Duration LeaseSettles = millis(300);
-/** The same for the one run that a request gets after its quarantine. */
-constexpr Duration RetrialSettles = millis(1'000);
-/** An endpoint that says nothing for so long until the caller leaves may have crashed. */
-constexpr Duration SuspiciousSilence = millis(1'000);
-/** A run that lasts keeps its lease: some renewals may be lost before it lapses. */
-constexpr Duration LeaseRenewal = millis(9'000);
+/** Until other instances' claims to run the same suspected request have arrived. */
+constexpr Duration LeaseSettleTime = millis(300);
+/** The same for the single trial run after a quarantine (half-open). */
+constexpr Duration HalfOpenSettleTime = millis(1'000);
+/** An endpoint that was silent for this long when the request ended may have crashed. */
+constexpr Duration CrashCheckSilence = millis(1'000);
+/** Interval of lease renewals for long executions; several may be lost before the lease expires. */
+constexpr Duration LeaseRenewalInterval = millis(9'000);
 constexpr int FirstServerError = 500;
 constexpr std::string_view QuarantinedCause = "quarantined";
 
 } // namespace
 
-Call::Call(GatewayState &gateway, CallInput input)
+Call::Call(GatewayState &gateway, CallContext context)
     : gateway_(gateway)
-    , input_(std::move(input))
+    , context_(std::move(context))
     , deadlineTimer_(gateway.loop_)
-    , silence_(gateway.loop_)
-    , begin_(gateway.loop_)
+    , attemptTimer_(gateway.loop_)
+    , startRetryTimer_(gateway.loop_)
 {
-    const std::int64_t patience = facts().patienceMillis_.value_or(DefaultPatienceMillis);
-    const std::int64_t timeout = route().timeoutMillis_ > 0 ? route().timeoutMillis_ : patience;
-    deadline_ = input_.request_.startedAt_ + millis(std::min(patience, timeout));
-    deadlineTimer_.startAt(deadline_, [this] { deadlinePassed(); });
+    const std::int64_t maxWait = requestInfo().maxWaitMillis_.value_or(DefaultMaxWaitMillis);
+    const std::int64_t timeout = route().timeoutMillis_ > 0 ? route().timeoutMillis_ : maxWait;
+    deadline_ = context_.request_.startedAt_ + millis(std::min(maxWait, timeout));
+    deadlineTimer_.startAt(deadline_, [this] { onDeadline(); });
 }
 
 Call::~Call() = default;
 
-void Call::begin()
+void Call::tryStart()
 {
     if (finished_) {
         return;
     }
-    const Assessment known = gateway_.crashes_.assess(key());
-    switch (known.level_) {
+    const Assessment assessment = gateway_.crashes_.assess(key());
+    switch (assessment.level_) {
     case Suspicion::Quarantined:
-        refuseQuarantined(known);
+        refuseQuarantined(assessment);
         return;
     case Suspicion::Strong:
     case Suspicion::HalfOpen:
-        beginWithLease(known);
+        startWithLease(assessment);
         return;
     case Suspicion::Weak:
-        if (runsBesideAnother()
-            && BootClock::now() < input_.request_.startedAt_ + WeakSuspicionWait) {
-            waitToBegin();
+        if (isEqualRequestRunning()
+            && BootClock::now() < context_.request_.startedAt_ + WeakSuspicionWait) {
+            scheduleStartRetry();
             return;
         }
         break;
     case Suspicion::None:
         break;
     }
-    suspicion_ = known.level_;
+    suspicion_ = assessment.level_;
     started_ = true;
     start();
 }
 
-/** Under strong suspicion a request runs once at a time in the whole fleet. */
-void Call::beginWithLease(const Assessment &known)
+/** Under strong suspicion only one of the equal requests runs at a time in the whole fleet. */
+void Call::startWithLease(const Assessment &assessment)
 {
     const TimePoint now = BootClock::now();
-    const bool halfOpen = known.level_ == Suspicion::HalfOpen;
-    if (leaseSettlesAt_ == TimePoint {} && gateway_.crashes_.acquireLease(key())) {
-        leaseSettlesAt_ = now + (halfOpen ? RetrialSettles : LeaseSettles);
-    } else if (leaseSettlesAt_ != TimePoint {} && now >= leaseSettlesAt_) {
+    const bool halfOpen = assessment.level_ == Suspicion::HalfOpen;
+    if (leaseSettledAt_ == TimePoint {} && gateway_.crashes_.acquireLease(key())) {
+        leaseSettledAt_ = now + (halfOpen ? HalfOpenSettleTime : LeaseSettleTime);
+    } else if (leaseSettledAt_ != TimePoint {} && now >= leaseSettledAt_) {
         if (gateway_.crashes_.holdsLease(key())) {
             suspicion_ = Suspicion::Strong;
             started_ = true;
-            keepLease();
+            scheduleLeaseRenewal();
             start();
             return;
         }
-        leaseSettlesAt_ = {};
+        leaseSettledAt_ = {};
     }
-    if (halfOpen && leaseSettlesAt_ == TimePoint {}) {
-        refuseQuarantined(known);
+    if (halfOpen && leaseSettledAt_ == TimePoint {}) {
+        refuseQuarantined(assessment);
         return;
     }
-    waitToBegin();
+    scheduleStartRetry();
 }
 
-void Call::keepLease()
+void Call::scheduleLeaseRenewal()
 {
     gateway_.crashes_.renewLease(key());
-    begin_.startAt(BootClock::now() + LeaseRenewal, [this] { keepLease(); });
+    startRetryTimer_.startAt(BootClock::now() + LeaseRenewalInterval,
+                             [this] { scheduleLeaseRenewal(); });
 }
 
-void Call::waitToBegin()
+void Call::scheduleStartRetry()
 {
-    begin_.startAt(BootClock::now() + BeginInterval, [this] { begin(); });
+    startRetryTimer_.startAt(BootClock::now() + StartRetryInterval, [this] { tryStart(); });
 }
 
-bool Call::runsBesideAnother() const
+bool Call::isEqualRequestRunning() const
 {
     return std::any_of(gateway_.calls_.begin(), gateway_.calls_.end(), [&](const auto &entry) {
         const Call &other = *entry.second;
@@ -119,21 +120,21 @@
     });
 }
 
-void Call::refuseQuarantined(const Assessment &known)
+void Call::refuseQuarantined(const Assessment &assessment)
 {
     const TimePoint now = BootClock::now();
     logEvent(LogLevel::Warning, "request_quarantined",
-             {{"id", facts().requestId_},
+             {{"id", requestInfo().requestId_},
               {"key", toString(key())},
-              {"crashes", known.crashes_},
-              {"weight", known.weight_},
-              {"first_crash_ms", toMillis(now - known.firstCrashAt_)},
-              {"last_crash_ms", toMillis(now - known.lastCrashAt_)},
-              {"until_ms", millisUntil(known.quarantinedUntil_, now)}});
+              {"crashes", assessment.crashes_},
+              {"weight", assessment.weight_},
+              {"first_crash_ms", toMillis(now - assessment.firstCrashAt_)},
+              {"last_crash_ms", toMillis(now - assessment.lastCrashAt_)},
+              {"until_ms", millisUntil(assessment.quarantinedUntil_, now)}});
     refuse(QuarantinedCause);
 }
 
-bool Call::isAt(const EndpointId &endpoint, std::uint64_t lifetime) const noexcept
+bool Call::isRunningOn(const EndpointId &endpoint, std::uint64_t lifetime) const noexcept
 {
     return attempt_.exchange_ != 0 && attempt_.endpoint_ == endpoint
            && attempt_.lifetime_ == lifetime;
@@ -145,106 +146,109 @@
     return level == Suspicion::Quarantined || (level == Suspicion::HalfOpen && !started_);
 }
 
-std::optional<EndpointId> Call::quietestEndpoint() const
+std::optional<EndpointId> Call::leastLoadedEndpoint() const
 {
     const auto choice = gateway_.placement_.chooseQuietest(
-        gateway_.table_, input_.service_, excluded_, gateway_.random_(), BootClock::now());
-    const bool spared = choice && choice->isLastOfSeveral_ && suspicion_ == Suspicion::Strong;
-    return choice && !spared ? std::optional(choice->endpoint_) : std::nullopt;
+        gateway_.table_, context_.service_, excluded_, gateway_.random_(), BootClock::now());
+    const bool isLastOne = choice && choice->isLastOfSeveral_ && suspicion_ == Suspicion::Strong;
+    return choice && !isLastOne ? std::optional(choice->endpoint_) : std::nullopt;
 }
 
-void Call::countBegan(TimePoint began)
+void Call::reportExecutionStart(TimePoint startedAt)
 {
-    const AccountId &account = input_.access_.account_.id_;
-    if (std::exchange(beganCounted_, true) || account.empty() || !gateway_.onBegan_) {
+    const AccountId &account = context_.access_.account_.id_;
+    if (std::exchange(executionReported_, true) || account.empty()
+        || !gateway_.onExecutionStarted_) {
         return;
     }
-    gateway_.onBegan_(account, began);
+    gateway_.onExecutionStarted_(account, startedAt);
 }
 
-/** A process that was frozen between two sends has missed what was taken away meanwhile. */
+/** A process that was frozen between two attempts may have missed a revocation. */
 bool Call::isKeyValid() const
 {
-    return isStillGranted(*gateway_.config_, input_.access_, gateway_.keyLease_, BootClock::now());
+    return isStillGranted(*gateway_.config_, context_.access_, gateway_.keyLease_,
+                          BootClock::now());
 }
 
-/** A broken connection alone does not tell whether the endpoint has crashed: that is tested. */
-void Call::noteBreak()
+/** A broken connection alone doesn't prove a crash, so a new connection is tried. */
+void Call::checkForCrash()
 {
     if (attempt_.exchange_ != 0) {
         gateway_.crashes_.onBroke(attempt_.endpoint_, attempt_.lifetime_, key());
     }
 }
 
-std::int64_t Call::patienceMillis() const
+std::int64_t Call::remainingMillis() const
 {
     return std::max<std::int64_t>(1, millisUntil(deadline_, BootClock::now()));
 }
 
-void Call::send(const EndpointId &endpoint, SendOrder order, std::int64_t promptTokens)
+void Call::send(const EndpointId &endpoint, DispatchOptions options, std::int64_t promptTokens)
 {
     const Endpoint *target = gateway_.table_.find(endpoint);
-    order.endpoint_ = endpoint;
-    order.account_ = input_.access_.account_.id_;
-    order.patienceMillis_ = patienceMillis();
+    options.endpoint_ = endpoint;
+    options.account_ = context_.access_.account_.id_;
+    options.maxWaitMillis_ = remainingMillis();
     ++sends_;
     attempt_ = {};
     attempt_.endpoint_ = endpoint;
     attempt_.lifetime_ = target->lifetime_;
     attempt_.promptTokens_ = promptTokens;
-    attempt_.urgency_ = order.urgency_.value_or(0);
+    attempt_.urgency_ = options.urgency_.value_or(0);
     attempt_.sentAt_ = BootClock::now();
     async::ExchangeRequest request;
     request.peer_ = endpoint.value();
     request.address_ = target->listed_.address_;
-    request.text_ =
-        gateway_.dialect_.requestText(input_.request_.head_, input_.request_.body_, order);
-    request.requestId_ = facts().requestId_;
-    request.bodyless_ = input_.request_.head_.method_ == "HEAD";
-    request.connectBy_ = BootClock::now() + millis(gateway_.settings_.connectMillis_);
+    request.text_ = gateway_.dialect_.serializeRequest(context_.request_.head_,
+                                                       context_.request_.body_, options);
+    request.requestId_ = requestInfo().requestId_;
+    request.bodyless_ = context_.request_.head_.method_ == "HEAD";
+    request.connectBy_ = BootClock::now() + millis(gateway_.settings_.connectTimeoutMillis_);
     gateway_.table_.onSent(endpoint, attempt_.urgency_, promptTokens, attempt_.sentAt_);
-    trail_ += (trail_.empty() ? "" : ",") + endpoint.value();
+    endpointTrace_ += (endpointTrace_.empty() ? "" : ",") + endpoint.value();
 
     async::ExchangeEvents events;
     events.onHead_ = [this](async::ResponseHead &head) {
         attempt_.head_ = head;
-        attempt_.facts_ = gateway_.dialect_.readAnswer(head);
-        if (attempt_.facts_.load_ && !endpointRestarted()) {
-            gateway_.table_.onLoad(attempt_.endpoint_, *attempt_.facts_.load_, BootClock::now());
+        attempt_.responseInfo_ = gateway_.dialect_.parseResponse(head);
+        if (attempt_.responseInfo_.load_ && !endpointRestarted()) {
+            gateway_.table_.onLoad(attempt_.endpoint_, *attempt_.responseInfo_.load_,
+                                   BootClock::now());
         }
-        attemptHead();
+        onAttemptHead();
     };
-    events.onBody_ = [this](std::string bytes) { attemptBody(std::move(bytes)); };
-    events.onEnd_ = [this] { attemptEnd(); };
+    events.onBody_ = [this](std::string bytes) { onAttemptBody(std::move(bytes)); };
+    events.onEnd_ = [this] { onAttemptEnd(); };
     events.onFailed_ = [this](async::ExchangeFailure failure) {
-        trail_ += ':';
-        trail_ += nameOf(async::ExchangeFailureNames, failure);
+        endpointTrace_ += ':';
+        endpointTrace_ += nameOf(async::ExchangeFailureNames, failure);
         if (failure != async::ExchangeFailure::NotSent) {
-            noteBreak();
+            checkForCrash();
         }
-        attemptFailed(failure);
+        onAttemptFailed(failure);
     };
     attempt_.exchange_ = gateway_.client_.start(std::move(request), std::move(events));
 }
 
-Evidence Call::refusalEvidence() const
+Evidence Call::refusalSignal() const
 {
-    if (attempt_.facts_.misdirected_) {
+    if (attempt_.responseInfo_.misdirected_) {
         return Evidence::Unwilling;
     }
-    if (!attempt_.facts_.load_) {
+    if (!attempt_.responseInfo_.load_) {
         return Evidence::Overloaded;
     }
-    const LoadSample &load = *attempt_.facts_.load_;
-    const bool hasRoom = load.waiting_ == 0 && 2 * load.running_ < load.slots_;
-    return hasRoom ? Evidence::Unwilling : Evidence::Overloaded;
+    const LoadSample &load = *attempt_.responseInfo_.load_;
+    const bool hasCapacity = load.waiting_ == 0 && 2 * load.running_ < load.slots_;
+    return hasCapacity ? Evidence::Unwilling : Evidence::Overloaded;
 }
 
 void Call::logNotRun() const
 {
-    const LoadSample load = attempt_.facts_.load_.value_or(LoadSample {});
+    const LoadSample load = attempt_.responseInfo_.load_.value_or(LoadSample {});
     logEvent(LogLevel::Info, "not_run",
-             {{"id", facts().requestId_},
+             {{"id", requestInfo().requestId_},
               {"endpoint", attempt_.endpoint_.value()},
               {"status", attempt_.head_.status_},
               {"running", load.running_},
@@ -260,7 +264,7 @@
     return endpoint != nullptr && endpoint->lifetime_ != attempt_.lifetime_;
 }
 
-void Call::promptWasRead()
+void Call::markPromptPrefilled()
 {
     if (!endpointRestarted()) {
         gateway_.table_.onRead(attempt_.endpoint_, attempt_.urgency_, attempt_.promptTokens_);
@@ -270,12 +274,12 @@
 
 void Call::closeAttempt(std::optional<Evidence> evidence)
 {
-    silence_.stop();
+    attemptTimer_.stop();
     if (attempt_.exchange_ == 0) {
         return;
     }
     attempt_.exchange_ = 0;
-    promptWasRead();
+    markPromptPrefilled();
     if (endpointRestarted()) {
         gateway_.table_.onClosedOfEarlierLifetime(attempt_.endpoint_);
         return;
@@ -285,7 +289,7 @@
                  {{"endpoint", attempt_.endpoint_.value()},
                   {"evidence", nameOf(EvidenceNames, *evidence)},
                   {"trusted", *evidence == Evidence::Sound ? "yes" : "no"},
-                  {"request", facts().requestId_}});
+                  {"request", requestInfo().requestId_}});
     }
     gateway_.table_.onClosed(attempt_.endpoint_, attempt_.urgency_);
 }
@@ -296,90 +300,93 @@
     closeAttempt(evidence);
 }
 
-void Call::leaveEndpoint(std::optional<Evidence> evidence)
+void Call::excludeEndpoint(std::optional<Evidence> evidence)
 {
     excluded_.push_back(attempt_.endpoint_);
     cancelAttempt(evidence);
 }
 
-void Call::watchSilence(TimePoint until)
+void Call::startAttemptTimer(TimePoint until)
 {
-    silence_.startAt(until, [this] { attemptSilent(); });
+    attemptTimer_.startAt(until, [this] { onAttemptTimeout(); });
 }
 
 /**
- * The allowance bounds what second sends add to an endpoint's work, and what never arrived adds
- * none. Taken from it, a crash of a quarter of the engines used it up within a second, and sound
- * engines stood idle while callers were refused.
+ * Doesn't take from the retry budget: the budget limits the load that retries add to endpoints, and
+ * a request that never arrived adds none. When these retries were counted, a crash of a quarter of
+ * the engines used up the budget within a second, and healthy engines idled while callers were
+ * refused.
  */
-bool Call::mayTryAnother() const
+bool Call::canTryAnotherEndpoint() const
 {
-    return sends_ < mostSends_ && BootClock::now() < deadline_ && !isQuarantined();
+    return sends_ < maxSends_ && BootClock::now() < deadline_ && !isQuarantined();
 }
 
-/** The allowance is for requests that others wait for, not for one that may crash endpoints. */
-bool Call::maySendAgain()
+/** Strongly suspected requests get no retries, as each could crash another endpoint. */
+bool Call::acquireRetry()
 {
-    return mayTryAnother() && suspicion_ != Suspicion::Strong
-           && gateway_.budget(input_.service_).take(BootClock::now());
+    return canTryAnotherEndpoint() && suspicion_ != Suspicion::Strong
+           && gateway_.budget(context_.service_).take(BootClock::now());
 }
 
-bool Call::mayRunAgain()
+bool Call::acquireRerun()
 {
-    return route().idempotent() && runs_ < route().maxAttempts_ && maySendAgain();
+    return route().idempotent() && runs_ < route().maxAttempts_ && acquireRetry();
 }
 
 void Call::onCallerGone()
 {
-    noteSilence();
-    abandonEndpoints();
+    checkForCrashIfSilent();
+    releaseEndpointState();
     cancelAttempt(std::nullopt);
     finish(Outcome::Abandoned, 0, "caller-gone");
 }
 
-void Call::deadlinePassed()
+void Call::onDeadline()
 {
     if (!started_) {
         refuse("suspected");
         return;
     }
-    noteSilence();
+    checkForCrashIfSilent();
     failCall(504, "deadline");
 }
 
-/** The endpoint may be gone without a sign. */
-void Call::noteSilence()
+/** An endpoint can be gone without its connections being reset. */
+void Call::checkForCrashIfSilent()
 {
     const TimePoint now = BootClock::now();
-    if (firstByteAt_ == TimePoint {} && attempt_.sentAt_ + SuspiciousSilence < now) {
-        noteBreak();
+    if (firstByteAt_ == TimePoint {} && attempt_.sentAt_ + CrashCheckSilence < now) {
+        checkForCrash();
     }
 }
 
-void Call::passOn()
+void Call::forwardResponse()
 {
     const int status = attempt_.head_.status_;
     gateway_.server_.respond(
-        input_.request_.id_,
+        context_.request_.id_,
         {status, gateway_.dialect_.callerHeaders(attempt_.head_.headers_), attempt_.body_});
     finish(Outcome::Answered, status, "");
 }
 
 void Call::refuse(std::string_view cause)
 {
-    // A quarantine holds at all instances: to come back soon brings nothing.
-    const auto after = cause == QuarantinedCause || isQuarantined()
-                           ? std::nullopt
-                           : std::optional(retryAfterMillis_.value_or(DefaultRetryAfterMillis));
-    gateway_.server_.respond(input_.request_.id_, gateway_.dialect_.refusal(503, after, cause));
+    // No Retry-After for quarantined requests: every instance would refuse them.
+    const auto retryAfter =
+        cause == QuarantinedCause || isQuarantined()
+            ? std::nullopt
+            : std::optional(retryAfterMillis_.value_or(DefaultRetryAfterMillis));
+    gateway_.server_.respond(context_.request_.id_,
+                             gateway_.dialect_.refusal(503, retryAfter, cause));
     finish(Outcome::Refused, 503, cause);
 }
 
 void Call::failCall(int status, std::string_view cause)
 {
-    abandonEndpoints();
+    releaseEndpointState();
     cancelAttempt(std::nullopt);
-    gateway_.server_.respond(input_.request_.id_,
+    gateway_.server_.respond(context_.request_.id_,
                              gateway_.dialect_.refusal(status, std::nullopt, cause));
     finish(Outcome::Failed, status, cause);
 }
@@ -391,37 +398,37 @@
     }
     finished_ = true;
     deadlineTimer_.stop();
-    silence_.stop();
-    begin_.stop();
+    attemptTimer_.stop();
+    startRetryTimer_.stop();
     if (outcome == Outcome::Answered && status < FirstServerError) {
         gateway_.crashes_.onCompleted(key());
-    } else if (leaseSettlesAt_ != TimePoint {} && (outcome == Outcome::Refused || !started_)) {
+    } else if (leaseSettledAt_ != TimePoint {} && (outcome == Outcome::Refused || !started_)) {
         gateway_.crashes_.releaseLease(key());
     }
     const TimePoint now = BootClock::now();
-    const TimePoint began = input_.request_.startedAt_;
+    const TimePoint arrivedAt = context_.request_.startedAt_;
     const LogLevel level = outcome == Outcome::Answered ? LogLevel::Info : LogLevel::Warning;
     logEvent(level, "request",
-             {{"id", facts().requestId_},
-              {"key", toString(input_.key_)},
-              {"account", input_.access_.account_.id_.value()},
+             {{"id", requestInfo().requestId_},
+              {"key", toString(context_.key_)},
+              {"account", context_.access_.account_.id_.value()},
               {"route", route().name_},
-              {"service", input_.service_.value()},
-              {"config", input_.config_->version()},
+              {"service", context_.service_.value()},
+              {"config", context_.config_->version()},
               {"outcome", nameOf(OutcomeNames, outcome)},
               {"status", status},
               {"cause", cause},
               {"sends", sends_},
-              {"endpoints", trail_},
-              {"read_tokens", readTokens_},
-              {"read_estimate_ms", static_cast<std::int64_t>(readEstimateMillis_)},
+              {"endpoints", endpointTrace_},
+              {"read_tokens", prefillTokens_},
+              {"read_estimate_ms", static_cast<std::int64_t>(prefillEstimateMillis_)},
               {"urgency", urgency_},
-              {"read_ms", readAt_ == TimePoint {} ? -1 : toMillis(readAt_ - began)},
-              {"first_ms", firstByteAt_ == TimePoint {} ? -1 : toMillis(firstByteAt_ - began)},
-              {"total_ms", toMillis(now - began)},
+              {"read_ms", prefilledAt_ == TimePoint {} ? -1 : toMillis(prefilledAt_ - arrivedAt)},
+              {"first_ms", firstByteAt_ == TimePoint {} ? -1 : toMillis(firstByteAt_ - arrivedAt)},
+              {"total_ms", toMillis(now - arrivedAt)},
               {"left_ms", millisUntil(deadline_, now)}});
     countOutcome(outcome, cause, now);
-    gateway_.release(input_.request_.id_.call_);
+    gateway_.release(context_.request_.id_.call_);
 }
 
 void Call::countOutcome(Outcome outcome, std::string_view cause, TimePoint now)
@@ -432,13 +439,13 @@
                   kind + ',' + observe::metricLabel("outcome", nameOf(OutcomeNames, outcome)) + ','
                       + observe::metricLabel("cause", cause));
     metrics.count("sends_total", kind, static_cast<std::uint64_t>(sends_));
-    const TimePoint began = input_.request_.startedAt_;
-    metrics.observeSeconds("request_seconds", toSeconds(now - began), kind);
+    const TimePoint arrivedAt = context_.request_.startedAt_;
+    metrics.observeSeconds("request_seconds", toSeconds(now - arrivedAt), kind);
     if (firstByteAt_ != TimePoint {}) {
-        metrics.observeSeconds("first_event_seconds", toSeconds(firstByteAt_ - began), kind);
+        metrics.observeSeconds("first_event_seconds", toSeconds(firstByteAt_ - arrivedAt), kind);
     }
-    if (readAt_ != TimePoint {}) {
-        metrics.observeSeconds("prompt_read_seconds", toSeconds(readAt_ - began), kind);
+    if (prefilledAt_ != TimePoint {}) {
+        metrics.observeSeconds("prompt_read_seconds", toSeconds(prefilledAt_ - arrivedAt), kind);
     }
 }
 
--- a/libs/gateway/src/call.h
+++ b/libs/gateway/src/call.h
@@ -1,5 +1,6 @@
 /**
- * The life of one request: what service calls and model calls have in common.
+ * Base class for one request from arrival to response: deadline, attempts at endpoints, retries and
+ * suspicion of crashing endpoints, as needed by service calls and model calls alike.
  */
 #pragma once
 
@@ -8,7 +9,7 @@
 
 namespace almondridge::gateway {
 
-/** How a request ended, for its log line and the counters. */
+/** Result of a request, for its log line and the metrics. */
 enum class Outcome { Answered, Refused, Failed, Abandoned };
 
 inline constexpr std::array<EnumName<Outcome>, 4> OutcomeNames {{
@@ -18,160 +19,171 @@
     {Outcome::Abandoned, "abandoned"},
 }};
 
-/** What a call was created from. */
-struct CallInput
+/** A request with what is known about it when its call is created. */
+struct CallContext
 {
     async::ServerCall request_;
-    CallFacts facts_;
-    RequestKey key_ {};
-    std::shared_ptr<const Config> config_; ///< Keeps route_ alive.
+    RequestInfo requestInfo_;
+    RequestKey key_ {};                    ///< Equal for equal requests.
+    std::shared_ptr<const Config> config_; ///< In force when the request arrived; owns route_.
     const Route *route_ = nullptr;
-    AccessVerdict access_ {}; ///< Whose request it is.
-    ServiceId service_;
+    AccessResult access_ {}; ///< The account that made the request.
+    ServiceId service_;      ///< Chosen among the route's services.
 };
 
-/** The cause of a request whose key counts no more. */
+/** Cause in the log and the response if the account's key was revoked after the request came. */
 inline constexpr std::string_view KeyWithdrawnCause = "key-withdrawn";
 
-/** Sends of one request, whatever became of them: a bound on what one request can cost. */
+/** Limit on the attempts for one request, to bound what a request can cost. */
 inline constexpr int MaxSends = 5;
 
 class Call
 {
 public:
-    Call(GatewayState &gateway, CallInput input);
+    Call(GatewayState &gateway, CallContext context);
     virtual ~Call();
     Call(const Call &) = delete;
     Call &operator=(const Call &) = delete;
 
-    /** Starts once nothing that is known of equal requests speaks against it. */
-    void begin();
+    /**
+     * Starts the request, waits if equal requests are suspected of crashing endpoints, or refuses
+     * it if they are quarantined.
+     */
+    void tryStart();
     void onCallerGone();
-    /** Bytes of the answer left for the caller. */
+    /** Bytes of a streamed response were written to the caller. */
     virtual void onWritten() { }
 
-    RequestKey key() const noexcept { return input_.key_; }
-    /** Whether it is on that endpoint now. */
-    bool isAt(const EndpointId &endpoint, std::uint64_t lifetime) const noexcept;
+    RequestKey key() const noexcept { return context_.key_; }
+    /** Whether an attempt at this lifetime of the endpoint is in progress. */
+    bool isRunningOn(const EndpointId &endpoint, std::uint64_t lifetime) const noexcept;
 
 protected:
-    /** The send that is on its way; at most one at a time. */
+    /** The attempt at an endpoint; at most one at a time. */
     struct Attempt
     {
         async::ExchangeId exchange_ = 0; ///< 0: none.
         EndpointId endpoint_;
-        std::uint64_t lifetime_ = 0;    ///< Of the endpoint, as it was known when this was sent.
-        std::int64_t promptTokens_ = 0; ///< Counted as queued there until read.
+        std::uint64_t lifetime_ = 0;    ///< The endpoint's lifetime when the request was sent.
+        std::int64_t promptTokens_ = 0; ///< Counted as queued at the endpoint until prefilled.
         int urgency_ = 0;
         TimePoint sentAt_ {};
         async::ResponseHead head_;
-        AnswerFacts facts_;
-        std::string body_; ///< Of an answer that is taken whole.
+        ResponseInfo responseInfo_;
+        std::string body_; ///< Of a response that isn't streamed to the caller.
     };
 
+    /** Makes the first attempt. */
     virtual void start() = 0;
-    /** Sends to an endpoint; attemptHead, attemptBody, attemptEnd or attemptFailed follow. */
-    void send(const EndpointId &endpoint, SendOrder order, std::int64_t promptTokens);
-    virtual void attemptHead() { }
-    virtual void attemptBody(std::string bytes) { attempt_.body_ += bytes; }
-    virtual void attemptEnd() = 0;
-    virtual void attemptFailed(async::ExchangeFailure failure) = 0;
-    virtual void attemptSilent() = 0;
-    /** The deadline of the request has come. */
-    virtual void deadlinePassed();
-    /** Whatever has to be undone at the endpoints when the request ends early. */
-    virtual void abandonEndpoints() { }
-
-    /** The attempt is over; evidence, if any, tells whether its endpoint can be trusted. */
+    /** Starts an attempt; its result arrives through the onAttempt functions. */
+    void send(const EndpointId &endpoint, DispatchOptions options, std::int64_t promptTokens);
+    virtual void onAttemptHead() { }
+    virtual void onAttemptBody(std::string bytes) { attempt_.body_ += bytes; }
+    virtual void onAttemptEnd() = 0;
+    virtual void onAttemptFailed(async::ExchangeFailure failure) = 0;
+    /** The timer of startAttemptTimer() has fired. */
+    virtual void onAttemptTimeout() = 0;
+    /** The deadline of the request has passed. */
+    virtual void onDeadline();
+    /** Releases what endpoints hold for the request when it ends early. */
+    virtual void releaseEndpointState() { }
+
+    /** Ends the attempt; evidence, if any, is a signal of the endpoint's health. */
     void closeAttempt(std::optional<Evidence> evidence);
+    /** Like closeAttempt(), and cancels the exchange with the endpoint. */
     void cancelAttempt(std::optional<Evidence> evidence);
-    /** What a refusal says of its endpoint: whether it is full, or takes no requests at all. */
-    Evidence refusalEvidence() const;
-    /** The endpoint said that it did not run the request: one line with its words. */
+    /** Tells an overloaded endpoint from one that refuses though it has free capacity. */
+    Evidence refusalSignal() const;
+    /** Logs the response of an endpoint that didn't execute the request. */
     void logNotRun() const;
-    /** The attempt came to nothing: this request does not go to its endpoint again. */
-    void leaveEndpoint(std::optional<Evidence> evidence);
-    void promptWasRead();
-    /** Whether what becomes of the attempt says nothing of its endpoint any more. */
+    /** Cancels the attempt and excludes its endpoint from further attempts of this request. */
+    void excludeEndpoint(std::optional<Evidence> evidence);
+    /** The endpoint has prefilled the prompt: it no longer counts as queued there. */
+    void markPromptPrefilled();
+    /** Whether the endpoint has restarted since: the result says nothing about its new process. */
     bool endpointRestarted() const;
-    /** Calls attemptSilent() then, unless the attempt is over before. */
-    void watchSilence(TimePoint until);
-    void stopWatching() { silence_.stop(); }
-
-    /** Has it tested whether the attempt's endpoint has ended, if it may have. */
-    void noteBreak();
-    /** The same when the request ends without a word of the endpoint. */
-    void noteSilence();
-    /** Whether equal requests have ended too many endpoints for this one to be sent on. */
+    /** Calls onAttemptTimeout() at that time, unless the attempt ends before. */
+    void startAttemptTimer(TimePoint until);
+    void stopAttemptTimer() { attemptTimer_.stop(); }
+
+    /** Probes the attempt's endpoint, which may have crashed, by opening a new connection. */
+    void checkForCrash();
+    /** The same if the endpoint has been silent for long when the request ends. */
+    void checkForCrashIfSilent();
+    /** Whether equal requests have crashed too many endpoints for another attempt. */
     bool isQuarantined() const;
     /**
-     * Where a suspected request takes the fewest others along. nullopt: there is none, or, under
-     * strong suspicion, only the last one that serves.
+     * The endpoint where a crash caused by this request would affect the fewest other requests.
+     * nullopt: there is none, or, under strong suspicion, only the last one of several still
+     * serves.
      */
-    std::optional<EndpointId> quietestEndpoint() const;
-    /** An endpoint began to run the request then; told once. */
-    void countBegan(TimePoint began);
-    /** Whether the key that the caller showed still counts: asked before each send. */
+    std::optional<EndpointId> leastLoadedEndpoint() const;
+    /** Reports that an endpoint began to execute the request; only the first call has an effect. */
+    void reportExecutionStart(TimePoint startedAt);
+    /** Whether the caller's key is still valid; checked before each attempt. */
     bool isKeyValid() const;
-    /** Whether another endpoint may be tried after one that the request never reached. */
-    bool mayTryAnother() const;
-    /** Whether one more send is allowed: by the shared allowance, and by this call's own bound. */
-    bool maySendAgain();
-    /** The same after a send that may have run: its route must allow another run as well. */
-    bool mayRunAgain();
-
-    /** Gives the caller the attempt's answer, which was taken whole. */
-    void passOn();
-    /** The request was not run: 503 with the time to come back. */
+    /** Whether another endpoint may be tried if the request didn't reach the last one. */
+    bool canTryAnotherEndpoint() const;
+    /** Takes a retry from the service's budget; false if the budget or the limit forbids it. */
+    bool acquireRetry();
+    /** The same after an attempt that may have been executed: the route must allow a repetition. */
+    bool acquireRerun();
+
+    /** Forwards the attempt's response to the caller. */
+    void forwardResponse();
+    /** Ends a request that wasn't executed: 503, with Retry-After unless it is quarantined. */
     void refuse(std::string_view cause);
-    /** The request may have run: 502, or 504 at the deadline. */
+    /** Ends a request that may have been executed, with 502, or 504 at the deadline. */
     void failCall(int status, std::string_view cause);
+    /** Logs and counts the result, and has the call destroyed. */
     void finish(Outcome outcome, int status, std::string_view cause);
 
-    const Route &route() const noexcept { return *input_.route_; }
-    int priority() const { return input_.access_.account_.priority_.value_or(route().priority_); }
-    const CallFacts &facts() const noexcept { return input_.facts_; }
+    const Route &route() const noexcept { return *context_.route_; }
+    /** The account's priority, or else the route's. */
+    int priority() const { return context_.access_.account_.priority_.value_or(route().priority_); }
+    const RequestInfo &requestInfo() const noexcept { return context_.requestInfo_; }
     TimePoint deadline() const noexcept { return deadline_; }
-    std::int64_t patienceMillis() const;
+    /** Time until the deadline, at least 1 ms. */
+    std::int64_t remainingMillis() const;
 
     GatewayState &gateway_;
-    CallInput input_;
+    CallContext context_;
     Attempt attempt_;
-    std::vector<EndpointId> excluded_; ///< Endpoints that this request had no luck with.
-    int runs_ = 0;                     ///< Sends that may have run.
-    int sends_ = 0;
-    int mostSends_ = MaxSends;
-    bool mayHaveRun_ = false;
-    Suspicion suspicion_ = Suspicion::None;        ///< When it was started.
-    std::optional<std::int64_t> retryAfterMillis_; ///< As the last endpoint that refused said.
-    TimePoint firstByteAt_ {};
-    std::int64_t readTokens_ = 0; ///< Prompt tokens that had to be read, as far as we know.
-    double readEstimateMillis_ = 0;
-    int urgency_ = -1;    ///< As the engine that read was told; -1: no prompt.
-    TimePoint readAt_ {}; ///< When the prompt was read.
-    std::string trail_;   ///< Endpoints asked and what came of it, for the log line.
+    std::vector<EndpointId> excluded_; ///< Not used for further attempts.
+    int runs_ = 0;                     ///< Attempts that may have been executed.
+    int sends_ = 0;                    ///< Attempts, whatever became of them.
+    int maxSends_ = MaxSends;
+    bool mayHaveRun_ = false;                      ///< An attempt may have been executed.
+    Suspicion suspicion_ = Suspicion::None;        ///< When the request was started.
+    std::optional<std::int64_t> retryAfterMillis_; ///< From the last refusal.
+    TimePoint firstByteAt_ {};                     ///< Start of the response stream to the caller.
+    std::int64_t prefillTokens_ = 0;   ///< Estimate of the prompt tokens that weren't cached.
+    double prefillEstimateMillis_ = 0; ///< Including the queue ahead of the prompt.
+    int urgency_ = -1;                 ///< As sent to the engine that prefills; -1: no prompt.
+    TimePoint prefilledAt_ {};         ///< When the prompt was prefilled.
+    std::string endpointTrace_; ///< Endpoints of the attempts and their failures, for the log.
 
 private:
-    void beginWithLease(const Assessment &known);
-    void waitToBegin();
-    void keepLease();
-    bool runsBesideAnother() const;
-    void refuseQuarantined(const Assessment &known);
+    void startWithLease(const Assessment &assessment);
+    void scheduleStartRetry();
+    void scheduleLeaseRenewal();
+    bool isEqualRequestRunning() const;
+    void refuseQuarantined(const Assessment &assessment);
     void countOutcome(Outcome outcome, std::string_view cause, TimePoint now);
 
     TimePoint deadline_;
     async::Timer deadlineTimer_;
-    async::Timer silence_;
-    async::Timer begin_;          ///< Until it is looked again whether this request may start.
-    TimePoint leaseSettlesAt_ {}; ///< Others that want the lease have been heard by then.
-    bool started_ = false;
-    bool beganCounted_ = false;
+    async::Timer attemptTimer_;
+    async::Timer startRetryTimer_; ///< Next call of tryStart(), or next renewal of the lease.
+    TimePoint leaseSettledAt_ {};  ///< Competing claims for the run lease are known by then.
+    bool started_ = false;         ///< start() was called.
+    bool executionReported_ = false;
     bool finished_ = false;
 };
 
-/** A request to a plain service: one answer, taken whole. */
-std::unique_ptr<Call> makeServiceCall(GatewayState &gateway, CallInput input);
-/** A request to a model: read by one engine, generated by the same or another one. */
-std::unique_ptr<Call> makeModelCall(GatewayState &gateway, CallInput input);
+/** A request to a service that isn't a model: one response, buffered before it is forwarded. */
+std::unique_ptr<Call> makeServiceCall(GatewayState &gateway, CallContext context);
+/** A request to a model: prefilled by one engine, decoded by the same or another one. */
+std::unique_ptr<Call> makeModelCall(GatewayState &gateway, CallContext context);
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/config.cpp
+++ b/libs/gateway/src/config.cpp
@@ -6,33 +6,33 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Lower case and without a port, as routes have it. */
-std::string plainHost(std::string_view host)
+/** Lower case and without a port, as in Route::host_. */
+std::string normalizeHost(std::string_view host)
 {
     const std::string_view name = host.substr(0, host.find(':'));
-    std::string plain(name);
-    std::transform(plain.begin(), plain.end(), plain.begin(),
+    std::string normalized(name);
+    std::transform(normalized.begin(), normalized.end(), normalized.begin(),
                    [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
-    return plain;
+    return normalized;
 }
 
 } // namespace
 
 const Route *Config::find(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so only the path's own slashes can end one: a look-up for each
-    // of them, whatever the number of routes.
-    std::string place = plainHost(host);
-    const std::size_t hostLength = place.size();
-    place += path.substr(0, path.find_first_of("?#"));
-    for (std::size_t slash = place.rfind('/'); slash != std::string::npos && slash >= hostLength;
-         slash = place.rfind('/')) {
-        place.resize(slash + 1);
-        const auto found = byPlace_.find(place);
-        if (found != byPlace_.end()) {
+    // Prefixes end with a slash, so one look-up for each slash of the path finds the longest one;
+    // the cost doesn't depend on the number of routes.
+    std::string candidate = normalizeHost(host);
+    const std::size_t hostLength = candidate.size();
+    candidate += path.substr(0, path.find_first_of("?#"));
+    for (std::size_t slash = candidate.rfind('/');
+         slash != std::string::npos && slash >= hostLength; slash = candidate.rfind('/')) {
+        candidate.resize(slash + 1);
+        const auto found = routeByHostAndPrefix_.find(candidate);
+        if (found != routeByHostAndPrefix_.end()) {
             return &routes_[found->second];
         }
-        place.resize(slash);
+        candidate.resize(slash);
     }
     return nullptr;
 }
@@ -58,8 +58,8 @@
 
 Config::Builder &Config::Builder::route(Route route)
 {
-    route.host_ = plainHost(route.host_);
-    config_.byPlace_[route.host_ + route.pathPrefix_] = config_.routes_.size();
+    route.host_ = normalizeHost(route.host_);
+    config_.routeByHostAndPrefix_[route.host_ + route.pathPrefix_] = config_.routes_.size();
     config_.routes_.push_back(std::move(route));
     return *this;
 }
--- a/libs/gateway/src/crashguard.cpp
+++ b/libs/gateway/src/crashguard.cpp
@@ -50,7 +50,7 @@
     tested_[id].lifetime_ = lifetime;
     tested_[id].inFlight_.insert(key);
     if (!underTest) {
-        const TimePoint by = BootClock::now() + millis(gateway_.settings_.connectMillis_);
+        const TimePoint by = BootClock::now() + millis(gateway_.settings_.connectTimeoutMillis_);
         gateway_.client_.open(id.value(), endpoint->listed_.address_, by,
                               [this, id](bool reached) { onTested(id, reached); });
     }
@@ -81,7 +81,7 @@
     const EndpointId &id = endpoint.listed_.id_;
     const TimePoint now = BootClock::now();
     for (const auto &[number, call] : gateway_.calls_) {
-        if (call->isAt(id, endpoint.lifetime_)) {
+        if (call->isRunningOn(id, endpoint.lifetime_)) {
             inFlight.insert(call->key());
         }
     }
--- a/libs/gateway/src/credentials.cpp
+++ b/libs/gateway/src/credentials.cpp
@@ -8,17 +8,17 @@
 
 constexpr std::string_view HeaderName = "Authorization";
 
-bool isTokenLetter(char letter)
+bool isTokenCharacter(char letter)
 {
-    constexpr std::string_view Others = "-._~+/=";
+    constexpr std::string_view Punctuation = "-._~+/=";
     return std::isalnum(static_cast<unsigned char>(letter)) != 0
-           || Others.find(letter) != std::string_view::npos;
+           || Punctuation.find(letter) != std::string_view::npos;
 }
 
 bool isToken(std::string_view text)
 {
-    return !text.empty() && text.size() <= MostKeyBytes
-           && std::all_of(text.begin(), text.end(), isTokenLetter);
+    return !text.empty() && text.size() <= MaxKeyBytes
+           && std::all_of(text.begin(), text.end(), isTokenCharacter);
 }
 
 std::string_view trimmed(std::string_view text)
@@ -35,20 +35,20 @@
 
 Credentials readCredentials(const net::Headers &headers, std::string_view scheme)
 {
-    const net::Header *only = nullptr;
+    const net::Header *authorization = nullptr;
     for (const net::Header &header : headers) {
         if (!net::equalWithoutCase(header.name_, HeaderName)) {
             continue;
         }
-        if (only != nullptr) {
+        if (authorization != nullptr) {
             return {CredentialState::Malformed, {}};
         }
-        only = &header;
+        authorization = &header;
     }
-    if (only == nullptr) {
+    if (authorization == nullptr) {
         return {};
     }
-    const std::string_view value = trimmed(only->value_);
+    const std::string_view value = trimmed(authorization->value_);
     const std::size_t space = value.find(' ');
     if (space == std::string_view::npos || !net::equalWithoutCase(value.substr(0, space), scheme)) {
         return {CredentialState::Malformed, {}};
--- a/libs/gateway/src/eventsplitter.cpp
+++ b/libs/gateway/src/eventsplitter.cpp
@@ -6,8 +6,8 @@
 constexpr std::string_view EventEnd = "\n\n";
 constexpr std::string_view IdField = "id:";
 
-/** The value of the last id line among whole events; empty when there is none. */
-std::string_view lastIdOf(std::string_view events)
+/** The value of the last id field in complete events; empty if there is none. */
+std::string_view findLastId(std::string_view events)
 {
     std::string_view id;
     while (!events.empty()) {
@@ -30,18 +30,18 @@
 
 std::string EventSplitter::feed(std::string_view bytes)
 {
-    rest_ += bytes;
-    const std::size_t end = rest_.rfind(EventEnd);
+    partialEvent_ += bytes;
+    const std::size_t end = partialEvent_.rfind(EventEnd);
     if (end == std::string::npos) {
         return {};
     }
-    std::string whole = rest_.substr(0, end + EventEnd.size());
-    rest_.erase(0, end + EventEnd.size());
-    const std::string_view id = lastIdOf(whole);
+    std::string complete = partialEvent_.substr(0, end + EventEnd.size());
+    partialEvent_.erase(0, end + EventEnd.size());
+    const std::string_view id = findLastId(complete);
     if (!id.empty()) {
-        lastId_ = id;
+        lastEventId_ = id;
     }
-    return whole;
+    return complete;
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/eventsplitter.h
+++ b/libs/gateway/src/eventsplitter.h
@@ -1,6 +1,6 @@
 /**
- * Cuts a stream of server-sent events into whole events, so that a stream that breaks in the
- * middle of one can be resumed at the event before.
+ * Splits a stream of server-sent events into complete events, so that a stream that breaks in the
+ * middle of an event can be resumed after the last complete one.
  */
 #pragma once
 
@@ -12,17 +12,17 @@
 class EventSplitter
 {
 public:
-    /** Adds bytes and takes all events that are whole now, as they stand. */
+    /** Adds bytes and returns all events that are complete now, unchanged. */
     std::string feed(std::string_view bytes);
-    /** The id of the last whole event; empty before the first one. */
-    const std::string &lastId() const noexcept { return lastId_; }
-    /** The piece of an event at the end. */
-    const std::string &rest() const noexcept { return rest_; }
-    void dropRest() { rest_.clear(); }
+    /** The id of the last complete event that has one; empty if there is none. */
+    const std::string &lastEventId() const noexcept { return lastEventId_; }
+    /** The incomplete event at the end of the bytes. */
+    const std::string &partialEvent() const noexcept { return partialEvent_; }
+    void discardPartialEvent() { partialEvent_.clear(); }
 
 private:
-    std::string rest_;
-    std::string lastId_;
+    std::string partialEvent_;
+    std::string lastEventId_;
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/** Between two looks whether a test is due: short against the shortest pause between two tests. */
-constexpr Duration TestInterval = millis(50);
-/** Between two looks which endpoints are left out, for the log. */
-constexpr Duration LeftOutInterval = millis(250);
-/** Another instance, to which a caller comes the next time, may have newer news. */
+/** Between two checks for due probes; short relative to the shortest pause between two probes. */
+constexpr Duration ProbeInterval = millis(50);
+/** Between two calls of logOutliers(). */
+constexpr Duration OutlierLogInterval = millis(250);
+/** Short, as the retry may reach another instance whose configuration is confirmed. */
 constexpr std::int64_t UnconfirmedRetryMillis = 100;
-/** Anybody may send false keys: the counter has them all. */
-constexpr int MostDenialLines = 20;
+/** Limits log lines, since anybody can send invalid keys; the metric counts all of them. */
+constexpr int MaxDenialLines = 20;
 constexpr Duration DenialLogWindow = millis(10'000);
-/** Lines on endpoints in one window: a whole list has thousands, and a line of its own. */
-constexpr int MostEndpointLines = 200;
+/** Limits log lines on changed endpoints: a whole list has thousands, and a log line of its own. */
+constexpr int MaxEndpointLines = 200;
 constexpr Duration EndpointLogWindow = millis(10'000);
 
 } // namespace
@@ -33,16 +33,16 @@
     , client_(loop)
     , placement_({settings_.domain_})
     , keyLease_(settings_.revokeBoundMillis_)
-    , waitingKeysTimer_(loop)
-    , denialLines_(MostDenialLines, DenialLogWindow)
-    , endpointLines_(MostEndpointLines, EndpointLogWindow)
+    , unknownKeysTimer_(loop)
+    , denialLines_(MaxDenialLines, DenialLogWindow)
+    , endpointLines_(MaxEndpointLines, EndpointLogWindow)
     , random_(std::random_device {}())
-    , tests_(loop)
-    , leftOutTimer_(loop)
+    , probeTimer_(loop)
+    , outlierTimer_(loop)
 {
-    client_.setMaxKept(settings_.maxKeptConnections_);
-    testEndpoints();
-    logLeftOut();
+    client_.setMaxKept(settings_.maxIdleConnections_);
+    probeEndpoints();
+    logOutliers();
 }
 
 GatewayState::~GatewayState() = default;
@@ -104,7 +104,7 @@
     return state_->metrics_;
 }
 
-std::map<ServiceId, double> Gateway::secondSendsLeft()
+std::map<ServiceId, double> Gateway::retryBudgetLeft()
 {
     std::map<ServiceId, double> left;
     for (auto &[service, budget] : state_->budgets_) {
@@ -149,8 +149,8 @@
         return;
     }
     const CallerLimits &limits = config->limits();
-    state_->server_.setLimits({{static_cast<std::uint32_t>(limits.headBytes_),
-                                static_cast<std::uint64_t>(limits.bodyBytes_)},
+    state_->server_.setLimits({{static_cast<std::uint32_t>(limits.maxHeadBytes_),
+                                static_cast<std::uint64_t>(limits.maxBodyBytes_)},
                                limits.headerTimeoutMillis_,
                                limits.idleTimeoutMillis_});
     logEvent(LogLevel::Info, "config",
@@ -159,20 +159,20 @@
               {"routes", config->routes().size()},
               {"services", config->services().size()}});
     state_->config_ = std::move(config);
-    for (WaitingKey &one : state_->waitingKeys_.takeAll()) {
+    for (QueuedRequest &one : state_->unknownKeys_.takeAll()) {
         state_->admit(std::move(one.request_), one.credentials_);
     }
 }
 
-void Gateway::setOnBegan(OnBegan onBegan)
+void Gateway::setOnExecutionStarted(OnExecutionStarted onExecutionStarted)
 {
-    state_->onBegan_ = std::move(onBegan);
+    state_->onExecutionStarted_ = std::move(onExecutionStarted);
 }
 
 void Gateway::confirmConfig(TimePoint asOf)
 {
     state_->keyLease_.confirm(asOf);
-    state_->lookAtWaitingKeys();
+    state_->resolveUnknownKeys();
 }
 
 double Gateway::keysAgeSeconds(TimePoint now) const
@@ -183,8 +183,8 @@
 
 void Gateway::listEndpoint(const ListedEndpoint &listed)
 {
-    const Listing news = state_->table_.list(listed, BootClock::now());
-    if (news == Listing::Same) {
+    const Listing change = state_->table_.list(listed, BootClock::now());
+    if (change == Listing::Same) {
         return;
     }
     if (state_->endpointLines_.take(BootClock::now())) {
@@ -195,11 +195,11 @@
                   {"domain", listed.domain_.value()},
                   {"state", listed.draining_ ? "draining" : "ready"},
                   {"stage", nameOf(StageNames, listed.stage_)},
-                  {"restarted", news == Listing::Restarted ? "yes" : "no"},
+                  {"restarted", change == Listing::Restarted ? "yes" : "no"},
                   {"started_at", listed.startedAtMillis_}});
     }
-    // After a restart the kept connections lead to a process that is gone.
-    if (listed.draining_ || news == Listing::Restarted) {
+    // After a restart the idle connections belong to a process that has ended.
+    if (listed.draining_ || change == Listing::Restarted) {
         state_->client_.dropKept(listed.id_.value());
     }
 }
@@ -225,7 +225,7 @@
 
 SendBudget &GatewayState::budget(const ServiceId &service)
 {
-    const auto [place, added] = budgets_.try_emplace(service, settings_.secondSends_);
+    const auto [place, added] = budgets_.try_emplace(service, settings_.retryBudget_);
     if (added) {
         place->second.setInstances(instances_);
     }
@@ -250,9 +250,9 @@
 
 void GatewayState::refuse(const async::CallId &id, int status, std::string_view reason)
 {
-    constexpr std::int64_t UntilConfigMillis = 500;
-    const auto after = status == 503 ? std::optional(UntilConfigMillis) : std::nullopt;
-    server_.respond(id, dialect_.refusal(status, after, reason));
+    constexpr std::int64_t UnavailableRetryMillis = 500;
+    const auto retryAfter = status == 503 ? std::optional(UnavailableRetryMillis) : std::nullopt;
+    server_.respond(id, dialect_.refusal(status, retryAfter, reason));
 }
 
 void GatewayState::onCall(async::ServerCall request)
@@ -261,7 +261,7 @@
         refuse(request.id_, 503, "no-config");
         return;
     }
-    // Taken off first, so that nothing that is written or sent later can have it.
+    // Removed first, so that the key can't get into logs or messages to endpoints.
     const Credentials credentials =
         config_->accounts() ? dialect_.takeCredentials(request.head_) : Credentials {};
     admit(std::move(request), credentials);
@@ -276,16 +276,16 @@
         return;
     }
     const TimePoint now = BootClock::now();
-    AccessVerdict verdict = checkAccess(*config_, *route, credentials, keyLease_, now);
-    switch (verdict.access_) {
+    AccessResult result = checkAccess(*config_, *route, credentials, keyLease_, now);
+    switch (result.access_) {
     case Access::Anonymous:
     case Access::Granted:
-        begin(std::move(request), *route, std::move(verdict));
+        startCall(std::move(request), *route, std::move(result));
         return;
     case Access::KeyUnknown:
-        if (waitingKeys_.mayWait(request, now)) {
-            waitingKeys_.add(std::move(request), credentials, now);
-            lookAtWaitingKeys();
+        if (unknownKeys_.canQueue(request, now)) {
+            unknownKeys_.add(std::move(request), credentials, now);
+            resolveUnknownKeys();
             return;
         }
         break;
@@ -294,14 +294,14 @@
     case Access::KeyMalformed:
         break;
     }
-    deny(request.id_, verdict.access_);
+    deny(request.id_, result.access_);
 }
 
 /**
- * Whether a configuration could be in force elsewhere that this instance does not know. Then that
- * it has no such route says nothing of whether there is one.
+ * Whether other instances may have a newer configuration than this one, which could have a route
+ * that is missing here.
  */
-bool GatewayState::mayLackConfig(TimePoint now) const
+bool GatewayState::mayConfigBeStale(TimePoint now) const
 {
     const auto asOf = keyLease_.asOf();
     return settings_.configBoundMillis_ > 0
@@ -310,13 +310,13 @@
 
 void GatewayState::refuseUnrouted(const async::ServerCall &request)
 {
-    const bool isUnproven = mayLackConfig(BootClock::now());
+    const bool mayBeStale = mayConfigBeStale(BootClock::now());
     logEvent(LogLevel::Info, "no_route",
              {{"host", net::headerValue(request.head_.headers_, "Host")},
               {"target", request.head_.target_},
               {"config", config_->version()},
-              {"proven", isUnproven ? "no" : "yes"}});
-    if (isUnproven) {
+              {"proven", mayBeStale ? "no" : "yes"}});
+    if (mayBeStale) {
         server_.respond(request.id_,
                         dialect_.refusal(503, UnconfirmedRetryMillis, "config-unproven"));
     } else {
@@ -324,24 +324,26 @@
     }
 }
 
-void GatewayState::begin(async::ServerCall request, const Route &route, AccessVerdict verdict)
-{
-    CallInput input;
-    input.facts_ = dialect_.readCall(request.head_);
-    input.key_ = requestKey(settings_.keySecret_, {net::headerValue(request.head_.headers_, "Host"),
-                                                   request.head_.method_, request.head_.target_,
-                                                   request.body_, verdict.account_.id_.value()});
-    input.request_ = std::move(request);
-    input.config_ = config_;
-    input.route_ = &route;
-    input.access_ = std::move(verdict);
-    input.service_ = pickService(route);
-    budget(input.service_).onRequest(BootClock::now());
-    const bool model = route.kind_ == RouteKind::Streaming && input.facts_.prompt_.has_value();
-    const std::uint64_t number = input.request_.id_.call_;
-    auto &call = calls_[number] =
-        model ? makeModelCall(*this, std::move(input)) : makeServiceCall(*this, std::move(input));
-    call->begin();
+void GatewayState::startCall(async::ServerCall request, const Route &route, AccessResult result)
+{
+    CallContext context;
+    context.requestInfo_ = dialect_.parseRequest(request.head_);
+    context.key_ =
+        requestKey(settings_.keySecret_,
+                   {net::headerValue(request.head_.headers_, "Host"), request.head_.method_,
+                    request.head_.target_, request.body_, result.account_.id_.value()});
+    context.request_ = std::move(request);
+    context.config_ = config_;
+    context.route_ = &route;
+    context.access_ = std::move(result);
+    context.service_ = pickService(route);
+    budget(context.service_).onRequest(BootClock::now());
+    const bool isModelCall =
+        route.kind_ == RouteKind::Streaming && context.requestInfo_.prompt_.has_value();
+    const std::uint64_t number = context.request_.id_.call_;
+    auto &call = calls_[number] = isModelCall ? makeModelCall(*this, std::move(context))
+                                              : makeServiceCall(*this, std::move(context));
+    call->tryStart();
 }
 
 void GatewayState::deny(const async::CallId &id, Access access)
@@ -363,20 +365,20 @@
     }
 }
 
-void GatewayState::lookAtWaitingKeys()
+void GatewayState::resolveUnknownKeys()
 {
-    for (const WaitingKey &one : waitingKeys_.takeSettled(keyLease_.asOf(), BootClock::now())) {
+    for (const QueuedRequest &one : unknownKeys_.takeResolved(keyLease_.asOf(), BootClock::now())) {
         deny(one.request_.id_, Access::KeyUnknown);
     }
-    waitingKeysTimer_.stop();
-    if (const auto due = waitingKeys_.nextDue()) {
-        waitingKeysTimer_.startAt(*due, [this] { lookAtWaitingKeys(); });
+    unknownKeysTimer_.stop();
+    if (const auto due = unknownKeys_.nextDeadline()) {
+        unknownKeysTimer_.startAt(*due, [this] { resolveUnknownKeys(); });
     }
 }
 
 void GatewayState::onCallerGone(const async::CallId &id)
 {
-    waitingKeys_.forget(id);
+    unknownKeys_.remove(id);
     const auto found = calls_.find(id.call_);
     if (found != calls_.end()) {
         found->second->onCallerGone();
@@ -391,16 +393,16 @@
     }
 }
 
-void GatewayState::testEndpoints()
+void GatewayState::probeEndpoints()
 {
     const TimePoint now = BootClock::now();
     for (const EndpointId &id : table_.takeTests(now)) {
         const net::Address address = table_.find(id)->listed_.address_;
         client_.dropKept(id.value());
-        client_.open(id.value(), address, now + millis(settings_.connectMillis_),
+        client_.open(id.value(), address, now + millis(settings_.connectTimeoutMillis_),
                      [this, id](bool reached) { onTested(id, reached); });
     }
-    tests_.startAt(now + TestInterval, [this] { testEndpoints(); });
+    probeTimer_.startAt(now + ProbeInterval, [this] { probeEndpoints(); });
 }
 
 void GatewayState::onTested(const EndpointId &id, bool reached)
@@ -419,15 +421,15 @@
     }
 }
 
-void GatewayState::logLeftOut()
+void GatewayState::logOutliers()
 {
     const TimePoint now = BootClock::now();
-    leftOutTimer_.startAt(now + LeftOutInterval, [this] { logLeftOut(); });
+    outlierTimer_.startAt(now + OutlierLogInterval, [this] { logOutliers(); });
     std::set<EndpointId> present;
     for (const Endpoint *endpoint : table_.leftOut(now)) {
         const EndpointId &id = endpoint->listed_.id_;
         present.insert(id);
-        if (!leftOut_.contains(id)) {
+        if (!outliers_.contains(id)) {
             logEvent(LogLevel::Warning, "endpoint_left_out",
                      {{"endpoint", id.value()},
                       {"own_failures", endpoint->recentFailures_.at(now)},
@@ -436,12 +438,12 @@
                       {"instances", instances_}});
         }
     }
-    for (const EndpointId &id : leftOut_) {
+    for (const EndpointId &id : outliers_) {
         if (!present.contains(id)) {
             logEvent(LogLevel::Info, "endpoint_taken_back", {{"endpoint", id.value()}});
         }
     }
-    leftOut_ = std::move(present);
+    outliers_ = std::move(present);
 }
 
 void GatewayState::release(std::uint64_t call)
--- a/libs/gateway/src/gatewaystate.h
+++ b/libs/gateway/src/gatewaystate.h
@@ -1,5 +1,5 @@
 /**
- * What all calls of one gateway share.
+ * State shared by all calls of one gateway.
  */
 #pragma once
 
@@ -27,26 +27,29 @@
     ~GatewayState();
 
     void onCall(async::ServerCall request);
+    /** Finds the route and checks the key, then starts, queues or refuses the request. */
     void admit(async::ServerCall request, const Credentials &credentials);
-    bool mayLackConfig(TimePoint now) const;
+    bool mayConfigBeStale(TimePoint now) const;
     void refuseUnrouted(const async::ServerCall &request);
-    void begin(async::ServerCall request, const Route &route, AccessVerdict verdict);
-    /** 401, or 503 where this instance cannot tell. */
+    /** Creates and starts the call of an admitted request. */
+    void startCall(async::ServerCall request, const Route &route, AccessResult result);
+    /** Responds with 401, or with 503 if this instance can't tell whether the key is valid. */
     void deny(const async::CallId &id, Access access);
-    /** Requests whose key was not known are looked at again, as there is news or time has passed.
-     */
-    void lookAtWaitingKeys();
+    /** Refuses the queued requests with unknown keys that have become due. */
+    void resolveUnknownKeys();
     void onCallerGone(const async::CallId &id);
     void onWritten(const async::CallId &id);
+    /** Responds with an error before a call exists. */
     void refuse(const async::CallId &id, int status, std::string_view reason);
+    /** A random service of the route, by weight. */
     const ServiceId &pickService(const Route &route);
     SendBudget &budget(const ServiceId &service);
-    /** Tries connections to endpoints that could not be reached, when they are due. */
-    void testEndpoints();
+    /** Probes the endpoints that couldn't be reached, when they are due, by connecting to them. */
+    void probeEndpoints();
     void onTested(const EndpointId &id, bool reached);
-    /** One line for each endpoint that is left out from now on, or is not any more. */
-    void logLeftOut();
-    /** Forgets a call once the stack that it is on has unwound. */
+    /** Logs the endpoints that were ejected as outliers, or taken back, since the last call. */
+    void logOutliers();
+    /** Destroys a call from the event loop, as the caller is one of its functions. */
     void release(std::uint64_t call);
 
     async::EventLoop &loop_;
@@ -60,9 +63,9 @@
     std::map<ServiceId, SendBudget> budgets_;
     std::shared_ptr<const Config> config_;
     KeyLease keyLease_;
-    Gateway::OnBegan onBegan_;
-    WaitingKeys waitingKeys_;
-    async::Timer waitingKeysTimer_;
+    Gateway::OnExecutionStarted onExecutionStarted_;
+    UnknownKeyQueue unknownKeys_;
+    async::Timer unknownKeysTimer_;
     LineAllowance denialLines_;
     LineAllowance endpointLines_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Call>> calls_; ///< By CallId::call_.
@@ -70,10 +73,10 @@
     std::map<ServiceId, RequestCosts> costs_;
     observe::Metrics metrics_;
     std::mt19937_64 random_;
-    async::Timer tests_; ///< Of endpoints that could not be reached.
-    async::Timer leftOutTimer_;
-    std::set<EndpointId> leftOut_; ///< As last logged.
-    int instances_ = 1;
+    async::Timer probeTimer_; ///< Next call of probeEndpoints().
+    async::Timer outlierTimer_;
+    std::set<EndpointId> outliers_; ///< As of the last logOutliers().
+    int instances_ = 1;             ///< That share budgets and connection limits.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/leaderelection.cpp
+++ b/libs/gateway/src/leaderelection.cpp
@@ -5,71 +5,71 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Until the instances know of each other, and so which one asks for the right. */
-constexpr Duration SettleTime = millis(2'500);
+/** Time for the instances to discover each other, which decides which one queries the store. */
+constexpr Duration DiscoveryTime = millis(2'500);
 
 } // namespace
 
-AuthorityKeeper::AuthorityKeeper(async::EventLoop &loop, AuthorityStore &store,
-                                 AuthoritySettings settings)
+LeaderElection::LeaderElection(async::EventLoop &loop, LeaderStore &store,
+                               LeaderLeaseSettings settings)
     : store_(store)
     , settings_(settings)
-    , authority_(settings, BootClock::now())
+    , state_(settings, BootClock::now())
     , renewal_(loop)
 { }
 
-void AuthorityKeeper::start()
+void LeaderElection::start()
 {
     running_ = true;
-    // Not at once: each instance that joins may take the lease away from another one, and each
-    // new holder has to wait.
-    renewal_.startAt(BootClock::now() + SettleTime, [this] { renew(); });
+    // Delayed, because each instance that joins the group may take the lease from another one, and
+    // each new leader has to wait before it may give orders.
+    renewal_.startAt(BootClock::now() + DiscoveryTime, [this] { renew(); });
 }
 
-void AuthorityKeeper::stop()
+void LeaderElection::stop()
 {
     running_ = false;
     renewal_.stop();
 }
 
-std::optional<OrderRight> AuthorityKeeper::right() const
+std::optional<LeaderLease> LeaderElection::lease() const
 {
-    return running_ ? authority_.right(BootClock::now()) : std::nullopt;
+    return running_ ? state_.lease(BootClock::now()) : std::nullopt;
 }
 
-void AuthorityKeeper::onOvertaken()
+void LeaderElection::onHigherFenceSeen()
 {
-    authority_.onOvertaken(BootClock::now());
+    state_.onHigherFenceSeen(BootClock::now());
 }
 
-void AuthorityKeeper::renew()
+void LeaderElection::renew()
 {
     const TimePoint askedAt = BootClock::now();
     renewal_.startAt(askedAt + millis(settings_.renewMillis_), [this] { renew(); });
-    store_.ask([this, askedAt](std::optional<bool> named) {
-        if (!named || !running_) {
+    store_.queryLeader([this, askedAt](std::optional<bool> isNamed) {
+        if (!isNamed || !running_) {
             return;
         }
-        if (*named != authority_.named()) {
-            logEvent(LogLevel::Info, "authority", {{"named", *named ? "yes" : "no"}});
+        if (*isNamed != state_.wasNamed()) {
+            logEvent(LogLevel::Info, "authority", {{"named", *isNamed ? "yes" : "no"}});
         }
-        authority_.onNamed(*named, askedAt, BootClock::now());
-        claimIfNeeded();
+        state_.onLeaderReply(*isNamed, askedAt, BootClock::now());
+        claimFenceIfNeeded();
     });
 }
 
-void AuthorityKeeper::claimIfNeeded()
+void LeaderElection::claimFenceIfNeeded()
 {
-    if (claiming_ || !authority_.needsFence(BootClock::now())) {
+    if (claiming_ || !state_.needsFence(BootClock::now())) {
         return;
     }
     claiming_ = true;
-    store_.claim([this](std::optional<LogOffset> offset) {
+    store_.claimFence([this](std::optional<LogOffset> offset) {
         claiming_ = false;
         if (!offset) {
             return;
         }
-        authority_.onClaimed(*offset, BootClock::now());
+        state_.onFenceClaimed(*offset, BootClock::now());
         logEvent(LogLevel::Info, "fence_claimed", {{"offset", *offset}});
     });
 }
--- a/libs/gateway/src/leaderstate.cpp
+++ b/libs/gateway/src/leaderstate.cpp
@@ -4,66 +4,66 @@
 
 namespace almondridge::gateway {
 
-Authority::Authority(AuthoritySettings settings, TimePoint startedAt)
+LeaderState::LeaderState(LeaderLeaseSettings settings, TimePoint startedAt)
     : settings_(settings)
-    , mayHaveActedUntil_(startedAt)
+    , lastLeaseEnd_(startedAt)
 { }
 
-Duration Authority::takeOverWait() const
+Duration LeaderState::takeoverWait() const
 {
     return millis(settings_.termMillis_ + settings_.renewMillis_ + settings_.marginMillis_);
 }
 
-TimePoint Authority::firstOrderAt(TimePoint now) const
+TimePoint LeaderState::firstOrderAt(TimePoint now) const
 {
-    return settings_.fencesAreChecked_ ? std::max(now, mayHaveActedUntil_ + takeOverWait())
-                                       : now + takeOverWait();
+    return settings_.fencesAreChecked_ ? std::max(now, lastLeaseEnd_ + takeoverWait())
+                                       : now + takeoverWait();
 }
 
-void Authority::onNamed(bool named, TimePoint askedAt, TimePoint now)
+void LeaderState::onLeaderReply(bool isNamed, TimePoint askedAt, TimePoint now)
 {
-    const bool lapsed = namedUntil_ <= now;
-    if (!named || lapsed) {
-        // Whoever was named in between may have given orders: begin anew, with a higher fence.
+    const bool hasExpired = leaseUntil_ <= now;
+    if (!isNamed || hasExpired) {
+        // Another leader may have given orders in between, so a higher fencing number is needed.
         if (fence_) {
-            mayHaveActedUntil_ = std::min(now, namedUntil_);
+            lastLeaseEnd_ = std::min(now, leaseUntil_);
         }
         fence_.reset();
     }
-    named_ = named;
-    namedUntil_ =
-        named ? askedAt + millis(settings_.termMillis_ - settings_.marginMillis_) : TimePoint {};
+    named_ = isNamed;
+    leaseUntil_ =
+        isNamed ? askedAt + millis(settings_.termMillis_ - settings_.marginMillis_) : TimePoint {};
 }
 
-bool Authority::needsFence(TimePoint now) const
+bool LeaderState::needsFence(TimePoint now) const
 {
-    return named_ && namedUntil_ > now && !fence_;
+    return named_ && leaseUntil_ > now && !fence_;
 }
 
-void Authority::onClaimed(LogOffset offset, TimePoint now)
+void LeaderState::onFenceClaimed(LogOffset offset, TimePoint now)
 {
     if (!needsFence(now)) {
         return;
     }
     fence_ = offset + 1;
-    // The first claim of all has nobody before it.
-    ordersFrom_ = offset == 0 ? now : firstOrderAt(now);
+    // The first claim in the log has no previous leader to wait for.
+    ordersAllowedAt_ = offset == 0 ? now : firstOrderAt(now);
 }
 
-void Authority::onOvertaken(TimePoint now)
+void LeaderState::onHigherFenceSeen(TimePoint now)
 {
-    mayHaveActedUntil_ = now;
+    lastLeaseEnd_ = now;
     fence_.reset();
     named_ = false;
-    namedUntil_ = {};
+    leaseUntil_ = {};
 }
 
-std::optional<OrderRight> Authority::right(TimePoint now) const
+std::optional<LeaderLease> LeaderState::lease(TimePoint now) const
 {
-    if (!named_ || !fence_ || namedUntil_ <= now || ordersFrom_ > now) {
+    if (!named_ || !fence_ || leaseUntil_ <= now || ordersAllowedAt_ > now) {
         return std::nullopt;
     }
-    return OrderRight {*fence_, namedUntil_};
+    return LeaderLease {*fence_, leaseUntil_};
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/modelcall.cpp
+++ b/libs/gateway/src/modelcall.cpp
@@ -8,21 +8,21 @@
 namespace almondridge::gateway {
 namespace {
 
-/** A prefill is given up after this many times its estimate, and the time below. */
-constexpr double SilentAfterEstimates = 3;
-constexpr Duration SilentAtLeast = millis(1'500);
-/** Until a stream that no engine would go on with is offered again: some slots are free by then. */
-constexpr Duration OfferAgainAfter = millis(200);
+/** A prefill times out after this many times its estimate, plus the time below. */
+constexpr double PrefillTimeoutEstimates = 3;
+constexpr Duration PrefillTimeoutBase = millis(1'500);
+/** Until an interrupted stream is retried when no engine took it; some slots are free by then. */
+constexpr Duration ResumeRetryDelay = millis(200);
 
 } // namespace
 
 PromptQuery ModelCall::promptQuery() const
 {
     PromptQuery query;
-    query.service_ = input_.service_;
+    query.service_ = context_.service_;
     query.prompt_ = &prompt();
     query.priority_ = priority();
-    query.inTime_ = inTimeUntil();
+    query.inTime_ = objectiveDeadline();
     query.costs_ = &costs();
     query.excluded_ = excluded_;
     query.inPlace_ = inPlaceOnly_;
@@ -37,26 +37,26 @@
         return;
     }
     PromptQuery query = promptQuery();
-    const auto generator = chooseGenerator(gateway_.settings_.domain_);
-    if (generator) {
-        query.slotWaitMillis_ = generator->waitMillis_;
+    const auto decodeChoice = chooseGenerator(gateway_.settings_.domain_);
+    if (decodeChoice) {
+        query.slotWaitMillis_ = decodeChoice->waitMillis_;
     }
     const auto plan = gateway_.placement_.planPrompt(gateway_.table_, query, now);
-    countDemand(plan ? plan->newTokens_ : prompt().ownTokens());
+    recordDemand(plan ? plan->newTokens_ : prompt().unsharedTokens());
     if (!plan) {
         giveUp("no-engine");
         return;
     }
-    if (plan->urgency_ >= LateUrgencies && generator && isRefusedBy(*generator)) {
+    if (plan->urgency_ >= LateUrgencies && decodeChoice && isDecodeQueueFull(*decodeChoice)) {
         giveUp("generators-full");
         return;
     }
-    if (!begun_ && comesTooLate(*plan, now)) {
+    if (!headSent_ && isTooLate(*plan, now)) {
         giveUp("no-time");
         return;
     }
     if (suspicion_ == Suspicion::Strong) {
-        placeAlone(*plan);
+        placeOnSingleEngine(*plan);
         return;
     }
     if (plan->prefill_ && !inPlaceOnly_) {
@@ -66,10 +66,10 @@
     }
 }
 
-/** One endpoint is at risk instead of two. */
-void ModelCall::placeAlone(PromptPlan plan)
+/** For a suspected request: puts one endpoint at risk instead of two. */
+void ModelCall::placeOnSingleEngine(PromptPlan plan)
 {
-    const auto engine = quietestEndpoint();
+    const auto engine = leastLoadedEndpoint();
     if (!engine) {
         giveUp("no-spare-engine");
         return;
@@ -78,239 +78,244 @@
     sendInPlace(plan);
 }
 
-void ModelCall::countRead(const PromptPlan &plan)
+void ModelCall::recordPrefillPlan(const PromptPlan &plan)
 {
-    readTokens_ = plan.newTokens_;
-    readEstimateMillis_ = plan.readMillis_;
+    prefillTokens_ = plan.newTokens_;
+    prefillEstimateMillis_ = plan.readMillis_;
     aheadTokens_ = plan.aheadTokens_;
     partsUnknown_ = plan.partsUnknown_;
     urgency_ = plan.urgency_;
 }
 
 /**
- * What the request asks of the engines, whatever becomes of it: also the refused ones are a reason
- * to change a stage. A stream takes a slot and its prompt's memory while it runs: whichever is
- * scarcer counts.
+ * Records the load that the request puts on the engines. Refused requests count too, since they are
+ * a reason to change an engine's stage. A stream occupies a slot and KV cache for its prompt while
+ * it runs; the scarcer of the two counts.
  */
-void ModelCall::countDemand(std::int64_t newTokens)
+void ModelCall::recordDemand(std::int64_t newTokens)
 {
     constexpr double MillisPerSecond = 1'000;
-    if (std::exchange(demandCounted_, true)) {
+    if (std::exchange(demandRecorded_, true)) {
         return;
     }
-    const ServiceTraits *service = input_.config_->service(input_.service_);
+    const ServiceTraits *service = context_.config_->service(context_.service_);
     const EngineTraits engine =
         service != nullptr && service->engine_ ? *service->engine_ : EngineTraits {};
-    const double slot = 1.0 / std::max(1, engine.slots_);
-    const double memory = engine.kvTokens_ > 0 ? static_cast<double>(prompt().tokens_)
-                                                     / static_cast<double>(engine.kvTokens_)
-                                               : 0;
-    gateway_.demand_[input_.service_].onRequest(costs().readingMillis(newTokens) / MillisPerSecond,
-                                                costs().generateMillis(route().name_)
-                                                    / MillisPerSecond * std::max(slot, memory),
-                                                BootClock::now());
+    const double slotShare = 1.0 / std::max(1, engine.slots_);
+    const double kvShare = engine.kvTokens_ > 0 ? static_cast<double>(prompt().tokens_)
+                                                      / static_cast<double>(engine.kvTokens_)
+                                                : 0;
+    gateway_.demand_[context_.service_].onRequest(
+        costs().readingMillis(newTokens) / MillisPerSecond,
+        costs().generateMillis(route().name_) / MillisPerSecond * std::max(slotShare, kvShare),
+        BootClock::now());
 }
 
-/** Tells the caller at once when to come back, and the engine reads for those that stay. */
-bool ModelCall::comesTooLate(const PromptPlan &plan, TimePoint now)
+/** Sheds the request early with Retry-After, so that engines prefill for callers that will wait. */
+bool ModelCall::isTooLate(const PromptPlan &plan, TimePoint now)
 {
-    const TimePoint leaves = callerLeavesAt(route(), input_.request_.startedAt_, deadline());
-    const auto after = returnAfterMillis(plan.readMillis_, leaves, now);
-    if (after) {
-        retryAfterMillis_ = after;
+    const TimePoint abandonedAt = callerLeavesAt(route(), context_.request_.startedAt_, deadline());
+    const auto retryAfter = returnAfterMillis(plan.readMillis_, abandonedAt, now);
+    if (retryAfter) {
+        retryAfterMillis_ = retryAfter;
     }
-    return after.has_value();
+    return retryAfter.has_value();
 }
 
-/** A late request would wait too long behind the others: its caller is told when to come back. */
-bool ModelCall::isRefusedBy(const GeneratorChoice &generator)
+/** A late request would wait too long behind the others, so it is refused with Retry-After. */
+bool ModelCall::isDecodeQueueFull(const GeneratorChoice &decodeChoice)
 {
-    if (begun_ || !generator.full_) {
+    if (headSent_ || !decodeChoice.full_) {
         return false;
     }
-    retryAfterMillis_ = static_cast<std::int64_t>(generator.lateWaitMillis_);
+    retryAfterMillis_ = static_cast<std::int64_t>(decodeChoice.lateWaitMillis_);
     return true;
 }
 
-std::optional<net::Address> ModelCall::partsSource(const PromptPlan &plan) const
+std::optional<net::Address> ModelCall::partsCopySource(const PromptPlan &plan) const
 {
     const Endpoint *source = plan.copyFrom_ ? gateway_.table_.find(*plan.copyFrom_) : nullptr;
     return source != nullptr ? std::optional(source->listed_.address_) : std::nullopt;
 }
 
 /**
- * The engine that was asked to read this prompt apart, when its answer was lost or its handle
- * lapsed: it has the memory all the same. Copied from there, a prompt of 17,000 tokens is at the
- * generating engine in some tens of milliseconds; read again there, at half the speed, it delays
- * every stream of that engine by half a second. nullopt: there is none, or it may be gone.
+ * The engine that was asked to prefill this prompt separately, if its response was lost or its
+ * handle has expired: its cache has the KV entries nevertheless. A prompt of 17,000 tokens is
+ * copied from there in some tens of milliseconds; to prefill it on the decode engine, at half the
+ * speed, would delay every stream of that engine by half a second. nullopt: there is none, or it
+ * may be gone.
  */
-std::optional<net::Address> ModelCall::readerOfThisPrompt(const EndpointId &generator) const
+std::optional<net::Address> ModelCall::prefilledCopySource(const EndpointId &decodeEngine) const
 {
-    const Endpoint *reader = gateway_.table_.find(prefillEngine_);
-    const bool mayHaveIt = reader != nullptr && reader->listedNow_ && !reader->awaitsTest_
-                           && reader->lifetime_ == prefillLifetime_ && prefillEngine_ != generator;
-    return mayHaveIt ? std::optional(reader->listed_.address_) : std::nullopt;
+    const Endpoint *prefillEngine = gateway_.table_.find(prefillEngine_);
+    const bool mayHavePrompt =
+        prefillEngine != nullptr && prefillEngine->listedNow_ && !prefillEngine->awaitsTest_
+        && prefillEngine->lifetime_ == prefillLifetime_ && prefillEngine_ != decodeEngine;
+    return mayHavePrompt ? std::optional(prefillEngine->listed_.address_) : std::nullopt;
 }
 
 void ModelCall::sendPrefill(const PromptPlan &plan)
 {
     phase_ = ModelPhase::Prefilling;
-    countRead(plan);
+    recordPrefillPlan(plan);
     prefillEngine_ = *plan.prefill_;
-    const Endpoint &reader = *gateway_.table_.find(prefillEngine_);
-    prefillLifetime_ = reader.lifetime_;
-    prefillDomain_ = reader.listed_.domain_;
-    gateway_.placement_.onPromptRead(reader.listed_, prompt(), BootClock::now());
-    SendOrder order;
-    order.urgency_ = plan.urgency_;
-    order.prefillOnly_ = true;
-    order.copyPartsFrom_ = partsSource(plan);
-    send(prefillEngine_, order, plan.newTokens_);
-    const Duration patience =
-        SilentAtLeast + millis(static_cast<std::int64_t>(SilentAfterEstimates * plan.readMillis_));
-    watchSilence(BootClock::now() + patience);
+    const Endpoint &prefillEngine = *gateway_.table_.find(prefillEngine_);
+    prefillLifetime_ = prefillEngine.lifetime_;
+    prefillDomain_ = prefillEngine.listed_.domain_;
+    gateway_.placement_.onPromptRead(prefillEngine.listed_, prompt(), BootClock::now());
+    DispatchOptions options;
+    options.urgency_ = plan.urgency_;
+    options.prefillOnly_ = true;
+    options.copyPartsFrom_ = partsCopySource(plan);
+    send(prefillEngine_, options, plan.newTokens_);
+    const Duration timeout =
+        PrefillTimeoutBase
+        + millis(static_cast<std::int64_t>(PrefillTimeoutEstimates * plan.readMillis_));
+    startAttemptTimer(BootClock::now() + timeout);
 }
 
 void ModelCall::sendInPlace(const PromptPlan &plan)
 {
     phase_ = ModelPhase::Waiting;
     ++runs_;
-    countRead(plan);
+    recordPrefillPlan(plan);
     gateway_.placement_.onPromptRead(gateway_.table_.find(plan.decode_)->listed_, prompt(),
                                      BootClock::now());
-    fetches_ = false;
-    SendOrder order;
-    order.urgency_ = plan.urgency_;
-    order.resumeAfter_ = events_.lastId();
-    const auto reader = readerOfThisPrompt(plan.decode_);
-    order.copyPartsFrom_ = reader ? reader : partsSource(plan);
-    send(plan.decode_, order, plan.newTokens_);
-    watchStream();
+    fetchesPrompt_ = false;
+    DispatchOptions options;
+    options.urgency_ = plan.urgency_;
+    options.resumeAfter_ = events_.lastEventId();
+    const auto prefilled = prefilledCopySource(plan.decode_);
+    options.copyPartsFrom_ = prefilled ? prefilled : partsCopySource(plan);
+    send(plan.decode_, options, plan.newTokens_);
+    startStallTimer();
 }
 
-void ModelCall::attemptEnd()
+void ModelCall::onAttemptEnd()
 {
     if (phase_ == ModelPhase::Prefilling) {
-        prefillEnded();
+        onPrefillEnd();
         return;
     }
-    if (attempt_.facts_.notRun_) {
+    if (attempt_.responseInfo_.notRun_) {
         --runs_;
-        notRun();
+        onNotRun();
         return;
     }
     mayHaveRun_ = true;
     if (isStream()) {
-        streamEnded();
+        onStreamEnd();
         return;
     }
     const Evidence evidence =
         attempt_.head_.status_ >= 500 ? Evidence::ServerError : Evidence::Sound;
-    if (evidence == Evidence::ServerError && mayRunAgain()) {
-        leaveEndpoint(evidence);
+    if (evidence == Evidence::ServerError && acquireRerun()) {
+        excludeEndpoint(evidence);
         sendResume();
         return;
     }
     closeAttempt(evidence);
-    if (begun_) {
+    if (headSent_) {
         giveUp("not-resumed");
         return;
     }
-    passOn();
+    forwardResponse();
 }
 
-void ModelCall::prefillEnded()
+void ModelCall::onPrefillEnd()
 {
     const std::string handle = attempt_.head_.status_ == 200
-                                   ? gateway_.dialect_.readHandle(attempt_.body_)
+                                   ? gateway_.dialect_.parsePromptHandle(attempt_.body_)
                                    : std::string();
     if (handle.empty()) {
-        retryAfterMillis_ = attempt_.facts_.retryAfterMillis_;
-        attempt_.facts_.notRun_ ? prefillRefused() : prefillFailed(Evidence::ServerError);
+        retryAfterMillis_ = attempt_.responseInfo_.retryAfterMillis_;
+        attempt_.responseInfo_.notRun_ ? onPrefillRefused()
+                                       : onPrefillFailed(Evidence::ServerError);
         return;
     }
     const Endpoint *engine = gateway_.table_.find(attempt_.endpoint_);
-    readAt_ = BootClock::now();
+    prefilledAt_ = BootClock::now();
     handle_ = PromptHandle {engine->listed_.address_, handle};
-    const auto tookMillis = static_cast<double>(toMillis(readAt_ - attempt_.sentAt_));
+    const auto tookMillis = static_cast<double>(toMillis(prefilledAt_ - attempt_.sentAt_));
     if (partsUnknown_) {
         gateway_.placement_.onUnknownRead(costs(), *engine, prompt(), aheadTokens_, tookMillis);
     } else {
         if (aheadTokens_ == 0) {
-            costs().onReadAlone(readTokens_, tookMillis);
+            costs().onReadAlone(prefillTokens_, tookMillis);
         }
         gateway_.table_.onReadTime(attempt_.endpoint_,
-                                   costs().readMillis(aheadTokens_ + readTokens_), tookMillis);
+                                   costs().readMillis(aheadTokens_ + prefillTokens_), tookMillis);
     }
     closeAttempt(Evidence::Sound);
     sendToDecode();
 }
 
-/** The engine read nothing and says so: another one that reads takes the prompt. */
-void ModelCall::prefillRefused()
+/** The engine reported that it didn't prefill, so another prefill engine is tried. */
+void ModelCall::onPrefillRefused()
 {
     logNotRun();
-    leaveEndpoint(refusalEvidence());
-    maySendAgain() ? place() : giveUp("prefill-refused");
+    excludeEndpoint(refusalSignal());
+    acquireRetry() ? place() : giveUp("prefill-refused");
 }
 
 /**
- * The prompt may have been read, but not for us: it is read where it is generated, as a second
- * reading apart could count as another run of the request.
+ * The prompt may have been prefilled, but there is no handle for it. From now on the decode engine
+ * prefills, as a second separate prefill could count as another execution of the request.
  */
-void ModelCall::prefillFailed(Evidence evidence)
+void ModelCall::onPrefillFailed(Evidence evidence)
 {
-    leaveEndpoint(evidence);
+    excludeEndpoint(evidence);
     inPlaceOnly_ = true;
-    maySendAgain() ? place() : giveUp("prefill-failed");
+    acquireRetry() ? place() : giveUp("prefill-failed");
 }
 
-void ModelCall::attemptFailed(async::ExchangeFailure failure)
+void ModelCall::onAttemptFailed(async::ExchangeFailure failure)
 {
     if (failure == async::ExchangeFailure::NotSent) {
-        neverArrived();
+        onNotSent();
         return;
     }
     if (phase_ == ModelPhase::Prefilling) {
-        prefillFailed(Evidence::Broken);
+        onPrefillFailed(Evidence::Broken);
         return;
     }
-    streamBroke(failure, Evidence::Broken);
+    onStreamBroken(failure, Evidence::Broken);
 }
 
 /**
- * No connection could be made, so the engine knows nothing of the request. Another one of the
- * same stage takes it: prompts that are read on generating engines instead go at half the speed
- * and delay every stream there.
+ * No connection could be made, so the engine hasn't seen the request, and another one of the same
+ * stage is tried. A prefill on a decode engine instead would run at half the speed and delay every
+ * stream there.
  */
-void ModelCall::neverArrived()
+void ModelCall::onNotSent()
 {
     const bool wasPrefill = phase_ == ModelPhase::Prefilling;
     runs_ -= wasPrefill ? 0 : 1;
-    leaveEndpoint(Evidence::Unreachable);
-    if (!mayTryAnother()) {
+    excludeEndpoint(Evidence::Unreachable);
+    if (!canTryAnotherEndpoint()) {
         giveUp("engine-unreachable");
         return;
     }
-    wasPrefill ? place() : goOn();
+    wasPrefill ? place() : continueElsewhere();
 }
 
 /**
- * Ends the request without a whole answer. Once events went to the caller only a cut tells that
- * no more will come: a refusal would stand in the middle of the stream.
+ * Ends the request without a complete response, or schedules a retry of an interrupted stream. Once
+ * events were sent to the caller, the connection is aborted, since an error response would appear
+ * within the stream.
  */
 void ModelCall::giveUp(std::string_view cause)
 {
-    abandonEndpoints();
+    releaseEndpointState();
     cancelAttempt(std::nullopt);
-    if (cause != DeadlineCause && cause != KeyWithdrawnCause && mayOfferAgain()) {
+    if (cause != DeadlineCause && cause != KeyWithdrawnCause && canRetryLater()) {
         phase_ = ModelPhase::Idle;
         excluded_.clear();
-        watchSilence(BootClock::now() + OfferAgainAfter);
+        startAttemptTimer(BootClock::now() + ResumeRetryDelay);
         return;
     }
-    if (begun_) {
-        gateway_.server_.abort(input_.request_.id_);
+    if (headSent_) {
+        gateway_.server_.abort(context_.request_.id_);
         finish(Outcome::Failed, 0, cause);
     } else if (mayHaveRun_) {
         failCall(502, cause);
@@ -320,58 +325,58 @@
 }
 
 /**
- * A stream that its caller has the beginning of is worth nothing if it is cut: until its deadline
- * another engine may have room, or the allowance.
+ * A partly delivered stream would be wasted if it were aborted, so it is retried until its
+ * deadline: an engine may get a free slot, or the retry budget may allow another attempt.
  */
-bool ModelCall::mayOfferAgain() const
+bool ModelCall::canRetryLater() const
 {
-    return begun_ && route().resumable_ && runs_ < route().maxAttempts_ && !isQuarantined()
-           && BootClock::now() + OfferAgainAfter < deadline();
+    return headSent_ && route().resumable_ && runs_ < route().maxAttempts_ && !isQuarantined()
+           && BootClock::now() + ResumeRetryDelay < deadline();
 }
 
-void ModelCall::attemptSilent()
+void ModelCall::onAttemptTimeout()
 {
     if (phase_ == ModelPhase::Prefilling) {
-        trail_ += ":silent";
-        prefillFailed(Evidence::Silent);
+        endpointTrace_ += ":silent";
+        onPrefillFailed(Evidence::Silent);
         return;
     }
     if (phase_ == ModelPhase::Idle) {
-        maySendAgain() ? sendResume() : giveUp("no-allowance");
+        acquireRetry() ? sendResume() : giveUp("no-allowance");
         return;
     }
-    takeOver();
+    onStreamStalled();
 }
 
-void ModelCall::deadlinePassed()
+void ModelCall::onDeadline()
 {
-    if (!begun_) {
-        Call::deadlinePassed();
+    if (!headSent_) {
+        Call::onDeadline();
         return;
     }
     giveUp(DeadlineCause);
 }
 
-void ModelCall::abandonEndpoints()
+void ModelCall::releaseEndpointState()
 {
     if (!handle_) {
         return;
     }
-    // Nobody will fetch it; until it lapses it would take memory from other prompts.
+    // No engine will fetch the prompt; until it expires it would occupy KV cache.
     async::ExchangeRequest request;
     request.peer_ = prefillEngine_.value();
     request.address_ = handle_->source_;
-    request.text_ = gateway_.dialect_.dropHandleText(handle_->source_, handle_->handle_);
-    request.connectBy_ = BootClock::now() + millis(gateway_.settings_.connectMillis_);
+    request.text_ = gateway_.dialect_.serializeHandleRelease(handle_->source_, handle_->handle_);
+    request.connectBy_ = BootClock::now() + millis(gateway_.settings_.connectTimeoutMillis_);
     handle_.reset();
-    // Whatever comes of it: the handle lapses by itself.
+    // The result doesn't matter, since the handle expires by itself.
     gateway_.client_.start(std::move(request),
                            async::gatherAnswer([](const async::ExchangeResult &) {}));
 }
 
-std::unique_ptr<Call> makeModelCall(GatewayState &gateway, CallInput input)
+std::unique_ptr<Call> makeModelCall(GatewayState &gateway, CallContext context)
 {
-    return std::make_unique<ModelCall>(gateway, std::move(input));
+    return std::make_unique<ModelCall>(gateway, std::move(context));
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/modelcall.h
+++ b/libs/gateway/src/modelcall.h
@@ -1,6 +1,6 @@
 /**
- * A request to a model: one engine reads its prompt, the same or another one generates. Placing and
- * reading stand in modelcall.cpp, what comes of a stream in modelstream.cpp.
+ * A request to a model: one engine prefills the prompt, the same or another one decodes. Placement
+ * and prefill are in modelcall.cpp, decoding and the response stream in modelstream.cpp.
  */
 #pragma once
 
@@ -9,14 +9,14 @@
 
 namespace almondridge::gateway {
 
-/** The cause of a request that ended at its deadline. */
+/** Cause in the log and the response if the request ended at its deadline. */
 inline constexpr std::string_view DeadlineCause = "deadline";
 
 enum class ModelPhase {
-    Idle,       ///< Nothing is sent; a begun stream waits to be offered again.
-    Prefilling, ///< One engine reads the prompt.
-    Waiting,    ///< Sent to the engine that generates; no event came yet.
-    Streaming,  ///< Events are passed on.
+    Idle,       ///< No attempt; an interrupted stream may be waiting to be resumed.
+    Prefilling, ///< An engine prefills the prompt for another one.
+    Waiting,    ///< Sent to the engine that decodes; no event received yet.
+    Streaming,  ///< Events are forwarded to the caller.
 };
 
 class ModelCall final : public Call
@@ -29,61 +29,61 @@
 private:
     void start() override { place(); }
     void place();
-    void placeAlone(PromptPlan plan);
+    void placeOnSingleEngine(PromptPlan plan);
     PromptQuery promptQuery() const;
-    bool comesTooLate(const PromptPlan &plan, TimePoint now);
-    bool isRefusedBy(const GeneratorChoice &generator);
+    bool isTooLate(const PromptPlan &plan, TimePoint now);
+    bool isDecodeQueueFull(const GeneratorChoice &decodeChoice);
     void sendPrefill(const PromptPlan &plan);
-    std::optional<net::Address> partsSource(const PromptPlan &plan) const;
-    std::optional<net::Address> readerOfThisPrompt(const EndpointId &generator) const;
+    std::optional<net::Address> partsCopySource(const PromptPlan &plan) const;
+    std::optional<net::Address> prefilledCopySource(const EndpointId &decodeEngine) const;
     void sendInPlace(const PromptPlan &plan);
     void sendToDecode();
-    TimePoint inTimeUntil() const;
+    TimePoint objectiveDeadline() const;
     std::optional<GeneratorChoice> chooseGenerator(const DomainId &source) const;
     void sendResume();
-    void goOn();
-    bool engineIsGone() const;
-    bool readerRestarted() const;
-    void takeOver();
-    bool mayOfferAgain() const;
-    void attemptHead() override;
-    void attemptBody(std::string bytes) override;
-    void attemptEnd() override;
-    void attemptFailed(async::ExchangeFailure failure) override;
-    void attemptSilent() override;
-    void deadlinePassed() override;
-    void abandonEndpoints() override;
+    void continueElsewhere();
+    bool isEngineGone() const;
+    bool hasPrefillEngineRestarted() const;
+    void onStreamStalled();
+    bool canRetryLater() const;
+    void onAttemptHead() override;
+    void onAttemptBody(std::string bytes) override;
+    void onAttemptEnd() override;
+    void onAttemptFailed(async::ExchangeFailure failure) override;
+    void onAttemptTimeout() override;
+    void onDeadline() override;
+    void releaseEndpointState() override;
 
-    void prefillEnded();
-    void prefillRefused();
-    void prefillFailed(Evidence evidence);
-    void neverArrived();
-    void notRun();
-    void streamEnded();
-    void streamBroke(async::ExchangeFailure failure, Evidence evidence);
-    void countRead(const PromptPlan &plan);
-    void countDemand(std::int64_t newTokens);
-    void passEvents(std::string_view events);
+    void onPrefillEnd();
+    void onPrefillRefused();
+    void onPrefillFailed(Evidence evidence);
+    void onNotSent();
+    void onNotRun();
+    void onStreamEnd();
+    void onStreamBroken(async::ExchangeFailure failure, Evidence evidence);
+    void recordPrefillPlan(const PromptPlan &plan);
+    void recordDemand(std::int64_t newTokens);
+    void forwardEvents(std::string_view events);
     void giveUp(std::string_view cause);
-    void watchStream();
+    void startStallTimer();
     bool isStream() const;
-    const Prompt &prompt() const { return *facts().prompt_; }
-    RequestCosts &costs() const { return gateway_.costs_[input_.service_]; }
+    const Prompt &prompt() const { return *requestInfo().prompt_; }
+    RequestCosts &costs() const { return gateway_.costs_[context_.service_]; }
 
     ModelPhase phase_ = ModelPhase::Idle;
-    std::optional<PromptHandle> handle_; ///< Read, and not fetched by an engine as far as we know.
-    EndpointId prefillEngine_;
+    std::optional<PromptHandle> handle_; ///< Prefilled, and not known to have been fetched.
+    EndpointId prefillEngine_;           ///< The last engine asked for a separate prefill.
     std::uint64_t prefillLifetime_ = 0;
-    DomainId prefillDomain_;
+    DomainId prefillDomain_; ///< Failure domain of prefillEngine_.
     EventSplitter events_;
-    std::int64_t aheadTokens_ = 0; ///< Read before this prompt, where it is read.
-    bool partsUnknown_ = false;    ///< Whether its shared parts were cached there was a guess.
-    bool fetches_ = false;         ///< The attempt is to fetch the prompt that was read elsewhere.
-    bool inPlaceOnly_ = false;
-    bool demandCounted_ = false;
-    bool silent_ = false; ///< The attempt's engine has said nothing for longer than it should.
-    bool begun_ = false;  ///< The answer's head went to the caller.
-    bool paused_ = false; ///< The engine is not read, as the caller is slow.
+    std::int64_t aheadTokens_ = 0; ///< Queued before this prompt at the engine that prefills.
+    bool partsUnknown_ = false;    ///< Whether that engine had the shared parts cached was a guess.
+    bool fetchesPrompt_ = false;   ///< The attempt fetches a prompt that another engine prefilled.
+    bool inPlaceOnly_ = false;     ///< The engine that decodes must also prefill.
+    bool demandRecorded_ = false;
+    bool stalled_ = false;  ///< The attempt's engine has sent nothing for too long.
+    bool headSent_ = false; ///< The head of the response was sent to the caller.
+    bool paused_ = false;   ///< Reading from the engine is paused for a slow caller.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/modelstream.cpp
+++ b/libs/gateway/src/modelstream.cpp
@@ -6,12 +6,12 @@
 namespace almondridge::gateway {
 namespace {
 
-/** Bytes of a stream that wait for a slow caller before the engine is no longer read. */
-constexpr std::size_t MaxUnwritten = 131'072;
-/** A stream that may be resumed counts as silent after this many times its longest pause. */
-constexpr int StalledAfterGaps = 4;
-/** Between two looks whether a silent stream's engine is gone, or another one has room. */
-constexpr Duration TakeoverInterval = millis(100);
+/** Bytes buffered for a slow caller before reading from the engine is paused. */
+constexpr std::size_t MaxUnwrittenBytes = 131'072;
+/** A resumable stream counts as stalled after this many times its target pause. */
+constexpr int StallGapMultiple = 4;
+/** Between two checks whether a stalled stream's engine is gone, or another one has capacity. */
+constexpr Duration StallCheckInterval = millis(100);
 
 } // namespace
 
@@ -33,33 +33,33 @@
         return;
     }
     if (suspicion_ == Suspicion::Weak) {
-        choice->engine_ = quietestEndpoint().value_or(choice->engine_);
+        choice->engine_ = leastLoadedEndpoint().value_or(choice->engine_);
     }
     const auto wait = millis(static_cast<std::int64_t>(choice->waitMillis_));
-    const bool late = now + wait > inTimeUntil();
-    if (late && isRefusedBy(*choice)) {
+    const bool late = now + wait > objectiveDeadline();
+    if (late && isDecodeQueueFull(*choice)) {
         giveUp("generators-full");
         return;
     }
     phase_ = ModelPhase::Waiting;
     ++runs_;
-    SendOrder order;
-    order.urgency_ = std::clamp(priority(), 0, LateUrgencies - 1) + (late ? LateUrgencies : 0);
-    order.prompt_ = handle_;
-    fetches_ = true;
-    send(choice->engine_, order, Placement::handoverTokens(prompt()));
-    watchStream();
+    DispatchOptions options;
+    options.urgency_ = std::clamp(priority(), 0, LateUrgencies - 1) + (late ? LateUrgencies : 0);
+    options.prompt_ = handle_;
+    fetchesPrompt_ = true;
+    send(choice->engine_, options, Placement::handoverTokens(prompt()));
+    startStallTimer();
 }
 
-TimePoint ModelCall::inTimeUntil() const
+TimePoint ModelCall::objectiveDeadline() const
 {
-    return input_.request_.startedAt_ + millis(route().objectiveMillis_);
+    return context_.request_.startedAt_ + millis(route().objectiveMillis_);
 }
 
 std::optional<GeneratorChoice> ModelCall::chooseGenerator(const DomainId &source) const
 {
     GeneratorQuery query;
-    query.service_ = input_.service_;
+    query.service_ = context_.service_;
     query.source_ = source;
     query.excluded_ = excluded_;
     query.costs_ = &costs();
@@ -67,142 +67,143 @@
                                                BootClock::now());
 }
 
-/** Goes on at another engine after the last event that the caller got. */
+/** Resumes the stream at another engine, after the last event that was sent to the caller. */
 void ModelCall::sendResume()
 {
-    events_.dropRest();
+    events_.discardPartialEvent();
     inPlaceOnly_ = true;
     place();
 }
 
-/** Only streams that may be resumed are watched: the others can only be waited for. */
-void ModelCall::watchStream()
+/** Only resumable streams are checked for stalls, since the others can't be moved. */
+void ModelCall::startStallTimer()
 {
-    silent_ = false;
+    stalled_ = false;
     if (!route().resumable_ || runs_ >= route().maxAttempts_) {
         return;
     }
     const std::int64_t gap = phase_ == ModelPhase::Streaming
-                                 ? StalledAfterGaps * route().gapObjectiveMillis_
+                                 ? StallGapMultiple * route().gapObjectiveMillis_
                                  : 2 * route().objectiveMillis_;
-    watchSilence(BootClock::now() + millis(gap));
+    startAttemptTimer(BootClock::now() + millis(gap));
 }
 
-void ModelCall::attemptHead()
+void ModelCall::onAttemptHead()
 {
     if (phase_ != ModelPhase::Waiting) {
         return;
     }
-    if (!attempt_.facts_.misdirected_) {
-        // The engine took the request as its own, and a handle can be fetched only once.
+    if (!attempt_.responseInfo_.misdirected_) {
+        // The engine accepted the request, and a handle can be fetched only once.
         handle_.reset();
     }
     if (isStream()) {
-        promptWasRead();
+        markPromptPrefilled();
     }
 }
 
-void ModelCall::attemptBody(std::string bytes)
+void ModelCall::onAttemptBody(std::string bytes)
 {
     if (phase_ == ModelPhase::Prefilling || !isStream()) {
         attempt_.body_ += bytes;
         return;
     }
-    const std::string whole = events_.feed(bytes);
-    if (!whole.empty()) {
-        passEvents(whole);
+    const std::string complete = events_.feed(bytes);
+    if (!complete.empty()) {
+        forwardEvents(complete);
     }
 }
 
-void ModelCall::passEvents(std::string_view events)
+void ModelCall::forwardEvents(std::string_view events)
 {
     phase_ = ModelPhase::Streaming;
-    countBegan(BootClock::now());
-    if (!begun_) {
-        begun_ = true;
-        mostSends_ = std::numeric_limits<int>::max(); // Bounded by the pause between two offers.
+    reportExecutionStart(BootClock::now());
+    if (!headSent_) {
+        headSent_ = true;
+        maxSends_ = std::numeric_limits<int>::max(); // Bounded by ResumeRetryDelay.
         firstByteAt_ = BootClock::now();
-        gateway_.server_.beginStream(input_.request_.id_,
+        gateway_.server_.beginStream(context_.request_.id_,
                                      {attempt_.head_.status_, attempt_.head_.reason_,
                                       gateway_.dialect_.callerHeaders(attempt_.head_.headers_)});
     }
-    gateway_.server_.streamBytes(input_.request_.id_, events);
-    if (gateway_.server_.unwritten(input_.request_.id_) > MaxUnwritten && !paused_) {
+    gateway_.server_.streamBytes(context_.request_.id_, events);
+    if (gateway_.server_.unwritten(context_.request_.id_) > MaxUnwrittenBytes && !paused_) {
         paused_ = true;
-        stopWatching();
+        stopAttemptTimer();
         gateway_.client_.pause(attempt_.exchange_);
         return;
     }
-    watchStream();
+    startStallTimer();
 }
 
 void ModelCall::onWritten()
 {
     if (paused_) {
         paused_ = false;
-        watchStream();
+        startStallTimer();
         gateway_.client_.resume(attempt_.exchange_);
     }
 }
 
-/** The engine promises that it did not run the request: the handle may be gone, or it is full. */
-void ModelCall::notRun()
+/** The engine asserts that it didn't execute the request: the handle has expired, or it is full. */
+void ModelCall::onNotRun()
 {
-    retryAfterMillis_ = attempt_.facts_.retryAfterMillis_;
+    retryAfterMillis_ = attempt_.responseInfo_.retryAfterMillis_;
     logNotRun();
-    const Evidence evidence = refusalEvidence();
-    if (fetches_ && !attempt_.facts_.misdirected_ && evidence == Evidence::Unwilling) {
-        // It has room: the memory was not there any more, or could not be moved in time. Blamed
-        // alone, sound engines were left out for the lapsed handles of others.
+    const Evidence evidence = refusalSignal();
+    if (fetchesPrompt_ && !attempt_.responseInfo_.misdirected_ && evidence == Evidence::Unwilling) {
+        // The engine has capacity, so the prompt had expired or couldn't be transferred in time.
+        // When only this engine was blamed, healthy engines were excluded for expired handles of
+        // others.
         gateway_.table_.onHandoverRefused(prefillEngine_, attempt_.endpoint_, BootClock::now());
-        leaveEndpoint(std::nullopt);
+        excludeEndpoint(std::nullopt);
     } else {
-        leaveEndpoint(evidence);
+        excludeEndpoint(evidence);
     }
-    maySendAgain() ? goOn() : giveUp("engine-full");
+    acquireRetry() ? continueElsewhere() : giveUp("engine-full");
 }
 
-/** At another engine: with the prompt as it was read, if no engine has fetched it. */
-void ModelCall::goOn()
+/** Continues at another engine, with the prefilled prompt unless an engine has fetched it. */
+void ModelCall::continueElsewhere()
 {
-    if (readerRestarted()) {
-        handle_.reset(); // Gone with all that the engine held.
+    if (hasPrefillEngineRestarted()) {
+        handle_.reset(); // A restart loses the engine's KV cache.
     }
     handle_ ? sendToDecode() : sendResume();
 }
 
-bool ModelCall::readerRestarted() const
+bool ModelCall::hasPrefillEngineRestarted() const
 {
-    const Endpoint *reader = gateway_.table_.find(prefillEngine_);
-    return handle_ && reader != nullptr && reader->lifetime_ != prefillLifetime_;
+    const Endpoint *prefillEngine = gateway_.table_.find(prefillEngine_);
+    return handle_ && prefillEngine != nullptr && prefillEngine->lifetime_ != prefillLifetime_;
 }
 
-void ModelCall::streamEnded()
+void ModelCall::onStreamEnd()
 {
-    if (!attempt_.facts_.signed_ && !begun_) {
-        streamBroke(async::ExchangeFailure::Garbled, Evidence::Broken);
+    if (!attempt_.responseInfo_.signed_ && !headSent_) {
+        onStreamBroken(async::ExchangeFailure::Garbled, Evidence::Broken);
         return;
     }
-    const std::string rest = events_.rest();
-    if (!begun_ || !rest.empty()) {
-        passEvents(rest);
+    const std::string partialEvent = events_.partialEvent();
+    if (!headSent_ || !partialEvent.empty()) {
+        forwardEvents(partialEvent);
     }
     if (firstByteAt_ >= attempt_.sentAt_) {
         costs().onGenerated(route().name_,
                             static_cast<double>(toMillis(BootClock::now() - firstByteAt_)));
     }
     closeAttempt(Evidence::Sound);
-    gateway_.server_.endStream(input_.request_.id_);
+    gateway_.server_.endStream(context_.request_.id_);
     finish(Outcome::Answered, 200, "");
 }
 
-void ModelCall::streamBroke(async::ExchangeFailure failure, Evidence evidence)
+void ModelCall::onStreamBroken(async::ExchangeFailure failure, Evidence evidence)
 {
     mayHaveRun_ = true;
-    countBegan(BootClock::now());
-    leaveEndpoint(evidence);
-    if (mayRunAgain()) {
-        abandonEndpoints(); // Whether the handle was fetched is not known: it is not used again.
+    reportExecutionStart(BootClock::now());
+    excludeEndpoint(evidence);
+    if (acquireRerun()) {
+        releaseEndpointState(); // The handle isn't used again, as it may have been fetched.
         sendResume();
         return;
     }
@@ -210,35 +211,36 @@
 }
 
 /**
- * An engine that is crowded puts requests back and says nothing meanwhile, and so does one that
- * hangs. A stream that is taken away from the first and refused by the others is lost, though it
- * would have gone on: it is left for evidence that its engine is gone, or for one with room.
+ * Handles a stall. An overloaded engine preempts requests and sends nothing meanwhile, which looks
+ * the same as a hang. A stream that is moved away from an overloaded engine and refused by the
+ * others is lost, though it would have continued. So it is moved only if its engine is known to be
+ * gone, or if another engine has capacity.
  */
-void ModelCall::takeOver()
+void ModelCall::onStreamStalled()
 {
     const TimePoint now = BootClock::now();
-    if (!silent_) {
-        silent_ = true;
-        trail_ += ":silent";
+    if (!stalled_) {
+        stalled_ = true;
+        endpointTrace_ += ":silent";
         gateway_.table_.onSuspected(attempt_.endpoint_, now);
     }
-    std::vector<EndpointId> others = excluded_;
-    others.push_back(attempt_.endpoint_);
-    const bool leave =
-        engineIsGone()
-        || gateway_.placement_.someGeneratorHasRoom(gateway_.table_, input_.service_, others, now);
-    if (!leave || !mayRunAgain()) {
-        watchSilence(now + TakeoverInterval);
+    std::vector<EndpointId> excluded = excluded_;
+    excluded.push_back(attempt_.endpoint_);
+    const bool shouldMove = isEngineGone()
+                            || gateway_.placement_.someGeneratorHasRoom(
+                                gateway_.table_, context_.service_, excluded, now);
+    if (!shouldMove || !acquireRerun()) {
+        startAttemptTimer(now + StallCheckInterval);
         return;
     }
     mayHaveRun_ = true;
-    noteBreak();
-    leaveEndpoint(Evidence::Silent);
-    abandonEndpoints();
+    checkForCrash();
+    excludeEndpoint(Evidence::Silent);
+    releaseEndpointState();
     sendResume();
 }
 
-bool ModelCall::engineIsGone() const
+bool ModelCall::isEngineGone() const
 {
     const Endpoint *engine = gateway_.table_.find(attempt_.endpoint_);
     return engine == nullptr || !engine->listedNow_ || engine->failedTests_ > 0
--- a/libs/gateway/src/placement.cpp
+++ b/libs/gateway/src/placement.cpp
@@ -143,7 +143,7 @@
 {
     const Prompt &prompt = *query.prompt_;
     std::int64_t cached = memory_.cachedTokens(engine.listed_, prompt);
-    const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
+    const std::int64_t shared = prompt.tokens_ - prompt.unsharedTokens();
     Offer offer;
     offer.engine_ = &engine;
     if (mayHold && cached < shared) {
@@ -167,7 +167,7 @@
     offer.aheadTokens_ = engine.queuedByAll(counted);
     offer.millis_ = query.costs_->readMillis(0)
                     + perToken * static_cast<double>(offer.aheadTokens_ + offer.newTokens_);
-    const std::int64_t again = offer.newTokens_ - query.prompt_->ownTokens();
+    const std::int64_t again = offer.newTokens_ - query.prompt_->unsharedTokens();
     offer.cost_ =
         offer.millis_
         + ReadAgainWeight * perToken * static_cast<double>(std::max<std::int64_t>(0, again));
@@ -277,7 +277,7 @@
     constexpr Duration ReadBy = millis(1'500);
     // Fewer tokens are read about as fast as a copy is set up.
     constexpr std::int64_t LeastTokens = 1'000;
-    const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
+    const std::int64_t shared = prompt.tokens_ - prompt.unsharedTokens();
     const std::int64_t least = memory_.cachedTokens(reader.listed_, prompt) + LeastTokens;
     if (least >= shared) {
         return nullptr; // Most prompts: their shared parts are there, or are short.
@@ -443,12 +443,12 @@
 void Placement::onUnknownRead(const RequestCosts &costs, const Endpoint &engine,
                               const Prompt &prompt, std::int64_t aheadTokens, double milliseconds)
 {
-    const auto shared = static_cast<double>(prompt.tokens_ - prompt.ownTokens());
+    const auto shared = static_cast<double>(prompt.tokens_ - prompt.unsharedTokens());
     if (shared < LeastTellingTokens) {
         return;
     }
     const double read = (milliseconds - costs.readMillis(0)) / millisPerToken(costs, engine)
-                        - static_cast<double>(aheadTokens + prompt.ownTokens());
+                        - static_cast<double>(aheadTokens + prompt.unsharedTokens());
     const double cached = read < shared / 2 ? 1 : 0;
     unknownCached_ += UnknownWeight * (cached - unknownCached_);
 }
--- a/libs/gateway/src/servicecall.cpp
+++ b/libs/gateway/src/servicecall.cpp
@@ -3,8 +3,8 @@
 namespace almondridge::gateway {
 namespace {
 
-/** An endpoint without an answer after this many times the objective is taken for hung. */
-constexpr int SilentAfterObjectives = 2;
+/** An attempt times out after this many times the route's latency objective. */
+constexpr int TimeoutObjectives = 2;
 
 class ServiceCall final : public Call
 {
@@ -13,28 +13,28 @@
 
 private:
     void start() override { sendNext(); }
-    /** Nothing has told that it did not run what it was sent. */
-    void abandonEndpoints() override { countUnanswered(); }
-    void countUnanswered();
+    /** An attempt without a response counts as executed, as nothing shows otherwise. */
+    void releaseEndpointState() override { reportUnansweredStart(); }
+    void reportUnansweredStart();
     void sendNext();
-    void attemptEnd() override;
-    void attemptFailed(async::ExchangeFailure failure) override;
-    void attemptSilent() override;
+    void onAttemptEnd() override;
+    void onAttemptFailed(async::ExchangeFailure failure) override;
+    void onAttemptTimeout() override;
     void giveUp();
-    /** 502 where the request may have run, a refusal where it did not. */
-    void endUnserved(std::string_view cause);
+    /** Fails with 502 if the request may have been executed, and refuses it otherwise. */
+    void endUnanswered(std::string_view cause);
 };
 
 void ServiceCall::sendNext()
 {
     if (!isKeyValid()) {
-        endUnserved(KeyWithdrawnCause);
+        endUnanswered(KeyWithdrawnCause);
         return;
     }
     const auto endpoint =
         suspicion_ == Suspicion::None ? gateway_.placement_.chooseService(
-            gateway_.table_, input_.service_, excluded_, gateway_.random_(), BootClock::now())
-                                      : quietestEndpoint();
+            gateway_.table_, context_.service_, excluded_, gateway_.random_(), BootClock::now())
+                                      : leastLoadedEndpoint();
     if (!endpoint) {
         giveUp();
         return;
@@ -42,16 +42,16 @@
     ++runs_;
     send(*endpoint, {}, 0);
     if (route().idempotent() && runs_ < route().maxAttempts_) {
-        watchSilence(BootClock::now() + millis(SilentAfterObjectives * route().objectiveMillis_));
+        startAttemptTimer(BootClock::now() + millis(TimeoutObjectives * route().objectiveMillis_));
     }
 }
 
 void ServiceCall::giveUp()
 {
-    endUnserved(mayHaveRun_ ? "no-endpoint-left" : "no-endpoint");
+    endUnanswered(mayHaveRun_ ? "no-endpoint-left" : "no-endpoint");
 }
 
-void ServiceCall::endUnserved(std::string_view cause)
+void ServiceCall::endUnanswered(std::string_view cause)
 {
     if (mayHaveRun_) {
         failCall(502, cause);
@@ -60,74 +60,74 @@
     }
 }
 
-void ServiceCall::countUnanswered()
+void ServiceCall::reportUnansweredStart()
 {
     if (attempt_.exchange_ != 0) {
-        countBegan(attempt_.sentAt_);
+        reportExecutionStart(attempt_.sentAt_);
     }
 }
 
-void ServiceCall::attemptEnd()
+void ServiceCall::onAttemptEnd()
 {
     const int status = attempt_.head_.status_;
-    const AnswerFacts &facts = attempt_.facts_;
-    if (facts.notRun_) {
+    const ResponseInfo &response = attempt_.responseInfo_;
+    if (response.notRun_) {
         --runs_;
-        retryAfterMillis_ = facts.retryAfterMillis_;
-        leaveEndpoint(refusalEvidence());
-        maySendAgain() ? sendNext() : giveUp();
+        retryAfterMillis_ = response.retryAfterMillis_;
+        excludeEndpoint(refusalSignal());
+        acquireRetry() ? sendNext() : giveUp();
         return;
     }
     mayHaveRun_ = true;
-    countBegan(attempt_.sentAt_);
-    if (status < 300 && !facts.signed_) {
-        // Not the endpoint's own word: passing it on could give the caller someone else's answer.
-        attemptFailed(async::ExchangeFailure::Garbled);
+    reportExecutionStart(attempt_.sentAt_);
+    if (status < 300 && !response.signed_) {
+        // Without the endpoint's signature this may be the response to another caller's request.
+        onAttemptFailed(async::ExchangeFailure::Garbled);
         return;
     }
     if (status >= 500) {
-        leaveEndpoint(Evidence::ServerError);
-        mayRunAgain() ? sendNext() : passOn();
+        excludeEndpoint(Evidence::ServerError);
+        acquireRerun() ? sendNext() : forwardResponse();
         return;
     }
     closeAttempt(Evidence::Sound);
-    passOn();
+    forwardResponse();
 }
 
-void ServiceCall::attemptFailed(async::ExchangeFailure failure)
+void ServiceCall::onAttemptFailed(async::ExchangeFailure failure)
 {
     if (failure == async::ExchangeFailure::NotSent) {
         --runs_;
-        leaveEndpoint(Evidence::Unreachable);
-        mayTryAnother() ? sendNext() : giveUp();
+        excludeEndpoint(Evidence::Unreachable);
+        canTryAnotherEndpoint() ? sendNext() : giveUp();
         return;
     }
-    countBegan(attempt_.sentAt_);
-    leaveEndpoint(Evidence::Broken);
+    reportExecutionStart(attempt_.sentAt_);
+    excludeEndpoint(Evidence::Broken);
     mayHaveRun_ = true;
-    if (mayRunAgain()) {
+    if (acquireRerun()) {
         sendNext();
     } else {
         failCall(502, nameOf(async::ExchangeFailureNames, failure));
     }
 }
 
-void ServiceCall::attemptSilent()
+void ServiceCall::onAttemptTimeout()
 {
-    if (!mayRunAgain()) {
+    if (!acquireRerun()) {
         return;
     }
     mayHaveRun_ = true;
-    countBegan(attempt_.sentAt_);
-    leaveEndpoint(Evidence::Silent);
+    reportExecutionStart(attempt_.sentAt_);
+    excludeEndpoint(Evidence::Silent);
     sendNext();
 }
 
 } // namespace
 
-std::unique_ptr<Call> makeServiceCall(GatewayState &gateway, CallInput input)
+std::unique_ptr<Call> makeServiceCall(GatewayState &gateway, CallContext context)
 {
-    return std::make_unique<ServiceCall>(gateway, std::move(input));
+    return std::make_unique<ServiceCall>(gateway, std::move(context));
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/sizekeeper.cpp
+++ b/libs/gateway/src/sizekeeper.cpp
@@ -10,10 +10,10 @@
 
 } // namespace
 
-SizeKeeper::SizeKeeper(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
+SizeKeeper::SizeKeeper(async::EventLoop &loop, Gateway &gateway, LeaderElection &leaderElection,
                        SizeApi &api, SizePlanSettings settings)
     : gateway_(gateway)
-    , authority_(authority)
+    , leaderElection_(leaderElection)
     , api_(api)
     , settings_(settings)
     , timer_(loop)
@@ -26,21 +26,21 @@
     if (gateway_.config() == nullptr) {
         return;
     }
-    const auto right = authority_.right();
-    if (!right) {
+    const auto lease = leaderElection_.lease();
+    if (!lease) {
         for (const ServiceTraits &service : gateway_.config()->services()) {
             planOf(service.id_).watch(gateway_.endpoints(), service, now);
         }
         return;
     }
-    if (right->fence_ != fence_) {
-        fence_ = right->fence_;
+    if (lease->fence_ != fence_) {
+        fence_ = lease->fence_;
         for (auto &[service, plan] : plans_) {
             plan.forgetOrders();
         }
     }
     for (const ServiceTraits &service : gateway_.config()->services()) {
-        planService(service, *right, now);
+        planService(service, *lease, now);
     }
 }
 
@@ -56,17 +56,17 @@
            && plan->second.givesBack(endpoint.listed_.domain_);
 }
 
-void SizeKeeper::planService(const ServiceTraits &service, const OrderRight &right, TimePoint now)
+void SizeKeeper::planService(const ServiceTraits &service, const LeaderLease &lease, TimePoint now)
 {
     SizePlan &plan = planOf(service.id_);
     for (const SizeOrder &order : plan.plan(gateway_.endpoints(), service, now)) {
-        give(right, service.id_, order);
+        give(lease, service.id_, order);
     }
 }
 
-void SizeKeeper::give(const OrderRight &right, const ServiceId &service, const SizeOrder &order)
+void SizeKeeper::give(const LeaderLease &lease, const ServiceId &service, const SizeOrder &order)
 {
-    api_.order(right, service, order, [this, service, order](OrderOutcome outcome) {
+    api_.order(lease, service, order, [this, service, order](OrderOutcome outcome) {
         logEvent(LogLevel::Info, "size_order",
                  {{"service", service.value()},
                   {"domain", order.domain_.value()},
@@ -75,7 +75,7 @@
                   {"fence", fence_},
                   {"outcome", nameOf(OrderOutcomeNames, outcome)}});
         if (outcome == OrderOutcome::Overtaken) {
-            authority_.onOvertaken();
+            leaderElection_.onHigherFenceSeen();
         }
         plans_.at(service).onAnswer(order, outcome == OrderOutcome::Taken, BootClock::now());
     });
--- a/libs/gateway/src/sizeplan.cpp
+++ b/libs/gateway/src/sizeplan.cpp
@@ -35,12 +35,12 @@
     }
     const auto domains = static_cast<double>(found.size());
     const double lostShare = std::min(1.0, lossesBorne / domains);
-    const double largest = static_cast<double>(limits.most_) / most;
+    const double largest = static_cast<double>(limits.maxPerDomain_) / most;
     double lowest = 1 - LeastSaving;
     for (int step = 1; step < MixSteps; ++step) {
         const double lasting = static_cast<double>(step) / MixSteps;
         const double size = 1 / (1 - (1 - lasting) * lostShare);
-        const double cost = size * (lasting + (1 - lasting) * limits.spotPrice_);
+        const double cost = size * (lasting + (1 - lasting) * limits.spotPriceRatio_);
         if (size <= largest && cost < lowest) {
             best = {size, lasting};
             lowest = cost;
@@ -66,8 +66,8 @@
 
 int SizePlan::totalOf(int found, const SizeLimits &limits) const
 {
-    return std::clamp(static_cast<int>(std::ceil(mix_.size_ * found)), std::max(1, limits.least_),
-                      std::max(1, limits.most_));
+    return std::clamp(static_cast<int>(std::ceil(mix_.size_ * found)),
+                      std::max(1, limits.minPerDomain_), std::max(1, limits.maxPerDomain_));
 }
 
 /** Lasting endpoints beyond the usual ones that the whole service needs for its floor. */
@@ -88,7 +88,7 @@
 int SizePlan::lastingOf(int total, const SizeLimits &limits) const
 {
     const int wanted = static_cast<int>(std::ceil(mix_.lasting_ * total));
-    return std::clamp(wanted, std::min(limits.least_, total), total);
+    return std::clamp(wanted, std::min(limits.minPerDomain_, total), total);
 }
 
 /** While the list fills at a start, sizes grow with it; after that each domain keeps its own. */
@@ -139,7 +139,7 @@
         const int total = totalOf(found, limits);
         const int lasting = lastingOf(total, limits);
         const int spots = total - lasting;
-        const int room = settled_ ? std::max(0, limits.most_ - here.lasting_) : found;
+        const int room = settled_ ? std::max(0, limits.maxPerDomain_ - here.lasting_) : found;
         const int ordered = std::min(spots, room);
         TimePoint &since = spotsSince_[domain];
         if (here.spot_ < ordered) {
@@ -179,7 +179,7 @@
     }
     given.count_ = order.count_;
     given.pending_ = true;
-    given.againAt_ = now + millis(limits.bootMillis_ + ListedWithinMillis);
+    given.againAt_ = now + millis(limits.startupMillis_ + ListedWithinMillis);
     orders.push_back(order);
 }
 
--- a/libs/gateway/src/stagekeeper.cpp
+++ b/libs/gateway/src/stagekeeper.cpp
@@ -16,10 +16,10 @@
 } // namespace
 
 StageKeeper::StageKeeper(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
-                         AuthorityKeeper &authority, StageKeeperSettings settings)
+                         LeaderElection &leaderElection, StageKeeperSettings settings)
     : gateway_(gateway)
     , dialect_(dialect)
-    , authority_(authority)
+    , leaderElection_(leaderElection)
     , settings_(std::move(settings))
     , client_(loop)
     , planning_(loop)
@@ -58,7 +58,7 @@
         StagePlan &plan = planOf(service.id_);
         plan.watch(gateway_.endpoints(), service.id_,
                    gateway_.stageLoad(service.id_, settings_.demand_(service.id_)), now);
-        if (!authority_.right()) {
+        if (!leaderElection_.lease()) {
             continue;
         }
         for (const StageChange &change :
@@ -92,9 +92,9 @@
 void StageKeeper::readEngine(const ServiceId &service, const StageChange &change)
 {
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
-    ask(change.engine_, dialect_.reportText(engine->listed_.address_),
+    ask(change.engine_, dialect_.serializeStatusQuery(engine->listed_.address_),
         [this, service, change](int, const std::string &body) {
-            const auto report = dialect_.readReport(body);
+            const auto report = dialect_.parseEngineStatus(body);
             if (report) {
                 learnStart(change.engine_, *report);
             }
@@ -111,7 +111,7 @@
 }
 
 /** The engine itself tells of a restart before its entry does. */
-void StageKeeper::learnStart(const EndpointId &id, const EngineReport &report)
+void StageKeeper::learnStart(const EndpointId &id, const EngineStatus &report)
 {
     const Endpoint *engine = gateway_.endpoints().find(id);
     if (engine != nullptr && engine->listedNow_
@@ -123,25 +123,25 @@
 }
 
 void StageKeeper::give(const ServiceId &service, const StageChange &change,
-                       const EngineReport &report)
+                       const EngineStatus &report)
 {
     // Asked again here: the right may have lapsed while the engine was read.
-    const auto right = authority_.right();
+    const auto lease = leaderElection_.lease();
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
-    if (!right || engine == nullptr || !running_) {
+    if (!lease || engine == nullptr || !running_) {
         return;
     }
     ++orders_;
     logEvent(LogLevel::Info, "order",
              {{"engine", change.engine_.value()},
               {"stage", nameOf(StageNames, change.stage_)},
-              {"fence", right->fence_},
+              {"fence", lease->fence_},
               {"expect", report.orders_}});
     const StageOrder order {engine->listed_.address_,    change.engine_, change.stage_,
-                            settings_.instance_.value(), right->fence_,  report.orders_};
+                            settings_.instance_.value(), lease->fence_,  report.orders_};
     // Without an answer it may still be carried out; the number of orders that it expects makes
     // it harmless then.
-    ask(change.engine_, dialect_.orderText(order),
+    ask(change.engine_, dialect_.serializeOrder(order),
         [this, service, id = change.engine_](int status, const std::string &) {
             onOrderAnswer(service, id, status);
         });
@@ -155,7 +155,7 @@
         onTaken(service, engine, now);
     }
     if (status == Overtaken) {
-        authority_.onOvertaken();
+        leaderElection_.onHigherFenceSeen();
     }
     if (status == Overtaken || status == Conflict) {
         planOf(service).onRefused(engine, now);
@@ -169,7 +169,7 @@
     if (traits == nullptr || !traits->engine_) {
         return;
     }
-    const TimePoint until = now + millis(traits->engine_->switchMillis_);
+    const TimePoint until = now + millis(traits->engine_->stageChangeMillis_);
     gateway_.endpoints().onChanging(engine, until);
     settings_.onOrder_(engine, until);
 }
--- a/libs/gateway/src/unknownkeyqueue.cpp
+++ b/libs/gateway/src/unknownkeyqueue.cpp
@@ -5,52 +5,53 @@
 namespace almondridge::gateway {
 namespace {
 
-/** News take less than this from the store to any instance, over a reader of its domain. */
-constexpr Duration LongestWait = millis(400);
-/** More have no use of waiting: false keys come in floods, new ones do not. */
-constexpr std::size_t MostWaiting = 64;
+/** An update reaches any instance from the store, over a reader in its failure domain, in less. */
+constexpr Duration MaxWait = millis(400);
+/** More requests than this are a flood of invalid keys rather than callers with new keys. */
+constexpr std::size_t MaxQueued = 64;
 
 } // namespace
 
-bool WaitingKeys::mayWait(const async::ServerCall &request, TimePoint now) const
+bool UnknownKeyQueue::canQueue(const async::ServerCall &request, TimePoint now) const
 {
-    return waiting_.size() < MostWaiting && now < request.startedAt_ + LongestWait;
+    return queue_.size() < MaxQueued && now < request.startedAt_ + MaxWait;
 }
 
-void WaitingKeys::add(async::ServerCall request, const Credentials &credentials, TimePoint now)
+void UnknownKeyQueue::add(async::ServerCall request, const Credentials &credentials, TimePoint now)
 {
-    const TimePoint until = request.startedAt_ + LongestWait;
-    waiting_.push_back({std::move(request), credentials, now, until});
+    const TimePoint until = request.startedAt_ + MaxWait;
+    queue_.push_back({std::move(request), credentials, now, until});
 }
 
-void WaitingKeys::forget(const async::CallId &id)
+void UnknownKeyQueue::remove(const async::CallId &id)
 {
-    std::erase_if(waiting_, [&](const WaitingKey &one) { return one.request_.id_ == id; });
+    std::erase_if(queue_, [&](const QueuedRequest &one) { return one.request_.id_ == id; });
 }
 
-std::deque<WaitingKey> WaitingKeys::takeAll()
+std::deque<QueuedRequest> UnknownKeyQueue::takeAll()
 {
-    return std::exchange(waiting_, {});
+    return std::exchange(queue_, {});
 }
 
-std::deque<WaitingKey> WaitingKeys::takeSettled(std::optional<TimePoint> asOf, TimePoint now)
+std::deque<QueuedRequest> UnknownKeyQueue::takeResolved(std::optional<TimePoint> asOf,
+                                                        TimePoint now)
 {
-    std::deque<WaitingKey> settled;
-    while (!waiting_.empty()) {
-        const WaitingKey &first = waiting_.front();
-        const bool known = asOf && *asOf >= first.arrivedAt_;
-        if (!known && first.until_ > now) {
+    std::deque<QueuedRequest> resolved;
+    while (!queue_.empty()) {
+        const QueuedRequest &first = queue_.front();
+        const bool isConfirmed = asOf && *asOf >= first.arrivedAt_;
+        if (!isConfirmed && first.until_ > now) {
             break;
         }
-        settled.push_back(std::move(waiting_.front()));
-        waiting_.pop_front();
+        resolved.push_back(std::move(queue_.front()));
+        queue_.pop_front();
     }
-    return settled;
+    return resolved;
 }
 
-std::optional<TimePoint> WaitingKeys::nextDue() const
+std::optional<TimePoint> UnknownKeyQueue::nextDeadline() const
 {
-    return waiting_.empty() ? std::nullopt : std::optional(waiting_.front().until_);
+    return queue_.empty() ? std::nullopt : std::optional(queue_.front().until_);
 }
 
 } // namespace almondridge::gateway
--- a/libs/gateway/src/unknownkeyqueue.h
+++ b/libs/gateway/src/unknownkeyqueue.h
@@ -1,7 +1,7 @@
 /**
- * Requests with a key that this instance does not know. It may have been added a moment ago, so
- * they wait a little for newer news; all for the same news, so that a flood of false keys asks the
- * store for nothing. Pure.
+ * Queue of requests with an API key that this instance doesn't know. The key may have been added a
+ * moment ago, so the requests wait shortly for the next configuration update. They all wait for the
+ * same update, so that a flood of invalid keys causes no queries to the store. No I/O.
  */
 #pragma once
 
@@ -13,30 +13,33 @@
 
 namespace almondridge::gateway {
 
-struct WaitingKey
+struct QueuedRequest
 {
     async::ServerCall request_;
     Credentials credentials_;
     TimePoint arrivedAt_ {};
-    TimePoint until_ {};
+    TimePoint until_ {}; ///< The request is refused then at the latest.
 };
 
-class WaitingKeys
+class UnknownKeyQueue
 {
 public:
-    /** False: too many wait already, or this request has waited long enough. */
-    bool mayWait(const async::ServerCall &request, TimePoint now) const;
+    /** False if the queue is full or this request has waited for the longest time allowed. */
+    bool canQueue(const async::ServerCall &request, TimePoint now) const;
     void add(async::ServerCall request, const Credentials &credentials, TimePoint now);
-    void forget(const async::CallId &id);
-    /** Takes all out: there is a new configuration. */
-    std::deque<WaitingKey> takeAll();
-    /** Takes out those for which it is settled that there is no such key, or whose time is up. */
-    std::deque<WaitingKey> takeSettled(std::optional<TimePoint> asOf, TimePoint now);
-    /** When takeSettled() has something to do at the latest; nullopt: none waits. */
-    std::optional<TimePoint> nextDue() const;
+    void remove(const async::CallId &id);
+    /** Removes and returns all requests, as there is a new configuration to check them against. */
+    std::deque<QueuedRequest> takeAll();
+    /**
+     * Removes and returns the requests to be refused: the configuration was confirmed (at asOf)
+     * after they arrived, so there is no such key, or their time is up.
+     */
+    std::deque<QueuedRequest> takeResolved(std::optional<TimePoint> asOf, TimePoint now);
+    /** When takeResolved() has to be called at the latest; nullopt: the queue is empty. */
+    std::optional<TimePoint> nextDeadline() const;
 
 private:
-    std::deque<WaitingKey> waiting_; ///< In the order of their arrival.
+    std::deque<QueuedRequest> queue_; ///< In order of arrival.
 };
 
 } // namespace almondridge::gateway
--- a/libs/gateway/tests/accesstest.cpp
+++ b/libs/gateway/tests/accesstest.cpp
@@ -14,7 +14,7 @@
     return TimePoint {} + millis(1'000'000 + millisSinceStart);
 }
 
-Credentials shown(const std::string &key)
+Credentials credentialsFor(const std::string &key)
 {
     return readCredentials({{"Authorization", "Token " + key}}, "Token");
 }
@@ -42,32 +42,32 @@
 
 BOOST_FIXTURE_TEST_SUITE(AccountKeys, Fixture)
 
-BOOST_AUTO_TEST_CASE(aKeyNamesItsAccount)
+BOOST_AUTO_TEST_CASE(keyIdentifiesItsAccount)
 {
     lease_.confirm(at(0));
-    const AccessVerdict verdict = checkAccess(*config_, route_, shown("k2"), lease_, at(1));
-    BOOST_TEST((verdict.access_ == Access::Granted));
-    BOOST_TEST(verdict.account_.id_.value() == "acme");
-    BOOST_TEST(verdict.account_.priority_.value() == 1);
+    const AccessResult result = checkAccess(*config_, route_, credentialsFor("k2"), lease_, at(1));
+    BOOST_TEST((result.access_ == Access::Granted));
+    BOOST_TEST(result.account_.id_.value() == "acme");
+    BOOST_TEST(result.account_.priority_.value() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(withoutAccountsNobodyNeedsAKey)
+BOOST_AUTO_TEST_CASE(noKeyIsNeededWithoutAccounts)
 {
     config_ = Config::Builder().build();
     BOOST_TEST((access(Credentials {}, 0) == Access::Anonymous));
 }
 
-// Guards against an empty list of accounts being taken for a deployment without accounts.
-BOOST_AUTO_TEST_CASE(whereNoAccountIsLeftNoKeyWorks)
+// Guards against treating an empty list of accounts as a deployment without accounts.
+BOOST_AUTO_TEST_CASE(noKeyIsAcceptedWithAnEmptyAccountList)
 {
     config_ = Config::Builder().accounts(Accounts::Builder().build()).build();
     lease_.confirm(at(0));
-    BOOST_TEST((access(shown("k1"), 1) == Access::KeyUnknown));
+    BOOST_TEST((access(credentialsFor("k1"), 1) == Access::KeyUnknown));
     BOOST_TEST((access(Credentials {}, 1) == Access::KeyMissing));
 }
 
-// Guards against headers that two readers could understand in two ways.
-BOOST_AUTO_TEST_CASE(keysAreReadStrictly)
+// Guards against headers that two parsers could interpret differently.
+BOOST_AUTO_TEST_CASE(credentialsAreParsedStrictly)
 {
     lease_.confirm(at(0));
     const auto read = [&](const net::Headers &headers) {
@@ -80,47 +80,47 @@
                               "Token k1,k2", "Token\tk1", "Token \"k1\"", "Token k\x01"}) {
         BOOST_TEST((read({{"Authorization", value}}) == Access::KeyMalformed), value);
     }
-    const std::string longKey(MostKeyBytes + 1, 'k');
+    const std::string longKey(MaxKeyBytes + 1, 'k');
     BOOST_TEST((read({{"Authorization", "Token " + longKey}}) == Access::KeyMalformed));
     BOOST_TEST((read({{"Authorization", "Token k3"}}) == Access::KeyUnknown));
     BOOST_TEST((read({}) == Access::KeyMissing));
 }
 
-// Guards against a key that works on at an instance that cannot learn that it was taken away.
-BOOST_AUTO_TEST_CASE(withoutProofOfItsConfigurationNoKeyWorks)
+// Guards against a revoked key that is still accepted by an instance that is cut off.
+BOOST_AUTO_TEST_CASE(noKeyIsAcceptedWithoutConfirmedConfiguration)
 {
-    BOOST_TEST((access(shown("k1"), 0) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k1"), 0) == Access::Unproven));
     lease_.confirm(at(0));
-    BOOST_TEST((access(shown("k1"), 4'400) == Access::Granted));
-    BOOST_TEST((access(shown("k1"), BoundMillis) == Access::Unproven));
-    BOOST_TEST((access(shown("k3"), BoundMillis) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k1"), 4'400) == Access::Granted));
+    BOOST_TEST((access(credentialsFor("k1"), BoundMillis) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k3"), BoundMillis) == Access::Unproven));
     lease_.confirm(at(-9'000));
-    BOOST_TEST((access(shown("k1"), 4'400) == Access::Granted));
-    BOOST_TEST((access(shown("k1"), BoundMillis) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k1"), 4'400) == Access::Granted));
+    BOOST_TEST((access(credentialsFor("k1"), BoundMillis) == Access::Unproven));
 }
 
-BOOST_AUTO_TEST_CASE(withoutABoundKeysCountAsTheyAreKnown)
+BOOST_AUTO_TEST_CASE(keysNeedNoConfirmationWithoutARevocationBound)
 {
     lease_ = KeyLease(0);
-    BOOST_TEST((access(shown("k1"), 0) == Access::Granted));
-    BOOST_TEST((access(shown("k3"), 0) == Access::KeyUnknown));
+    BOOST_TEST((access(credentialsFor("k1"), 0) == Access::Granted));
+    BOOST_TEST((access(credentialsFor("k3"), 0) == Access::KeyUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(publicRoutesNeedNoKeyAndNoProof)
+BOOST_AUTO_TEST_CASE(publicRoutesNeedNoKeyAndNoConfirmation)
 {
     route_.public_ = true;
     BOOST_TEST((access(Credentials {}, 0) == Access::Anonymous));
-    BOOST_TEST((access(shown("k3"), 0) == Access::Anonymous));
+    BOOST_TEST((access(credentialsFor("k3"), 0) == Access::Anonymous));
     lease_.confirm(at(0));
-    BOOST_TEST((access(shown("k1"), 1) == Access::Granted));
-    BOOST_TEST((access(shown("k3"), 1) == Access::Anonymous));
+    BOOST_TEST((access(credentialsFor("k1"), 1) == Access::Granted));
+    BOOST_TEST((access(credentialsFor("k3"), 1) == Access::Anonymous));
 }
 
-// Guards against queued, repeated or resumed requests that run after their key was taken away.
-BOOST_AUTO_TEST_CASE(aGrantIsAskedForAnew)
+// Guards against queued, retried or resumed requests that run after their key was revoked.
+BOOST_AUTO_TEST_CASE(accessIsCheckedAgainBeforeEachAttempt)
 {
     lease_.confirm(at(0));
-    const AccessVerdict granted = checkAccess(*config_, route_, shown("k1"), lease_, at(1));
+    const AccessResult granted = checkAccess(*config_, route_, credentialsFor("k1"), lease_, at(1));
     BOOST_TEST(isStillGranted(*config_, granted, lease_, at(100)));
     BOOST_TEST(isStillGranted(*configWith({"k1"}), granted, lease_, at(100)));
     BOOST_TEST(!isStillGranted(*configWith({"k2"}), granted, lease_, at(100)));
--- a/libs/gateway/tests/decisiontest.cpp
+++ b/libs/gateway/tests/decisiontest.cpp
@@ -1,6 +1,6 @@
 #include "../src/eventsplitter.h"
-#include "almondridge/gateway/leaderstate.h"
 #include "almondridge/gateway/config.h"
+#include "almondridge/gateway/leaderstate.h"
 #include "almondridge/gateway/patience.h"
 #include "almondridge/gateway/sendbudget.h"
 
@@ -69,8 +69,8 @@
     BOOST_TEST(splitter.feed("id: 1\ndata: a\n").empty());
     BOOST_TEST(splitter.feed("\nid: 2\ndata: b\n\nid: 3\nda")
                == "id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    BOOST_TEST(splitter.lastId() == "2");
-    BOOST_TEST(splitter.rest() == "id: 3\nda");
+    BOOST_TEST(splitter.lastEventId() == "2");
+    BOOST_TEST(splitter.partialEvent() == "id: 3\nda");
 }
 
 /**
@@ -107,13 +107,13 @@
 
 BOOST_AUTO_TEST_CASE(theFirstHolderOfAllMayOrderAtOnce)
 {
-    Authority authority({3'000, 1'000, 500}, at(0));
-    authority.onNamed(true, at(0), at(10));
-    BOOST_TEST(authority.needsFence(at(10)));
-    BOOST_TEST(!authority.right(at(10)));
-    authority.onClaimed(0, at(20));
-    BOOST_REQUIRE(authority.right(at(20)).has_value());
-    BOOST_TEST(authority.right(at(20))->fence_ == 1U);
+    LeaderState leader({3'000, 1'000, 500}, at(0));
+    leader.onLeaderReply(true, at(0), at(10));
+    BOOST_TEST(leader.needsFence(at(10)));
+    BOOST_TEST(!leader.lease(at(10)));
+    leader.onFenceClaimed(0, at(20));
+    BOOST_REQUIRE(leader.lease(at(20)).has_value());
+    BOOST_TEST(leader.lease(at(20))->fence_ == 1U);
 }
 
 /**
@@ -123,19 +123,19 @@
  */
 BOOST_AUTO_TEST_CASE(aLaterHolderWaitsUntilTheOneBeforeMustKnow)
 {
-    Authority before({3'000, 1'000, 500}, at(0));
-    before.onNamed(true, at(0), at(5));
-    before.onClaimed(0, at(10));
-    Authority after({3'000, 1'000, 500}, at(0));
-    after.onNamed(true, at(100), at(105));
-    after.onClaimed(1, at(110));
+    LeaderState before({3'000, 1'000, 500}, at(0));
+    before.onLeaderReply(true, at(0), at(5));
+    before.onFenceClaimed(0, at(10));
+    LeaderState after({3'000, 1'000, 500}, at(0));
+    after.onLeaderReply(true, at(100), at(105));
+    after.onFenceClaimed(1, at(110));
     for (std::int64_t now = 150; now < 10'000; now += 50) {
         if (now % 1'000 == 0) {
-            after.onNamed(true, at(now), at(now));
+            after.onLeaderReply(true, at(now), at(now));
         }
-        BOOST_TEST(!(before.right(at(now)) && after.right(at(now))));
+        BOOST_TEST(!(before.lease(at(now)) && after.lease(at(now))));
     }
-    BOOST_TEST(after.right(at(9'900)).has_value());
+    BOOST_TEST(after.lease(at(9'900)).has_value());
 }
 
 /**
@@ -144,60 +144,60 @@
  */
 BOOST_AUTO_TEST_CASE(aHolderThatWakesHasNoRightLeft)
 {
-    Authority authority({3'000, 1'000, 500}, at(0));
-    authority.onNamed(true, at(0), at(5));
-    authority.onClaimed(0, at(10));
-    BOOST_TEST(!authority.right(at(2'600)).has_value());
-    authority.onNamed(true, at(9'000), at(9'005));
-    BOOST_TEST(authority.needsFence(at(9'005)));
-    BOOST_TEST(!authority.right(at(9'005)).has_value());
+    LeaderState leader({3'000, 1'000, 500}, at(0));
+    leader.onLeaderReply(true, at(0), at(5));
+    leader.onFenceClaimed(0, at(10));
+    BOOST_TEST(!leader.lease(at(2'600)).has_value());
+    leader.onLeaderReply(true, at(9'000), at(9'005));
+    BOOST_TEST(leader.needsFence(at(9'005)));
+    BOOST_TEST(!leader.lease(at(9'005)).has_value());
 }
 
 // Guards against a report that is due while a new holder waits for nothing.
 BOOST_AUTO_TEST_CASE(whereFencesAreCheckedANewHolderDoesNotWait)
 {
-    Authority after({3'000, 1'000, 500, true}, at(0));
-    after.onNamed(true, at(60'000), at(60'005));
-    after.onClaimed(7, at(60'010));
-    BOOST_TEST(after.right(at(60'010)).has_value());
+    LeaderState after({3'000, 1'000, 500, true}, at(0));
+    after.onLeaderReply(true, at(60'000), at(60'005));
+    after.onFenceClaimed(7, at(60'010));
+    BOOST_TEST(after.lease(at(60'010)).has_value());
 }
 
 // Guards against two holders that act by turns within a term, as the store names one, then the
 // other.
 BOOST_AUTO_TEST_CASE(aHolderThatIsNamedAnewWaitsForItsOwnEarlierRight)
 {
-    Authority turns({3'000, 1'000, 500, true}, at(0));
-    turns.onNamed(true, at(60'000), at(60'005));
-    turns.onClaimed(7, at(60'010));
-    turns.onNamed(false, at(61'000), at(61'005));
-    turns.onNamed(true, at(62'000), at(62'005));
-    turns.onClaimed(9, at(62'010));
-    BOOST_TEST(!turns.right(at(62'010)).has_value());
+    LeaderState turns({3'000, 1'000, 500, true}, at(0));
+    turns.onLeaderReply(true, at(60'000), at(60'005));
+    turns.onFenceClaimed(7, at(60'010));
+    turns.onLeaderReply(false, at(61'000), at(61'005));
+    turns.onLeaderReply(true, at(62'000), at(62'005));
+    turns.onFenceClaimed(9, at(62'010));
+    BOOST_TEST(!turns.lease(at(62'010)).has_value());
     for (std::int64_t now = 63'000; now <= 66'000; now += 1'000) {
-        turns.onNamed(true, at(now), at(now));
+        turns.onLeaderReply(true, at(now), at(now));
     }
-    BOOST_TEST(turns.right(at(66'000)).has_value());
+    BOOST_TEST(turns.lease(at(66'000)).has_value());
 }
 
 // Guards against the same after a restart, which remembers nothing of the right before it.
 BOOST_AUTO_TEST_CASE(aRestartedInstanceWaitsAsIfItHadActed)
 {
-    Authority restarted({3'000, 1'000, 500, true}, at(60'000));
-    restarted.onNamed(true, at(62'500), at(62'505));
-    restarted.onClaimed(9, at(62'510));
-    BOOST_TEST(!restarted.right(at(62'510)).has_value());
-    restarted.onNamed(true, at(64'000), at(64'005));
-    BOOST_TEST(restarted.right(at(64'600)).has_value());
+    LeaderState restarted({3'000, 1'000, 500, true}, at(60'000));
+    restarted.onLeaderReply(true, at(62'500), at(62'505));
+    restarted.onFenceClaimed(9, at(62'510));
+    BOOST_TEST(!restarted.lease(at(62'510)).has_value());
+    restarted.onLeaderReply(true, at(64'000), at(64'005));
+    BOOST_TEST(restarted.lease(at(64'600)).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(aHolderThatAnEngineKnowsToBeOvertakenStops)
 {
-    Authority authority({3'000, 1'000, 500}, at(0));
-    authority.onNamed(true, at(0), at(5));
-    authority.onClaimed(0, at(10));
-    authority.onOvertaken(at(20));
-    BOOST_TEST(!authority.right(at(20)).has_value());
-    BOOST_TEST(!authority.needsFence(at(20)));
+    LeaderState leader({3'000, 1'000, 500}, at(0));
+    leader.onLeaderReply(true, at(0), at(5));
+    leader.onFenceClaimed(0, at(10));
+    leader.onHigherFenceSeen(at(20));
+    BOOST_TEST(!leader.lease(at(20)).has_value());
+    BOOST_TEST(!leader.needsFence(at(20)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/gateway/tests/peerloadtest.cpp
+++ b/libs/gateway/tests/peerloadtest.cpp
@@ -24,7 +24,7 @@
     Placement other({DomainId("a")});
     const PromptPlan first = *planFor(reader, table, prompt);
     BOOST_TEST(first.partsUnknown_);
-    BOOST_TEST(first.newTokens_ > prompt.ownTokens());
+    BOOST_TEST(first.newTokens_ > prompt.unsharedTokens());
     reader.onPromptRead(table.find(*first.prefill_)->listed_, prompt, at(0));
     LoadNote note {InstanceId("reader"), 1, 1};
     note.readParts_ = reader.takeReadParts();
@@ -35,7 +35,7 @@
     const PromptPlan second = *planFor(other, table, prompt);
     BOOST_TEST((second.prefill_ == first.prefill_));
     BOOST_TEST(!second.partsUnknown_);
-    BOOST_TEST(second.newTokens_ == prompt.ownTokens());
+    BOOST_TEST(second.newTokens_ == prompt.unsharedTokens());
 }
 
 /** What the other instances have sent counts like our own, or nine of them would herd. */
--- a/libs/gateway/tests/sizeplantest.cpp
+++ b/libs/gateway/tests/sizeplantest.cpp
@@ -94,11 +94,11 @@
                 ++given_;
                 orders_.push_back(order);
                 BOOST_TEST(order.count_ + count(order.domain_.value(), !order.spot_)
-                           <= service_.size_->most_);
+                           <= service_.size_->maxPerDomain_);
                 const bool had = !order.spot_ || now_ >= spotsFrom_;
                 if (had) {
                     const bool grows = order.count_ > count(order.domain_.value(), order.spot_);
-                    onTheWay_.emplace(now_ + (grows ? service_.size_->bootMillis_ : 500), order);
+                    onTheWay_.emplace(now_ + (grows ? service_.size_->startupMillis_ : 500), order);
                 }
                 plan.onAnswer(order, had, at(now_));
             }
@@ -168,7 +168,7 @@
 
 BOOST_AUTO_TEST_CASE(aServiceWithoutSpotEndpointsIsLeftAlone)
 {
-    service_.size_->spotPrice_ = 1;
+    service_.size_->spotPriceRatio_ = 1;
     SizePlan plan({2, 0.6});
     run(plan, 20'000);
     BOOST_TEST(given_ == 0);
