--- a/libs/app/src/explainverb.cpp
+++ b/libs/app/src/explainverb.cpp
@@ -18,7 +18,7 @@
     BOOST_LEAF_AUTO(text, readTextFile(path));
     std::istringstream stream(text);
     for (std::string line; std::getline(stream, line);) {
-        if (auto read = observe::readLogLine(line)) {
+        if (auto read = observe::parseLogLine(line)) {
             lines.push_back(std::move(*read));
         }
     }
@@ -47,7 +47,7 @@
             return ExitCode::Failed;
         }
     }
-    const std::vector<std::string> story = observe::tellStory(lines, arguments.front());
+    const std::vector<std::string> story = observe::requestHistory(lines, arguments.front());
     for (const std::string &line : story) {
         std::puts(line.c_str());
     }
--- a/libs/base/include/almondridge/base/cbor.h
+++ b/libs/base/include/almondridge/base/cbor.h
@@ -1,5 +1,5 @@
 /**
- * Records between instances are CBOR arrays.
+ * Decoding of CBOR: messages between instances are CBOR arrays.
  */
 #pragma once
 
@@ -10,8 +10,9 @@
 namespace almondridge {
 
 /**
- * nullopt: it is no CBOR. Sizes that no record can have are refused by an exception even where the
- * decoder was told to throw none; anybody may send such bytes, and it would end the process.
+ * Decodes CBOR; nullopt if the bytes are invalid. The decoder throws on excessive sizes even when
+ * told not to throw. The exception is caught here, as anybody could send such bytes and end the
+ * process.
  */
 inline std::optional<nlohmann::json> fromCbor(std::string_view bytes)
 {
@@ -19,7 +20,7 @@
         nlohmann::json json = nlohmann::json::from_cbor(bytes, true, false);
         return json.is_discarded() ? std::nullopt : std::optional(std::move(json));
     } catch (const nlohmann::json::exception &) {
-        return std::nullopt; // The caller counts it and says so.
+        return std::nullopt; // Counted and logged by the caller.
     }
 }
 
--- a/libs/base/include/almondridge/base/enumnames.h
+++ b/libs/base/include/almondridge/base/enumnames.h
@@ -1,5 +1,5 @@
 /**
- * Tables of names for enum classes: one table both prints a value and reads it back.
+ * Name tables for enum classes, used both to print a value and to parse it.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace almondridge {
 
-/** One row of a table of names. */
+/** A row of a name table. */
 template <typename Enum>
 struct EnumName
 {
@@ -18,7 +18,7 @@
     std::string_view name_;
 };
 
-/** The name of value in table, or "unknown". */
+/** The name of the value in the table, or "unknown". */
 template <typename Enum, std::size_t size>
 constexpr std::string_view nameOf(const std::array<EnumName<Enum>, size> &table,
                                   Enum value) noexcept
@@ -31,7 +31,7 @@
     return "unknown";
 }
 
-/** The value called name in table, if any. */
+/** The value with the given name in the table; nullopt if there is none. */
 template <typename Enum, std::size_t size>
 constexpr std::optional<Enum> valueOf(const std::array<EnumName<Enum>, size> &table,
                                       std::string_view name) noexcept
@@ -44,7 +44,7 @@
     return std::nullopt;
 }
 
-/** All names of table as "a, b, c", for error messages. */
+/** All names in the table as "a, b, c", for error messages. */
 template <typename Enum, std::size_t size>
 std::string namesOf(const std::array<EnumName<Enum>, size> &table)
 {
--- a/libs/base/include/almondridge/base/error.h
+++ b/libs/base/include/almondridge/base/error.h
@@ -1,6 +1,6 @@
 /**
- * Errors: a typed kind, what happened, and what to do about it. They travel in
- * boost::leaf::result; see tryOr() for the usual way to take one apart.
+ * Errors with a kind, a message and a remedy, returned in a boost::leaf::result. See tryOr() for
+ * the usual way to handle a result.
  */
 #pragma once
 
@@ -14,20 +14,20 @@
 
 namespace almondridge {
 
-/** What went wrong, as far as a caller of the function has to tell cases apart. */
+/** Kinds of errors that callers of a function have to distinguish. */
 enum class ErrorKind {
-    InvalidInput, ///< A file, field or request body that breaks its schema.
-    NotFound,     ///< The named thing does not exist.
-    Conflict,     ///< Written against a state that is no longer in force.
-    Unauthorized, ///< The key or proof was missing or wrong.
-    StaleFence,   ///< The sender's lease is no longer the one in force.
-    Unavailable,  ///< Nothing was sent: the other side could not be reached or refused.
-    Interrupted,  ///< Something was sent and no whole answer came: the effect is unknown.
+    InvalidInput, ///< A file, field or request body violates its schema.
+    NotFound,     ///< The named object doesn't exist.
+    Conflict,     ///< The change is based on a state that is no longer current.
+    Unauthorized, ///< The key or authentication proof is missing or wrong.
+    StaleFence,   ///< The sender's lease has been superseded by a later one.
+    Unavailable,  ///< Nothing was sent: the peer couldn't be reached or refused.
+    Interrupted,  ///< Sent, but no complete response was received: the effect is unknown.
     TimedOut,     ///< A deadline passed before the first byte was sent.
-    Overloaded,   ///< A limit was reached; the error says when to come back.
-    Trimmed,      ///< The wanted log records are no longer kept.
-    Protocol,     ///< The other side answered with something it should not say.
-    Internal,     ///< A fault of this program.
+    Overloaded,   ///< A limit was reached; the error says when to retry.
+    Trimmed,      ///< The requested log records are no longer retained.
+    Protocol,     ///< The peer's response violates the protocol.
+    Internal,     ///< A bug in this program.
 };
 
 inline constexpr std::array<EnumName<ErrorKind>, 12> ErrorKindNames {{
@@ -45,7 +45,7 @@
     {ErrorKind::Internal, "internal"},
 }};
 
-/** One finding about one field of a file or body. */
+/** An error in one field of a file or request body. */
 struct FieldError
 {
     std::string field_;  ///< Path of the field, as in "peers.listen".
@@ -53,7 +53,7 @@
     std::string remedy_; ///< What to write instead.
 };
 
-/** An error with its remedy. */
+/** An error, what to do about it, and the fields concerned if there are any. */
 struct Error
 {
     ErrorKind kind_ = ErrorKind::Internal;
@@ -79,24 +79,24 @@
 
 } // namespace detail
 
-/** Starts a failed Result. */
+/** Creates a failed Result. */
 inline boost::leaf::error_id fail(ErrorKind kind, std::string message, std::string remedy)
 {
     return boost::leaf::new_error(Error {kind, std::move(message), std::move(remedy), {}});
 }
 
-/** Starts a failed Result from a whole Error. */
+/** Creates a failed Result from an Error. */
 inline boost::leaf::error_id fail(Error error)
 {
     return boost::leaf::new_error(std::move(error));
 }
 
-/** One line for logs and terminals: kind, message, fields and remedy. */
+/** Text for logs and terminals: kind, message, fields and remedy; one line if it has no fields. */
 std::string describe(const Error &error);
 
 /**
- * Runs function, which returns Result<T>, and hands a failure to onError, which returns T.
- * Exceptions of libraries that get this far are turned into ErrorKind::Internal.
+ * Calls function, which returns Result<T>, and passes an error to onError, which returns T. An
+ * exception is passed as an error of the kind Internal.
  */
 template <typename Function, typename OnError>
 auto tryOr(Function &&function, OnError &&onError)
@@ -117,7 +117,7 @@
         });
 }
 
-/** Runs function, which returns Result<T>, and gives the value or the Error by value. */
+/** Calls function, which returns Result<T>, and returns a variant of the value and the Error. */
 template <typename Function>
 auto capture(Function &&function)
 {
--- a/libs/base/include/almondridge/base/ids.h
+++ b/libs/base/include/almondridge/base/ids.h
@@ -1,6 +1,5 @@
 /**
- * Names of things that live in containers. Each kind of name has its own type, so that one
- * cannot be passed for another.
+ * Strongly typed identifiers: each kind has its own type, so that one can't be passed as another.
  */
 #pragma once
 
@@ -13,7 +12,7 @@
 
 namespace almondridge {
 
-/** A name of the kind that Tag stands for. */
+/** An identifier of the kind given by Tag. */
 template <typename Tag>
 class Id
 {
@@ -35,7 +34,7 @@
 
 using AccountId = Id<struct AccountTag>;
 using AdapterId = Id<struct AdapterTag>;
-/** One try at a request; unique over all instances. */
+/** An attempt at a request; unique over all instances. */
 using AttemptId = Id<struct AttemptTag>;
 using DomainId = Id<struct DomainTag>;
 using EndpointId = Id<struct EndpointTag>;
@@ -44,11 +43,11 @@
 using RequestId = Id<struct RequestTag>;
 using ServiceId = Id<struct ServiceTag>;
 
-/** An offset of the platform's log. */
+/** An offset in the platform's log. */
 using LogOffset = std::uint64_t;
-/** A fencing number: the offset of the accepted lease claim. Zero stands for none. */
+/** A fencing number, from the offset of the accepted lease claim; 0: none. */
 using Fence = std::uint64_t;
-/** The offset of an accepted apply. Zero stands for none. */
+/** The offset of an accepted apply; 0: none. */
 using Revision = std::uint64_t;
 
 } // namespace almondridge
--- a/libs/base/include/almondridge/base/log.h
+++ b/libs/base/include/almondridge/base/log.h
@@ -1,5 +1,5 @@
 /**
- * Logging: one line of key=value pairs for each event, through spdlog.
+ * Structured logging through spdlog: one line of key=value pairs for each event.
  */
 #pragma once
 
@@ -22,7 +22,7 @@
     {LogLevel::Error, "error"},
 }};
 
-/** One key=value pair of a log line. Numbers are printed as such. */
+/** A key=value pair of a log line. */
 class LogField
 {
 public:
@@ -52,23 +52,23 @@
     std::string value_;
 };
 
-/** Sets up the process-wide log: least level to print and fields that stand on every line. */
-void startLog(LogLevel least, const std::string &instance, const std::string &domain);
+/** Sets up logging to standard error: the lowest level printed, and the fields of every line. */
+void startLog(LogLevel minLevel, const std::string &instance, const std::string &domain);
 
 /**
- * The same on standard output through a bounded buffer: a reader that does not read never blocks
- * the caller, and lines that had no room are counted on a line of their own. Lines leave in
- * batches, so flushLog() has to be called now and then.
+ * Sets up logging to standard output through a bounded buffer, so that a stalled reader never
+ * blocks the caller. Lines that don't fit are dropped, and a log line reports their number. Lines
+ * are written in batches, so flushLog() has to be called regularly.
  */
-void startBoundedLog(LogLevel least, const std::string &instance, const std::string &domain);
+void startBoundedLog(LogLevel minLevel, const std::string &instance, const std::string &domain);
 void flushLog();
-/** Lines that the bounded log had no room for. */
+/** Number of lines that the bounded log has dropped. */
 std::uint64_t droppedLogLines();
 
-/** Writes one line: time, level, event=NAME and the fields in the order given. Thread-safe. */
+/** Logs one line: time, level, event=NAME and the fields in the given order. Thread-safe. */
 void logEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields = {});
 
-/** The value quoted as it stands on a log line: bare where possible, else in double quotes. */
+/** The value in the form of a log line: unquoted if possible, or else in double quotes. */
 std::string quoteLogValue(std::string_view value);
 
 } // namespace almondridge
--- a/libs/base/include/almondridge/base/logratelimiter.h
+++ b/libs/base/include/almondridge/base/logratelimiter.h
@@ -1,6 +1,5 @@
 /**
- * How many log lines of a kind may be written in a span of time: what anybody can cause as often as
- * he likes must not fill the log.
+ * Rate limit for log lines of one kind, so that events that anybody can cause don't flood the log.
  */
 #pragma once
 
@@ -8,29 +7,30 @@
 
 namespace almondridge {
 
-class LineAllowance
+/** Fixed-window rate limiter. */
+class LogRateLimiter
 {
 public:
-    LineAllowance(int most, Duration window)
-        : most_(most)
+    LogRateLimiter(int maxLines, Duration window)
+        : maxLines_(maxLines)
         , window_(window)
     { }
 
-    /** Whether one more line may be written now. */
+    /** Counts a line; false if the current window already has the maximum. */
     bool take(TimePoint now)
     {
         if (now >= until_) {
             until_ = now + window_;
             lines_ = 0;
         }
-        return ++lines_ <= most_;
+        return ++lines_ <= maxLines_;
     }
 
 private:
-    int most_;
+    int maxLines_; ///< In each window.
     Duration window_;
-    TimePoint until_ {}; ///< End of the window in which lines_ are counted.
-    int lines_ = 0;
+    TimePoint until_ {}; ///< End of the current window.
+    int lines_ = 0;      ///< In the current window.
 };
 
 } // namespace almondridge
--- a/libs/base/include/almondridge/base/time.h
+++ b/libs/base/include/almondridge/base/time.h
@@ -1,6 +1,6 @@
 /**
- * Points in time. Deadlines are stored as points of BootClock; durations appear only where a
- * setting is turned into a deadline.
+ * Clocks and durations. Deadlines are stored as points of BootClock; durations are used only to
+ * compute deadlines from settings.
  */
 #pragma once
 
@@ -10,8 +10,8 @@
 namespace almondridge {
 
 /**
- * The kernel's boot clock. Unlike the monotonic clock it goes on counting while the machine is
- * suspended, so a lease that lapsed during a suspension is seen as lapsed on waking.
+ * The kernel's boot-time clock. Unlike the monotonic clock it advances while the machine is
+ * suspended, so a lease that expired during a suspension is seen as expired after it.
  */
 struct BootClock
 {
@@ -24,33 +24,33 @@
     static time_point now() noexcept;
 };
 
-/** A point of BootClock. Only comparable within one machine. */
+/** A point of BootClock; comparable only within one machine. */
 using TimePoint = BootClock::time_point;
-/** A span of BootClock, in nanoseconds. */
+/** A duration in nanoseconds. */
 using Duration = BootClock::duration;
 
-/** Milliseconds since the Unix epoch by the wall clock. For display and for other machines. */
+/** Milliseconds since the Unix epoch by the wall clock, for display and for other machines. */
 std::int64_t wallMillis() noexcept;
 
-/** A setting given in milliseconds, as a span. */
+/** A duration from milliseconds. */
 constexpr Duration millis(std::int64_t count) noexcept
 {
     return std::chrono::milliseconds(count);
 }
 
-/** A span in whole milliseconds, rounded down. */
-constexpr std::int64_t toMillis(Duration span) noexcept
+/** A duration in whole milliseconds, rounded towards zero. */
+constexpr std::int64_t toMillis(Duration duration) noexcept
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
 
-/** A span in seconds. */
-constexpr double toSeconds(Duration span) noexcept
+/** A duration in seconds. */
+constexpr double toSeconds(Duration duration) noexcept
 {
-    return std::chrono::duration<double>(span).count();
+    return std::chrono::duration<double>(duration).count();
 }
 
-/** Milliseconds from now until deadline, never negative. Fits poll() and HTTP header values. */
+/** Milliseconds from now until the deadline, never negative; suits poll() and HTTP headers. */
 constexpr std::int64_t millisUntil(TimePoint deadline, TimePoint now) noexcept
 {
     return deadline > now ? toMillis(deadline - now) : 0;
--- a/libs/base/src/boundedsink.cpp
+++ b/libs/base/src/boundedsink.cpp
@@ -8,10 +8,10 @@
 namespace almondridge {
 namespace {
 
-/** Some thousand lines: what a burst of failures writes while a reader pauses for a moment. */
-constexpr std::size_t BufferBytes = 262'144;
-/** Fewer and larger writes: each one costs a system call. */
-constexpr std::size_t WriteFrom = 2'048;
+/** Some thousand lines, as a burst of failures logs during a short pause of the reader. */
+constexpr std::size_t MaxBufferBytes = 262'144;
+/** Batches lines to save system calls. */
+constexpr std::size_t MinWriteBytes = 2'048;
 
 } // namespace
 
@@ -19,18 +19,18 @@
 {
     spdlog::memory_buf_t line;
     formatter_->format(message, line);
-    if (buffer_.size() + line.size() > BufferBytes) {
+    if (buffer_.size() + line.size() > MaxBufferBytes) {
         ++dropped_;
         return;
     }
     buffer_.append(line.data(), line.size());
-    if (buffer_.size() >= WriteFrom) {
+    if (buffer_.size() >= MinWriteBytes) {
         flush_();
     }
 }
 
 /** A pipe that polls writable takes PIPE_BUF bytes without blocking. */
-bool BoundedSink::takesMore() const
+bool BoundedSink::isWritable() const
 {
     pollfd entry {descriptor_, POLLOUT, 0};
     return ::poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
@@ -38,12 +38,12 @@
 
 void BoundedSink::flush_()
 {
-    if (dropped_ != droppedTold_ && buffer_.size() < BufferBytes / 2) {
-        buffer_ += fmt::format("event=log_dropped lines={}\n", dropped_ - droppedTold_);
-        droppedTold_ = dropped_;
+    if (dropped_ != droppedReported_ && buffer_.size() < MaxBufferBytes / 2) {
+        buffer_ += fmt::format("event=log_dropped lines={}\n", dropped_ - droppedReported_);
+        droppedReported_ = dropped_;
     }
     std::size_t written = 0;
-    while (written < buffer_.size() && takesMore()) {
+    while (written < buffer_.size() && isWritable()) {
         const std::size_t count = std::min<std::size_t>(PIPE_BUF, buffer_.size() - written);
         const ssize_t taken = ::write(descriptor_, buffer_.data() + written, count);
         if (taken <= 0) {
--- a/libs/base/src/boundedsink.h
+++ b/libs/base/src/boundedsink.h
@@ -1,6 +1,6 @@
 /**
- * A spdlog sink that never blocks: lines wait in a bounded buffer until the descriptor takes
- * them, and are counted and dropped when the buffer is full.
+ * A spdlog sink that never blocks: lines are buffered until the descriptor is writable, and are
+ * dropped and counted when the bounded buffer is full.
  */
 #pragma once
 
@@ -25,12 +25,12 @@
     void flush_() override;
 
 private:
-    bool takesMore() const;
+    bool isWritable() const;
 
     int descriptor_;
     std::string buffer_;
     std::uint64_t dropped_ = 0;
-    std::uint64_t droppedTold_ = 0;
+    std::uint64_t droppedReported_ = 0; ///< Part of dropped_ that a log line has reported.
 };
 
 } // namespace almondridge
--- a/libs/base/src/log.cpp
+++ b/libs/base/src/log.cpp
@@ -17,10 +17,10 @@
     return SpdlogLevels[static_cast<std::size_t>(level)];
 }
 
-void useLogger(std::shared_ptr<spdlog::logger> logger, LogLevel least, const std::string &instance,
-               const std::string &domain)
+void installLogger(std::shared_ptr<spdlog::logger> logger, LogLevel minLevel,
+                   const std::string &instance, const std::string &domain)
 {
-    logger->set_level(toSpdlog(least));
+    logger->set_level(toSpdlog(minLevel));
     logger->set_pattern("time=%Y-%m-%dT%H:%M:%S.%e%z level=%l instance=" + quoteLogValue(instance)
                         + " domain=" + quoteLogValue(domain) + " %v");
     spdlog::set_default_logger(std::move(logger));
@@ -28,16 +28,16 @@
 
 } // namespace
 
-void startLog(LogLevel least, const std::string &instance, const std::string &domain)
+void startLog(LogLevel minLevel, const std::string &instance, const std::string &domain)
 {
-    useLogger(spdlog::stderr_logger_mt("almondridge"), least, instance, domain);
+    installLogger(spdlog::stderr_logger_mt("almondridge"), minLevel, instance, domain);
 }
 
-void startBoundedLog(LogLevel least, const std::string &instance, const std::string &domain)
+void startBoundedLog(LogLevel minLevel, const std::string &instance, const std::string &domain)
 {
     auto sink = std::make_shared<BoundedSink>(STDOUT_FILENO);
-    useLogger(std::make_shared<spdlog::logger>("almondridge", std::move(sink)), least, instance,
-              domain);
+    installLogger(std::make_shared<spdlog::logger>("almondridge", std::move(sink)), minLevel,
+                  instance, domain);
 }
 
 std::uint64_t droppedLogLines()
--- a/libs/base/tests/basetest.cpp
+++ b/libs/base/tests/basetest.cpp
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(Base)
 
-BOOST_AUTO_TEST_CASE(captureKeepsTheKindAndRemedyOfAFailure)
+BOOST_AUTO_TEST_CASE(captureKeepsTheKindAndRemedyOfAnError)
 {
     const auto captured = capture(
         []() -> Result<int> { return fail(ErrorKind::Conflict, "revision 4 won", "review"); });
@@ -19,7 +19,7 @@
     BOOST_TEST(describe(error) == "conflict: revision 4 won; review");
 }
 
-BOOST_AUTO_TEST_CASE(captureTurnsALibraryExceptionIntoAnInternalError)
+BOOST_AUTO_TEST_CASE(captureTurnsAnExceptionIntoAnInternalError)
 {
     const auto captured =
         capture([]() -> Result<void> { throw std::runtime_error("from a library"); });
@@ -40,7 +40,7 @@
     BOOST_TEST(quoteLogValue("") == "\"\"");
 }
 
-BOOST_AUTO_TEST_CASE(millisUntilAPassedDeadlineIsZero)
+BOOST_AUTO_TEST_CASE(millisUntilIsZeroAfterTheDeadline)
 {
     const TimePoint now = BootClock::now();
     BOOST_TEST(millisUntil(now - millis(5), now) == 0);
--- a/libs/base/tests/boundedlogtest.cpp
+++ b/libs/base/tests/boundedlogtest.cpp
@@ -10,11 +10,11 @@
 BOOST_AUTO_TEST_SUITE(BoundedLog)
 
 /**
- * Whoever collects the logs stops reading, and the pipe is full. A blocking write would hold every
- * request of the instance; here lines are dropped and counted, and the count is on a line of its
- * own once there is room again.
+ * Guards against blocking writes to a full pipe, which would stall every request of the instance
+ * when the log collector stops reading. Lines are dropped, and a log line reports their number once
+ * the pipe has room again.
  */
-BOOST_AUTO_TEST_CASE(aReaderThatDoesNotReadNeverBlocksTheWriter)
+BOOST_AUTO_TEST_CASE(stalledReaderNeverBlocksTheWriter)
 {
     std::array<int, 2> pipe {};
     BOOST_REQUIRE(::pipe(pipe.data()) == 0);
--- a/libs/fleet/include/almondridge/fleet/entrysettings.h
+++ b/libs/fleet/include/almondridge/fleet/entrysettings.h
@@ -1,6 +1,6 @@
 /**
- * Settings of an entry instance that gets its configuration and its endpoints from a store of the
- * deployment: addresses, bounds and limits, nothing about the fleet.
+ * Settings of an entry instance that reads its configuration and endpoints from the deployment's
+ * store: addresses, time bounds and limits, nothing about the fleet.
  */
 #pragma once
 
@@ -14,47 +14,46 @@
 
 namespace almondridge::fleet {
 
-/** Addresses are "ip:port". */
+/** Addresses have the form "ip:port". */
 struct EntrySettings
 {
     InstanceId instance_;
     DomainId domain_;
-    std::string ip_;           ///< Of this machine, for peers and metrics.
-    std::string listen_;       ///< For callers.
-    std::string healthListen_; ///< For whoever asks whether callers may come.
-    int firstPeerPort_ = 0;    ///< Ports from this one on are free for messages between instances.
-    std::string store_;
-    std::int64_t graceSeconds_ = 8; ///< Between the signal to stop and the kill.
-    std::int64_t leaseTermMillis_ = 3'000;
-    /** After it was told to leave, an endpoint must get no new work for longer than this. */
+    std::string ip_;                ///< Of this machine; peers and metrics scrapers connect to it.
+    std::string listen_;            ///< Address for callers.
+    std::string healthListen_;      ///< Address for health checks.
+    int firstPeerPort_ = 0;         ///< First of the ports for messages between instances.
+    std::string store_;             ///< Address of the store.
+    std::int64_t graceSeconds_ = 8; ///< From the stop signal to the kill.
+    std::int64_t leaseTermMillis_ = 3'000; ///< Of the leader lease.
+    /** Time after which a draining endpoint must get no new requests. */
     std::int64_t leaveBoundMillis_ = 2'000;
-    /** Whether a key that was taken away must stop to work also at an instance that is cut off. */
+    /** Whether revoked keys must be refused even by an instance that is cut off from the store. */
     bool strictRevocation_ = false;
-    std::int64_t revokeBoundMillis_ = 5'000; ///< Until then, if so.
-    /** Whoever takes orders refuses lower fencing numbers than it has seen. */
+    std::int64_t revokeBoundMillis_ = 5'000; ///< If so, the time until they are refused.
+    /** Receivers of orders refuse fencing numbers lower than the highest that they have seen. */
     bool fencesAreChecked_ = false;
-    std::string operationsApi_;     ///< Where usage is reported; empty: nowhere.
-    double usageWindowSeconds_ = 0; ///< In which requests are counted; 0: usage is not reported.
-    double usageDueSeconds_ = 10;   ///< After a window's end.
-    bool ordersEndpoints_ = true;   ///< False: the sizes of services are left as they are.
-    /** Failure domains whose spot endpoints may all be gone at once without others being missing.
-     */
+    std::string operationsApi_;     ///< Address that usage is reported to; empty: none.
+    double usageWindowSeconds_ = 0; ///< Length of a reporting window; 0: usage isn't reported.
+    double usageDueSeconds_ = 10;   ///< Time for the report after a window's end.
+    bool ordersEndpoints_ = true;   ///< Whether services are scaled.
+    /** Failure domains that may lose all spot endpoints at once while capacity stays sufficient. */
     int spotLossesBorne_ = 2;
-    double secondSendRatio_ = 0.2; ///< Second sends for each request of a service.
-    double secondSendSlack_ = 10;  ///< Beside these, all instances together, in each window.
+    double secondSendRatio_ = 0.2; ///< Retry budget of a service: retries per request.
+    double secondSendSlack_ = 10;  ///< Retries beyond the ratio, of all instances, in each window.
     std::int64_t secondSendWindowSeconds_ = 10;
-    /** Until a configuration that was accepted is in force everywhere. */
+    /** Time after which an accepted configuration is in force at every instance. */
     std::int64_t configBoundMillis_ = 2'000;
-    /** The whole system starts for the first time: others start at the same moment. */
+    /** The whole system starts for the first time, with all instances starting at once. */
     bool isFirstStart_ = false;
-    double linkMbps_ = 100; ///< Of this machine.
-    int maxDescriptors_ = 1'024;
-    /** Of the keys that stand for requests; the same for all instances of a deployment. */
+    double linkMbps_ = 100;      ///< Network bandwidth of this machine in Mbit/s.
+    int maxDescriptors_ = 1'024; ///< Limit of open file descriptors.
+    /** HMAC key for request keys; the same for all instances of a deployment. */
     std::string requestKeySecret_;
     LogLevel logLevel_ = LogLevel::Info;
 };
 
-/** Reads a settings file (JSON). InvalidInput lists every wrong or unknown field at once. */
+/** Parses a settings file (JSON). InvalidInput lists all invalid or unknown fields. */
 Result<EntrySettings> parseEntrySettings(std::string_view text);
 
 } // namespace almondridge::fleet
--- a/libs/fleet/include/almondridge/fleet/fleet.h
+++ b/libs/fleet/include/almondridge/fleet/fleet.h
@@ -1,6 +1,6 @@
 /**
- * The fleet file: which models, adapters and versions run where and with what roles.
- * Plain data; FleetBuilder and parseFleet() make sure that what they return is whole.
+ * The contents of a fleet file: which models, adapters and versions run where and in which roles.
+ * Plain data, validated by FleetBuilder and parseFleet().
  */
 #pragma once
 
@@ -21,7 +21,7 @@
     {EndpointKind::Service, "service"},
 }};
 
-/** What an engine's batches are tuned for. A mixed engine does both, each a little slower. */
+/** The phase that an engine is tuned for. A mixed engine runs both, each a little slower. */
 enum class EngineRole { Prefill, Decode, Mixed };
 
 inline constexpr std::array<EnumName<EngineRole>, 3> EngineRoleNames {{
@@ -30,7 +30,7 @@
     {EngineRole::Mixed, "mixed"},
 }};
 
-/** Whether an engine refuses an order with an old fencing number. */
+/** Whether an engine refuses orders with a stale fencing number. */
 enum class Fencing { Checks, Ignores };
 
 inline constexpr std::array<EnumName<Fencing>, 2> FencingNames {{
@@ -38,7 +38,7 @@
     {Fencing::Ignores, "ignores"},
 }};
 
-/** Whether a request may be sent a second time when its first outcome is unknown. */
+/** Whether a request may be retried when the result of the first attempt is unknown. */
 enum class Repeatability { Idempotent, NonIdempotent };
 
 inline constexpr std::array<EnumName<Repeatability>, 2> RepeatabilityNames {{
@@ -64,7 +64,7 @@
     friend bool operator==(const Model &, const Model &) = default;
 };
 
-/** An engine or a service instance that requests go to. */
+/** An engine or a service process that serves requests. */
 struct Endpoint
 {
     EndpointId id_;
@@ -73,14 +73,14 @@
     std::string address_;                 ///< "ip:port".
     Fencing fencing_ = Fencing::Ignores;  ///< Engines only.
     ModelId model_;                       ///< Engines only.
-    EngineRole role_ = EngineRole::Mixed; ///< Engines only: the role to start from.
+    EngineRole role_ = EngineRole::Mixed; ///< Engines only: the initial role.
     ServiceId service_;                   ///< Services only.
-    bool leaving_ = false;                ///< Gets no new work and is drained.
+    bool leaving_ = false;                ///< Being drained: gets no new requests.
 
     friend bool operator==(const Endpoint &, const Endpoint &) = default;
 };
 
-/** The calls of a service that share a method and the beginning of a path. */
+/** The requests of a service with the same method and path prefix. */
 struct Route
 {
     std::string method_;
@@ -93,24 +93,24 @@
 struct Service
 {
     ServiceId id_;
-    std::string pathPrefix_; ///< As in "/booking"; taken off before the call is passed on.
+    std::string pathPrefix_; ///< As in "/booking"; removed before a request is forwarded.
     std::vector<Route> routes_;
 
     friend bool operator==(const Service &, const Service &) = default;
 };
 
-/** A customer of the callers' side: one API key with its share of the engines. */
+/** A client account: an API key with its share of the engines. */
 struct Account
 {
     AccountId id_;
     std::string apiKeySha256_; ///< Lower-case hex of the bearer token's SHA-256.
-    double share_ = 1.0;       ///< Weight against other accounts.
-    int priority_ = 0;         ///< Passed on to engines; higher goes first.
+    double share_ = 1.0;       ///< Weight relative to other accounts.
+    int priority_ = 0;         ///< Passed on to engines; higher values are served first.
 
     friend bool operator==(const Account &, const Account &) = default;
 };
 
-/** How many engines of a model may hold each role in one failure domain. */
+/** Limits on the number of a model's engines in each role in a failure domain. */
 struct RoleBounds
 {
     DomainId domain_;
@@ -125,17 +125,17 @@
 
 struct Policy
 {
-    double roleChangeWeight_ = 1.0; ///< Lost goodput that one role change must repay, as a factor.
-    std::int64_t minimumDwellMillis_ = 60'000; ///< Least time between two changes of one engine.
-    int maxAwayPerDomain_ = 1;                 ///< Engines changing at once in one failure domain.
-    std::int64_t firstTokenMillis_ = 320;      ///< Aim for the first token.
-    std::int64_t interTokenMillis_ = 47;       ///< Aim between tokens.
-    double retryBudget_ = 0.1;                 ///< Retries as a share of first attempts.
+    double roleChangeWeight_ = 1.0; ///< Factor on the lost goodput that a change must regain.
+    std::int64_t minimumDwellMillis_ = 60'000; ///< Minimum time between role changes of an engine.
+    int maxAwayPerDomain_ = 1; ///< Engines of a failure domain that may change role at once.
+    std::int64_t firstTokenMillis_ = 320; ///< Target for the time to first token.
+    std::int64_t interTokenMillis_ = 47;  ///< Target for the time between tokens.
+    double retryBudget_ = 0.1;            ///< Retries as a share of first attempts.
 
     friend bool operator==(const Policy &, const Policy &) = default;
 };
 
-/** A whole fleet file. */
+/** A fleet file. */
 struct Fleet
 {
     std::string name_;
--- a/libs/fleet/include/almondridge/fleet/fleetbuilder.h
+++ b/libs/fleet/include/almondridge/fleet/fleetbuilder.h
@@ -1,5 +1,5 @@
 /**
- * Builds a fleet in code, for tools and tests, under the same rules as a fleet file.
+ * Builds a fleet in code, for tools and tests, with the same validation as a fleet file.
  */
 #pragma once
 
@@ -30,7 +30,8 @@
     FleetBuilder &roleBounds(RoleBounds bounds);
     FleetBuilder &policy(Policy policy);
 
-    /** The whole fleet. InvalidInput lists every wrong field at once, as parseFleet() does. */
+    /** Validates and returns the fleet. InvalidInput lists all invalid fields, as in parseFleet().
+     */
     Result<Fleet> build() const;
 
 private:
--- a/libs/fleet/include/almondridge/fleet/fleetfile.h
+++ b/libs/fleet/include/almondridge/fleet/fleetfile.h
@@ -1,5 +1,5 @@
 /**
- * Reading, checking, writing and comparing fleet files (JSON).
+ * Parsing, validating, writing and comparing fleet files (JSON).
  */
 #pragma once
 
@@ -11,29 +11,30 @@
 namespace almondridge::fleet {
 
 /**
- * Reads a fleet file. InvalidInput lists every wrong field at once: unknown fields, wrong types,
- * dangling names, duplicate ids or addresses, bounds that no engine count can meet.
+ * Parses a fleet file. InvalidInput lists all invalid fields: unknown fields, wrong types,
+ * references to missing objects, duplicate ids or addresses, role bounds that need more engines
+ * than there are.
  */
 Result<Fleet> parseFleet(std::string_view text);
 
-/** The file's text; parseFleet() of it gives an equal Fleet. */
+/** The fleet as the text of a file, which parseFleet() parses to an equal Fleet. */
 std::string writeFleet(const Fleet &fleet);
 
-/** One difference between two fleets, as in path "endpoints.e3.role", "decode", "prefill". */
+/** A difference between two fleets, as in "endpoints.e3.role", "decode", "prefill". */
 struct FleetChange
 {
     std::string path_;
-    std::string before_; ///< Empty when the thing is new.
-    std::string after_;  ///< Empty when the thing is removed.
+    std::string before_; ///< Empty if the value was added.
+    std::string after_;  ///< Empty if the value was removed.
 };
 
-/** What changes from one fleet to the next, ordered by path. */
+/** The differences from one fleet to another, ordered by path. */
 std::vector<FleetChange> diffFleets(const Fleet &before, const Fleet &after);
 
-/** The service whose path prefix begins path, the longest one first; null when there is none. */
+/** The service with the longest path prefix that matches the path; null if there is none. */
 const Service *findService(const Fleet &fleet, std::string_view path) noexcept;
 
-/** Whether the call may be repeated: by its route, else GET and HEAD only. */
+/** Whether a request may be repeated: by its route, or else by its method (GET and HEAD). */
 Repeatability repeatabilityOf(const Service &service, std::string_view method,
                               std::string_view pathInService) noexcept;
 
--- a/libs/fleet/src/entrysettings.cpp
+++ b/libs/fleet/src/entrysettings.cpp
@@ -5,14 +5,14 @@
 namespace almondridge::fleet {
 namespace {
 
-constexpr Whole Millis {1, 3'600'000};
-constexpr Whole Seconds {1, 3'600};
-constexpr Whole Port {1, 65'535};
-constexpr Whole Count {1, 10'000'000};
-constexpr Real Ratio {0, 100};
-constexpr Whole Domains {0, 100};
-constexpr Real Span {0.1, 3'600};
-constexpr Real Slack {0, 1'000'000};
+constexpr IntegerRange Millis {1, 3'600'000};
+constexpr IntegerRange Seconds {1, 3'600};
+constexpr IntegerRange Port {1, 65'535};
+constexpr IntegerRange Count {1, 10'000'000};
+constexpr NumberRange Ratio {0, 100};
+constexpr IntegerRange Domains {0, 100};
+constexpr NumberRange SecondsRange {0.1, 3'600};
+constexpr NumberRange Slack {0, 1'000'000};
 
 constexpr auto EntryFields = std::make_tuple(
     required("instance", &EntrySettings::instance_, Text {NameText}),
@@ -22,18 +22,18 @@
     required("healthListen", &EntrySettings::healthListen_, Text {AddressText}),
     required("firstPeerPort", &EntrySettings::firstPeerPort_, Port),
     required("store", &EntrySettings::store_, Text {AddressText}),
-    optional("firstStart", &EntrySettings::isFirstStart_, Flag {}),
+    optional("firstStart", &EntrySettings::isFirstStart_, Boolean {}),
     optional("graceSeconds", &EntrySettings::graceSeconds_, Seconds),
     optional("leaseTermMillis", &EntrySettings::leaseTermMillis_, Millis),
     optional("leaveBoundMillis", &EntrySettings::leaveBoundMillis_, Millis),
     optional("configBoundMillis", &EntrySettings::configBoundMillis_, Millis),
-    optional("strictRevocation", &EntrySettings::strictRevocation_, Flag {}),
+    optional("strictRevocation", &EntrySettings::strictRevocation_, Boolean {}),
     optional("revokeBoundMillis", &EntrySettings::revokeBoundMillis_, Millis),
-    optional("fencesAreChecked", &EntrySettings::fencesAreChecked_, Flag {}),
+    optional("fencesAreChecked", &EntrySettings::fencesAreChecked_, Boolean {}),
     optional("operationsApi", &EntrySettings::operationsApi_, Text {AddressText}),
-    optional("usageWindowSeconds", &EntrySettings::usageWindowSeconds_, Span),
-    optional("usageDueSeconds", &EntrySettings::usageDueSeconds_, Span),
-    optional("ordersEndpoints", &EntrySettings::ordersEndpoints_, Flag {}),
+    optional("usageWindowSeconds", &EntrySettings::usageWindowSeconds_, SecondsRange),
+    optional("usageDueSeconds", &EntrySettings::usageDueSeconds_, SecondsRange),
+    optional("ordersEndpoints", &EntrySettings::ordersEndpoints_, Boolean {}),
     optional("spotLossesBorne", &EntrySettings::spotLossesBorne_, Domains),
     optional("secondSendRatio", &EntrySettings::secondSendRatio_, Ratio),
     optional("secondSendSlack", &EntrySettings::secondSendSlack_, Slack),
@@ -50,7 +50,7 @@
     BOOST_LEAF_AUTO(json, parseJson(text));
     std::vector<FieldError> errors;
     EntrySettings settings;
-    const FieldReader root(errors);
+    const FieldContext root(errors);
     object(EntryFields).read(root, json, settings);
     BOOST_LEAF_CHECK(failOnErrors(std::move(errors), "settings file"));
     return settings;
--- a/libs/fleet/src/fieldcontext.cpp
+++ b/libs/fleet/src/fieldcontext.cpp
@@ -11,8 +11,8 @@
 constexpr int MaxDepth = 16;
 constexpr std::size_t MaxShownBytes = 60;
 
-/** Text as it may go to a terminal: short, without control characters. */
-std::string shown(std::string_view text)
+/** The text shortened and without control characters, to be safe on a terminal. */
+std::string printable(std::string_view text)
 {
     const bool cut = text.size() > MaxShownBytes;
     std::string result(text.substr(0, MaxShownBytes));
@@ -25,7 +25,7 @@
     return cut ? result + "..." : result;
 }
 
-std::string shownValue(const Json &value)
+std::string printableValue(const Json &value)
 {
     if (value.is_object()) {
         return "(object)";
@@ -34,36 +34,37 @@
         return "(list)";
     }
     if (value.is_string()) {
-        return '"' + shown(value.get_ref<const std::string &>()) + '"';
+        return '"' + printable(value.get_ref<const std::string &>()) + '"';
     }
     return value.dump();
 }
 
-/** Notes duplicate keys and too deep nesting while the library parses. */
-class ParseWatch
+/** Parser callback that detects duplicate keys and excessive nesting. */
+class ParseChecker
 {
 public:
-    explicit ParseWatch(std::vector<FieldError> &errors)
+    explicit ParseChecker(std::vector<FieldError> &errors)
         : errors_(&errors)
     { }
 
     bool operator()(int depth, Json::parse_event_t event, const Json &parsed)
     {
         if (depth > MaxDepth) {
-            noteTooDeep();
+            reportTooDeep();
             return false;
         }
         if (event == Json::parse_event_t::object_start) {
             keys_[static_cast<std::size_t>(depth)].clear();
         }
         if (event == Json::parse_event_t::key) {
-            noteKey(static_cast<std::size_t>(depth), parsed.get_ref<const std::string &>());
+            checkDuplicateKey(static_cast<std::size_t>(depth),
+                              parsed.get_ref<const std::string &>());
         }
         return true;
     }
 
 private:
-    void noteTooDeep()
+    void reportTooDeep()
     {
         if (!tooDeep_) {
             errors_->push_back({"(file)", "nested too deep", "nest at most 16 levels"});
@@ -71,11 +72,11 @@
         tooDeep_ = true;
     }
 
-    void noteKey(std::size_t depth, const std::string &key)
+    void checkDuplicateKey(std::size_t depth, const std::string &key)
     {
-        // A key event comes one level deeper than the start of its object.
+        // The depth of a key is one more than that of its object's start.
         if (!keys_[depth - 1].insert(key).second) {
-            errors_->push_back({shown(key), "(stands twice)", "keep one of the two"});
+            errors_->push_back({printable(key), "(duplicate key)", "keep one of the two"});
         }
     }
 
@@ -86,34 +87,34 @@
 
 } // namespace
 
-FieldReader FieldReader::member(std::string_view key) const
+FieldContext FieldContext::member(std::string_view key) const
 {
-    return {*errors_, path_.empty() ? shown(key) : path_ + "." + shown(key)};
+    return {*errors_, path_.empty() ? printable(key) : path_ + "." + printable(key)};
 }
 
-FieldReader FieldReader::element(std::size_t index) const
+FieldContext FieldContext::element(std::size_t index) const
 {
     return {*errors_, path_ + "[" + std::to_string(index) + "]"};
 }
 
-void FieldReader::refuse(const Json &value, std::string remedy) const
+void FieldContext::addError(const Json &value, std::string remedy) const
 {
-    refuseText(shownValue(value), std::move(remedy));
+    addErrorText(printableValue(value), std::move(remedy));
 }
 
-void FieldReader::refuseText(std::string value, std::string remedy) const
+void FieldContext::addErrorText(std::string value, std::string remedy) const
 {
     errors_->push_back({path_.empty() ? "(file)" : path_, std::move(value), std::move(remedy)});
 }
 
-void FieldReader::refuseMissing(const std::string &remedy) const
+void FieldContext::addMissingError(const std::string &remedy) const
 {
-    refuseText("(missing)", "add it: " + remedy);
+    addErrorText("(missing)", "add it: " + remedy);
 }
 
-void FieldReader::refuseSecret(std::string remedy) const
+void FieldContext::addSecretError(std::string remedy) const
 {
-    refuseText("(not shown)", std::move(remedy));
+    addErrorText("(not shown)", std::move(remedy));
 }
 
 Result<Json> parseJson(std::string_view text)
@@ -122,13 +123,13 @@
         return fail(ErrorKind::InvalidInput, "the file is longer than 16 MiB", "shorten it");
     }
     std::vector<FieldError> errors;
-    ParseWatch watch(errors);
+    ParseChecker checker(errors);
     Json json;
     try {
-        json = Json::parse(text, std::ref(watch));
+        json = Json::parse(text, std::ref(checker));
     } catch (const Json::exception &failure) {
         return fail(ErrorKind::InvalidInput, "not JSON: " + std::string(failure.what()),
-                    "mend the file at the place named");
+                    "correct the file at the position given");
     }
     BOOST_LEAF_CHECK(failOnErrors(std::move(errors), "file"));
     return json;
@@ -143,7 +144,7 @@
     return fail(Error {ErrorKind::InvalidInput,
                        count + " wrong field" + (errors.size() == 1 ? "" : "s") + " in the "
                            + std::string(what),
-                       "mend the fields listed and try again", std::move(errors)});
+                       "correct the listed fields and try again", std::move(errors)});
 }
 
 } // namespace almondridge::fleet
--- a/libs/fleet/src/fieldcontext.h
+++ b/libs/fleet/src/fieldcontext.h
@@ -1,5 +1,5 @@
 /**
- * Where a value stands in a JSON file, and the list that its errors go to.
+ * Parsing of JSON files, and collection of errors with the path of the field concerned.
  */
 #pragma once
 
@@ -12,30 +12,32 @@
 
 namespace almondridge::fleet {
 
-/** For reading: std::map inside, so that a hostile file with a million keys stays cheap. */
+/** For parsing: based on std::map, so that a hostile file with a million keys stays cheap. */
 using Json = nlohmann::json;
-/** For writing: keeps the order of the tables of fields. */
+/** For writing: keeps the order of the field tables. */
 using OrderedJson = nlohmann::ordered_json;
 
-class FieldReader
+/** The path of a value in a file, and the list that its errors are added to. */
+class FieldContext
 {
 public:
-    /** The root of a file. errors must outlive the reader. */
-    explicit FieldReader(std::vector<FieldError> &errors)
+    /** The root of a file. errors must outlive this object. */
+    explicit FieldContext(std::vector<FieldError> &errors)
         : errors_(&errors)
     { }
 
-    FieldReader member(std::string_view key) const;
-    FieldReader element(std::size_t index) const;
+    FieldContext member(std::string_view key) const;
+    FieldContext element(std::size_t index) const;
 
-    void refuse(const Json &value, std::string remedy) const;
-    void refuseText(std::string value, std::string remedy) const;
-    void refuseMissing(const std::string &remedy) const;
-    /** Keeps the value out of the error: it may be a key or password. */
-    void refuseSecret(std::string remedy) const;
+    /** Adds an error that shows the value. */
+    void addError(const Json &value, std::string remedy) const;
+    void addErrorText(std::string value, std::string remedy) const;
+    void addMissingError(const std::string &remedy) const;
+    /** Adds an error without the value, which may be a key or password. */
+    void addSecretError(std::string remedy) const;
 
 private:
-    FieldReader(std::vector<FieldError> &errors, std::string path)
+    FieldContext(std::vector<FieldError> &errors, std::string path)
         : errors_(&errors)
         , path_(std::move(path))
     { }
@@ -45,12 +47,12 @@
 };
 
 /**
- * Reads JSON text. Beside what JSON itself forbids it refuses keys that stand twice in an object
- * (JSON readers disagree on which one counts), files over 16 MiB and nesting beyond 16 levels.
+ * Parses JSON text. Besides invalid JSON it refuses duplicate keys in an object (JSON parsers
+ * disagree on which one counts), files over 16 MiB and nesting beyond 16 levels.
  */
 Result<Json> parseJson(std::string_view text);
 
-/** Fails with all errors when there are any. what names the file, as in "fleet file". */
+/** Fails with InvalidInput if there are errors. what names the file, as in "fleet file". */
 Result<void> failOnErrors(std::vector<FieldError> errors, std::string_view what);
 
 } // namespace almondridge::fleet
--- a/libs/fleet/src/fieldrules.h
+++ b/libs/fleet/src/fieldrules.h
@@ -1,6 +1,6 @@
 /**
- * Tables of fields: one table both reads an object from JSON and writes it. A rule reads one
- * value, reports what is wrong with it, and writes it back.
+ * Field tables: a table describes how an object is read from JSON and written to it. A rule reads
+ * one value and reports errors, or writes it.
  */
 #pragma once
 
@@ -15,45 +15,46 @@
 
 namespace almondridge::fleet {
 
-enum class Need { Required, Optional };
+enum class Presence { Required, Optional };
 
-/** One member of Object under its key in the file. */
+/** A member of Object, with its key in the file. */
 template <typename Object, typename Member, typename Rule>
 struct Field
 {
     std::string_view key_;
     Member Object::*member_;
     Rule rule_;
-    Need need_;
+    Presence presence_;
 };
 
 template <typename Object, typename Member, typename Rule>
 constexpr Field<Object, Member, Rule> required(std::string_view key, Member Object::*member,
                                                Rule rule)
 {
-    return {key, member, rule, Need::Required};
+    return {key, member, rule, Presence::Required};
 }
 
 template <typename Object, typename Member, typename Rule>
 constexpr Field<Object, Member, Rule> optional(std::string_view key, Member Object::*member,
                                                Rule rule)
 {
-    return {key, member, rule, Need::Optional};
+    return {key, member, rule, Presence::Optional};
 }
 
+/** Strings accepted by a TextRule. */
 struct Text
 {
     TextRule rule_;
 
     template <typename Value>
-    void read(const FieldReader &at, const Json &value, Value &out) const
+    void read(const FieldContext &at, const Json &value, Value &out) const
     {
         if (value.is_string() && rule_.accepts_(value.get_ref<const std::string &>())) {
             out = Value(value.get<std::string>());
         } else if (rule_.secret_) {
-            at.refuseSecret(remedy());
+            at.addSecretError(remedy());
         } else {
-            at.refuse(value, remedy());
+            at.addError(value, remedy());
         }
     }
     OrderedJson write(const std::string &value) const { return value; }
@@ -65,20 +66,20 @@
     std::string remedy() const { return std::string(rule_.remedy_); }
 };
 
-/** Whole numbers from min_ to max_. */
-struct Whole
+/** Integers from min_ to max_. */
+struct IntegerRange
 {
     std::int64_t min_;
     std::int64_t max_;
 
     template <typename Value>
-    void read(const FieldReader &at, const Json &value, Value &out) const
+    void read(const FieldContext &at, const Json &value, Value &out) const
     {
         constexpr auto Limit = static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max());
         const bool fits = value.is_number_unsigned() ? value.get<std::uint64_t>() <= Limit
                                                      : value.is_number_integer();
         if (!fits || value.get<std::int64_t>() < min_ || value.get<std::int64_t>() > max_) {
-            at.refuse(value, remedy());
+            at.addError(value, remedy());
             return;
         }
         out = static_cast<Value>(value.get<std::int64_t>());
@@ -95,18 +96,18 @@
 };
 
 /** Numbers from min_ to max_. */
-struct Real
+struct NumberRange
 {
     double min_;
     double max_;
 
-    void read(const FieldReader &at, const Json &value, double &out) const
+    void read(const FieldContext &at, const Json &value, double &out) const
     {
-        // Written so that a NaN is refused as well.
+        // With comparisons in this form, NaN is refused too.
         const bool fits =
             value.is_number() && value.get<double>() >= min_ && value.get<double>() <= max_;
         if (!fits) {
-            at.refuse(value, remedy());
+            at.addError(value, remedy());
             return;
         }
         out = value.get<double>();
@@ -118,12 +119,13 @@
     }
 };
 
-struct Flag
+/** Booleans. */
+struct Boolean
 {
-    void read(const FieldReader &at, const Json &value, bool &out) const
+    void read(const FieldContext &at, const Json &value, bool &out) const
     {
         if (!value.is_boolean()) {
-            at.refuse(value, remedy());
+            at.addError(value, remedy());
             return;
         }
         out = value.get<bool>();
@@ -132,12 +134,13 @@
     std::string remedy() const { return "write true or false"; }
 };
 
+/** Enum values by name. */
 template <typename Enum, std::size_t size>
 struct Choice
 {
     const std::array<EnumName<Enum>, size> *names_;
 
-    void read(const FieldReader &at, const Json &value, Enum &out) const
+    void read(const FieldContext &at, const Json &value, Enum &out) const
     {
         if (value.is_string()) {
             if (const auto found = valueOf(*names_, value.get_ref<const std::string &>())) {
@@ -145,7 +148,7 @@
                 return;
             }
         }
-        at.refuse(value, remedy());
+        at.addError(value, remedy());
     }
     OrderedJson write(Enum value) const { return std::string(nameOf(*names_, value)); }
     std::string remedy() const { return "write one of: " + namesOf(*names_); }
@@ -157,16 +160,17 @@
     return {&names};
 }
 
+/** Lists of values for which the same rule holds. */
 template <typename Rule>
 struct List
 {
     Rule rule_;
 
     template <typename Value>
-    void read(const FieldReader &at, const Json &value, std::vector<Value> &out) const
+    void read(const FieldContext &at, const Json &value, std::vector<Value> &out) const
     {
         if (!value.is_array()) {
-            at.refuse(value, remedy());
+            at.addError(value, remedy());
             return;
         }
         out.clear();
@@ -192,21 +196,21 @@
     return {rule};
 }
 
-/** An object whose fields stand in table_. */
+/** Objects with the fields in table_. */
 template <typename Table>
 struct Object
 {
     const Table *table_;
 
     template <typename Value>
-    void read(const FieldReader &at, const Json &value, Value &out) const
+    void read(const FieldContext &at, const Json &value, Value &out) const
     {
         if (!value.is_object()) {
-            at.refuse(value, remedy());
+            at.addError(value, remedy());
             return;
         }
         std::apply([&](const auto &...field) { (readField(at, value, out, field), ...); }, *table_);
-        refuseUnknown(at, value);
+        checkUnknownFields(at, value);
     }
 
     template <typename Value>
@@ -225,28 +229,28 @@
 
 private:
     template <typename Value, typename FieldType>
-    static void readField(const FieldReader &at, const Json &object, Value &out,
+    static void readField(const FieldContext &at, const Json &object, Value &out,
                           const FieldType &field)
     {
-        const FieldReader here = at.member(field.key_);
+        const FieldContext here = at.member(field.key_);
         const auto found = object.find(field.key_);
         if (found != object.end()) {
             field.rule_.read(here, *found, out.*field.member_);
-        } else if (field.need_ == Need::Required) {
-            here.refuseMissing(field.rule_.remedy());
+        } else if (field.presence_ == Presence::Required) {
+            here.addMissingError(field.rule_.remedy());
         }
     }
 
-    void refuseUnknown(const FieldReader &at, const Json &object) const
+    void checkUnknownFields(const FieldContext &at, const Json &object) const
     {
         for (const auto &[key, value] : object.items()) {
-            if (!knows(key)) {
-                at.member(key).refuse(value, "remove it; the fields here are " + keys());
+            if (!hasField(key)) {
+                at.member(key).addError(value, "remove it; the fields here are " + keys());
             }
         }
     }
 
-    bool knows(std::string_view key) const
+    bool hasField(std::string_view key) const
     {
         return std::apply([&](const auto &...field) { return ((field.key_ == key) || ...); },
                           *table_);
--- a/libs/fleet/src/fleetbuilder.cpp
+++ b/libs/fleet/src/fleetbuilder.cpp
@@ -70,7 +70,7 @@
 
 Result<Fleet> FleetBuilder::build() const
 {
-    // Goes through the file's own reader, so that no rule can stand in one place only.
+    // Uses the parser of fleet files, so that both apply the same rules.
     return fleetFromJson(Json(writeDraft(*draft_)));
 }
 
--- a/libs/fleet/src/fleetcheck.cpp
+++ b/libs/fleet/src/fleetcheck.cpp
@@ -6,26 +6,27 @@
 namespace almondridge::fleet {
 namespace {
 
-/** Empty names were refused when they were read; a second error for them would only confuse. */
+/** Checks that a referenced object exists. Empty names have been reported when they were read. */
 template <typename Id>
-void checkKnown(const FieldReader &at, const Id &id, const std::set<Id> &known,
-                std::string_view list)
+void checkReference(const FieldContext &at, const Id &id, const std::set<Id> &known,
+                    std::string_view list)
 {
     if (!id.empty() && known.count(id) == 0) {
-        at.refuseText('"' + id.value() + '"',
-                      "name one of " + std::string(list) + ", or add it there");
+        at.addErrorText('"' + id.value() + '"',
+                        "name one of " + std::string(list) + ", or add it there");
     }
 }
 
-/** Refuses every second use of a value. */
+/** Reports values that occur more than once. */
 template <typename Value>
 class Uniqueness
 {
 public:
-    void check(const FieldReader &at, const Value &value, const std::string &shown)
+    void check(const FieldContext &at, const Value &value, const std::string &shown)
     {
         if (!shown.empty() && !seen_.insert(value).second) {
-            at.refuseText('"' + shown + '"', "write it once; it stands here before");
+            at.addErrorText('"' + shown + '"',
+                            "write it once; it is a duplicate of an earlier entry");
         }
     }
 
@@ -44,7 +45,7 @@
 }
 
 template <typename Value>
-void checkIds(const FieldReader &list, const std::vector<Value> &values)
+void checkIds(const FieldContext &list, const std::vector<Value> &values)
 {
     Uniqueness<decltype(values.front().id_)> unique;
     for (std::size_t index = 0; index < values.size(); ++index) {
@@ -53,11 +54,11 @@
     }
 }
 
-void checkDomains(const FieldReader &root, const FleetDraft &draft)
+void checkDomains(const FieldContext &root, const FleetDraft &draft)
 {
-    const FieldReader list = root.member("domains");
+    const FieldContext list = root.member("domains");
     if (draft.domains_.empty()) {
-        list.refuseText("(empty)", "name at least one failure domain");
+        list.addErrorText("(empty)", "name at least one failure domain");
     }
     Uniqueness<DomainId> unique;
     for (std::size_t index = 0; index < draft.domains_.size(); ++index) {
@@ -65,16 +66,16 @@
     }
 }
 
-void checkModels(const FieldReader &root, const FleetDraft &draft)
+void checkModels(const FieldContext &root, const FleetDraft &draft)
 {
-    const FieldReader list = root.member("models");
+    const FieldContext list = root.member("models");
     checkIds(list, draft.models_);
     for (std::size_t index = 0; index < draft.models_.size(); ++index) {
         checkIds(list.element(index).member("adapters"), draft.models_[index].adapters_);
     }
 }
 
-void checkRoutes(const FieldReader &list, const std::vector<Route> &routes)
+void checkRoutes(const FieldContext &list, const std::vector<Route> &routes)
 {
     Uniqueness<std::string> unique;
     for (std::size_t index = 0; index < routes.size(); ++index) {
@@ -83,9 +84,9 @@
     }
 }
 
-void checkServices(const FieldReader &root, const FleetDraft &draft)
+void checkServices(const FieldContext &root, const FleetDraft &draft)
 {
-    const FieldReader list = root.member("services");
+    const FieldContext list = root.member("services");
     checkIds(list, draft.services_);
     Uniqueness<std::string> prefixes;
     for (std::size_t index = 0; index < draft.services_.size(); ++index) {
@@ -96,9 +97,9 @@
     }
 }
 
-void checkEndpoints(const FieldReader &root, const FleetDraft &draft)
+void checkEndpoints(const FieldContext &root, const FleetDraft &draft)
 {
-    const FieldReader list = root.member("endpoints");
+    const FieldContext list = root.member("endpoints");
     checkIds(list, draft.endpoints_);
     const std::set<DomainId> domains(draft.domains_.begin(), draft.domains_.end());
     const auto models = idsOf(draft.models_);
@@ -106,17 +107,17 @@
     Uniqueness<std::string> addresses;
     for (std::size_t index = 0; index < draft.endpoints_.size(); ++index) {
         const Endpoint &endpoint = draft.endpoints_[index];
-        const FieldReader at = list.element(index);
-        checkKnown(at.member("domain"), endpoint.domain_, domains, "domains");
-        checkKnown(at.member("model"), endpoint.model_, models, "models");
-        checkKnown(at.member("service"), endpoint.service_, services, "services");
+        const FieldContext at = list.element(index);
+        checkReference(at.member("domain"), endpoint.domain_, domains, "domains");
+        checkReference(at.member("model"), endpoint.model_, models, "models");
+        checkReference(at.member("service"), endpoint.service_, services, "services");
         addresses.check(at.member("address"), endpoint.address_, endpoint.address_);
     }
 }
 
-void checkAccounts(const FieldReader &root, const FleetDraft &draft)
+void checkAccounts(const FieldContext &root, const FleetDraft &draft)
 {
-    const FieldReader list = root.member("accounts");
+    const FieldContext list = root.member("accounts");
     checkIds(list, draft.accounts_);
     Uniqueness<std::string> keys;
     for (std::size_t index = 0; index < draft.accounts_.size(); ++index) {
@@ -126,7 +127,7 @@
     }
 }
 
-/** Engines that the planner can give a role: those that stay. */
+/** Engines that the planner can assign a role to: those that aren't leaving. */
 std::int64_t countEngines(const FleetDraft &draft, const RoleBounds &bounds)
 {
     return std::count_if(
@@ -136,35 +137,35 @@
         });
 }
 
-void checkBounds(const FieldReader &at, const RoleBounds &bounds, std::int64_t engines)
+void checkBounds(const FieldContext &at, const RoleBounds &bounds, std::int64_t engines)
 {
     if (bounds.minPrefill_ > bounds.maxPrefill_) {
         at.member("minPrefill")
-            .refuseText(std::to_string(bounds.minPrefill_), "write at most maxPrefill");
+            .addErrorText(std::to_string(bounds.minPrefill_), "write at most maxPrefill");
     }
     if (bounds.minDecode_ > bounds.maxDecode_) {
         at.member("minDecode")
-            .refuseText(std::to_string(bounds.minDecode_), "write at most maxDecode");
+            .addErrorText(std::to_string(bounds.minDecode_), "write at most maxDecode");
     }
-    const std::int64_t least = std::int64_t {bounds.minPrefill_} + bounds.minDecode_;
-    if (least > engines) {
-        at.refuseText("minPrefill + minDecode = " + std::to_string(least),
-                      "ask for at most the " + std::to_string(engines)
-                          + " engines that the model has in this failure domain and that stay");
+    const std::int64_t minEngines = std::int64_t {bounds.minPrefill_} + bounds.minDecode_;
+    if (minEngines > engines) {
+        at.addErrorText("minPrefill + minDecode = " + std::to_string(minEngines),
+                        "ask for at most the " + std::to_string(engines)
+                            + " engines of the model in this failure domain that aren't leaving");
     }
 }
 
-void checkRoleBounds(const FieldReader &root, const FleetDraft &draft)
+void checkRoleBounds(const FieldContext &root, const FleetDraft &draft)
 {
-    const FieldReader list = root.member("roleBounds");
+    const FieldContext list = root.member("roleBounds");
     const std::set<DomainId> domains(draft.domains_.begin(), draft.domains_.end());
     const auto models = idsOf(draft.models_);
     Uniqueness<std::string> unique;
     for (std::size_t index = 0; index < draft.roleBounds_.size(); ++index) {
         const RoleBounds &bounds = draft.roleBounds_[index];
-        const FieldReader at = list.element(index);
-        checkKnown(at.member("domain"), bounds.domain_, domains, "domains");
-        checkKnown(at.member("model"), bounds.model_, models, "models");
+        const FieldContext at = list.element(index);
+        checkReference(at.member("domain"), bounds.domain_, domains, "domains");
+        checkReference(at.member("model"), bounds.model_, models, "models");
         const std::string pair = bounds.domain_.value() + " " + bounds.model_.value();
         unique.check(at, pair, pair);
         checkBounds(at, bounds, countEngines(draft, bounds));
@@ -175,7 +176,7 @@
 
 void checkDraft(const FleetDraft &draft, std::vector<FieldError> &errors)
 {
-    const FieldReader root(errors);
+    const FieldContext root(errors);
     checkDomains(root, draft);
     checkModels(root, draft);
     checkServices(root, draft);
--- a/libs/fleet/src/fleetdiff.cpp
+++ b/libs/fleet/src/fleetdiff.cpp
@@ -7,9 +7,9 @@
 namespace almondridge::fleet {
 namespace {
 
-/** The list as an object under each element's own name, so that order does not matter. */
+/** Turns the list into an object keyed by the elements' names, so that order doesn't matter. */
 template <typename NameOf>
-Json keyed(const Json &list, NameOf nameOfElement)
+Json keyedBy(const Json &list, NameOf nameOfElement)
 {
     Json object = Json::object();
     for (const Json &element : list) {
@@ -23,35 +23,35 @@
     return element.at("id").get<std::string>();
 }
 
-std::string wholeText(const Json &element)
+std::string stringOf(const Json &element)
 {
     return element.get<std::string>();
 }
 
-std::string callOf(const Json &route)
+std::string routeKey(const Json &route)
 {
     return route.at("method").get<std::string>() + " " + route.at("pathPrefix").get<std::string>();
 }
 
-std::string boundsOf(const Json &bounds)
+std::string boundsKey(const Json &bounds)
 {
     return bounds.at("domain").get<std::string>() + "/" + bounds.at("model").get<std::string>();
 }
 
-Json comparable(const Fleet &fleet)
+Json toComparableJson(const Fleet &fleet)
 {
     Json json = writeDraft(draftOf(fleet));
     for (Json &model : json["models"]) {
-        model["adapters"] = keyed(model["adapters"], idOf);
+        model["adapters"] = keyedBy(model["adapters"], idOf);
     }
     for (Json &service : json["services"]) {
-        service["routes"] = keyed(service["routes"], callOf);
+        service["routes"] = keyedBy(service["routes"], routeKey);
     }
     for (const char *list : {"models", "services", "endpoints", "accounts"}) {
-        json[list] = keyed(json[list], idOf);
+        json[list] = keyedBy(json[list], idOf);
     }
-    json["domains"] = keyed(json["domains"], wholeText);
-    json["roleBounds"] = keyed(json["roleBounds"], boundsOf);
+    json["domains"] = keyedBy(json["domains"], stringOf);
+    json["roleBounds"] = keyedBy(json["roleBounds"], boundsKey);
     return json;
 }
 
@@ -61,7 +61,7 @@
                              : value.dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
-/** Depth is bounded by the schema: the deepest path is models.ID.adapters.ID.version. */
+/** The schema bounds the recursion: the deepest path is models.ID.adapters.ID.version. */
 // NOLINTNEXTLINE(misc-no-recursion)
 void compare(const std::string &path, const Json &before, const Json &after,
              std::vector<FleetChange> &changes)
@@ -94,7 +94,7 @@
 std::vector<FleetChange> diffFleets(const Fleet &before, const Fleet &after)
 {
     std::vector<FleetChange> changes;
-    compare("", comparable(before), comparable(after), changes);
+    compare("", toComparableJson(before), toComparableJson(after), changes);
     std::sort(
         changes.begin(), changes.end(),
         [](const FleetChange &left, const FleetChange &right) { return left.path_ < right.path_; });
--- a/libs/fleet/src/fleetdraft.h
+++ b/libs/fleet/src/fleetdraft.h
@@ -1,5 +1,5 @@
 /**
- * A fleet before it is checked: lists, so that duplicates are still seen.
+ * A fleet before validation, with lists instead of maps so that duplicates can be detected.
  */
 #pragma once
 
@@ -24,12 +24,12 @@
 FleetDraft draftOf(const Fleet &fleet);
 OrderedJson writeDraft(const FleetDraft &draft);
 
-/** Reads the fields one by one; errors go to errors. */
+/** Reads and checks each field on its own, and adds errors to errors. */
 FleetDraft readDraft(const Json &json, std::vector<FieldError> &errors);
-/** Checks what fields say about each other: names that dangle, duplicates, bounds. */
+/** Checks constraints between fields: references to missing objects, duplicates, role bounds. */
 void checkDraft(const FleetDraft &draft, std::vector<FieldError> &errors);
 
-/** Reads and checks. InvalidInput lists every wrong field at once. */
+/** Reads and validates a fleet. InvalidInput lists all invalid fields. */
 Result<Fleet> fleetFromJson(const Json &json);
 
 } // namespace almondridge::fleet
--- a/libs/fleet/src/fleetschema.cpp
+++ b/libs/fleet/src/fleetschema.cpp
@@ -16,11 +16,11 @@
     std::make_tuple(required("id", &Adapter::id_, Text {NameText}),
                     required("version", &Adapter::version_, Text {VersionText}));
 
-constexpr auto ModelFields =
-    std::make_tuple(required("id", &Model::id_, Text {NameText}),
-                    required("version", &Model::version_, Text {VersionText}),
-                    optional("adapters", &Model::adapters_, listOf(object(AdapterFields))),
-                    optional("weightBytes", &Model::weightBytes_, Whole {0, MaxWeightBytes}));
+constexpr auto ModelFields = std::make_tuple(
+    required("id", &Model::id_, Text {NameText}),
+    required("version", &Model::version_, Text {VersionText}),
+    optional("adapters", &Model::adapters_, listOf(object(AdapterFields))),
+    optional("weightBytes", &Model::weightBytes_, IntegerRange {0, MaxWeightBytes}));
 
 constexpr auto EngineFields =
     std::make_tuple(required("id", &Endpoint::id_, Text {NameText}),
@@ -30,7 +30,7 @@
                     required("fencing", &Endpoint::fencing_, choice(FencingNames)),
                     required("model", &Endpoint::model_, Text {NameText}),
                     optional("role", &Endpoint::role_, choice(EngineRoleNames)),
-                    optional("leaving", &Endpoint::leaving_, Flag {}));
+                    optional("leaving", &Endpoint::leaving_, Boolean {}));
 
 constexpr auto ServiceInstanceFields =
     std::make_tuple(required("id", &Endpoint::id_, Text {NameText}),
@@ -38,12 +38,12 @@
                     required("kind", &Endpoint::kind_, choice(EndpointKindNames)),
                     required("address", &Endpoint::address_, Text {AddressText}),
                     required("service", &Endpoint::service_, Text {NameText}),
-                    optional("leaving", &Endpoint::leaving_, Flag {}));
+                    optional("leaving", &Endpoint::leaving_, Boolean {}));
 
-/** An endpoint's other fields depend on its kind. */
+/** The fields of an endpoint depend on its kind. */
 struct EndpointRule
 {
-    void read(const FieldReader &at, const Json &value, Endpoint &out) const
+    void read(const FieldContext &at, const Json &value, Endpoint &out) const
     {
         const auto kind = value.is_object() ? value.find("kind") : value.end();
         if (kind != value.end() && *kind == nameOf(EndpointKindNames, EndpointKind::Service)) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Writes fields of the other kind too when they are set, so that reading refuses them. */
+    /** Also writes a field of the other kind if it is set, so that reading refuses it. */
     OrderedJson write(const Endpoint &endpoint) const
     {
         if (endpoint.kind_ == EndpointKind::Service) {
@@ -82,27 +82,27 @@
                     required("pathPrefix", &Service::pathPrefix_, Text {ServicePrefixText}),
                     optional("routes", &Service::routes_, listOf(object(RouteFields))));
 
-constexpr auto AccountFields =
-    std::make_tuple(required("id", &Account::id_, Text {NameText}),
-                    required("apiKeySha256", &Account::apiKeySha256_, Text {Sha256Text}),
-                    optional("share", &Account::share_, Real {MinShare, MaxFactor}),
-                    optional("priority", &Account::priority_, Whole {-MaxPriority, MaxPriority}));
+constexpr auto AccountFields = std::make_tuple(
+    required("id", &Account::id_, Text {NameText}),
+    required("apiKeySha256", &Account::apiKeySha256_, Text {Sha256Text}),
+    optional("share", &Account::share_, NumberRange {MinShare, MaxFactor}),
+    optional("priority", &Account::priority_, IntegerRange {-MaxPriority, MaxPriority}));
 
 constexpr auto RoleBoundsFields =
     std::make_tuple(required("domain", &RoleBounds::domain_, Text {NameText}),
                     required("model", &RoleBounds::model_, Text {NameText}),
-                    required("minPrefill", &RoleBounds::minPrefill_, Whole {0, MaxEngines}),
-                    required("maxPrefill", &RoleBounds::maxPrefill_, Whole {0, MaxEngines}),
-                    required("minDecode", &RoleBounds::minDecode_, Whole {0, MaxEngines}),
-                    required("maxDecode", &RoleBounds::maxDecode_, Whole {0, MaxEngines}));
+                    required("minPrefill", &RoleBounds::minPrefill_, IntegerRange {0, MaxEngines}),
+                    required("maxPrefill", &RoleBounds::maxPrefill_, IntegerRange {0, MaxEngines}),
+                    required("minDecode", &RoleBounds::minDecode_, IntegerRange {0, MaxEngines}),
+                    required("maxDecode", &RoleBounds::maxDecode_, IntegerRange {0, MaxEngines}));
 
 constexpr auto PolicyFields = std::make_tuple(
-    optional("roleChangeWeight", &Policy::roleChangeWeight_, Real {0.0, MaxFactor}),
-    optional("minimumDwellMillis", &Policy::minimumDwellMillis_, Whole {0, DayMillis}),
-    optional("maxAwayPerDomain", &Policy::maxAwayPerDomain_, Whole {1, MaxEngines}),
-    optional("firstTokenMillis", &Policy::firstTokenMillis_, Whole {1, HourMillis}),
-    optional("interTokenMillis", &Policy::interTokenMillis_, Whole {1, HourMillis}),
-    optional("retryBudget", &Policy::retryBudget_, Real {0.0, 1.0}));
+    optional("roleChangeWeight", &Policy::roleChangeWeight_, NumberRange {0.0, MaxFactor}),
+    optional("minimumDwellMillis", &Policy::minimumDwellMillis_, IntegerRange {0, DayMillis}),
+    optional("maxAwayPerDomain", &Policy::maxAwayPerDomain_, IntegerRange {1, MaxEngines}),
+    optional("firstTokenMillis", &Policy::firstTokenMillis_, IntegerRange {1, HourMillis}),
+    optional("interTokenMillis", &Policy::interTokenMillis_, IntegerRange {1, HourMillis}),
+    optional("retryBudget", &Policy::retryBudget_, NumberRange {0.0, 1.0}));
 
 constexpr auto FleetFields = std::make_tuple(
     required("name", &FleetDraft::name_, Text {NameText}),
@@ -155,7 +155,7 @@
 FleetDraft readDraft(const Json &json, std::vector<FieldError> &errors)
 {
     FleetDraft draft;
-    object(FleetFields).read(FieldReader(errors), json, draft);
+    object(FleetFields).read(FieldContext(errors), json, draft);
     return draft;
 }
 
--- a/libs/fleet/src/paths.cpp
+++ b/libs/fleet/src/paths.cpp
@@ -6,14 +6,14 @@
 namespace almondridge::fleet {
 namespace {
 
-/** The path without query, fragment and path parameters. */
+/** The path without query and fragment. */
 std::string_view withoutQuery(std::string_view path) noexcept
 {
     return path.substr(0, path.find_first_of("?#"));
 }
 
-/** Whether prefix ends where a segment of path ends: /booking begins /booking/7, not /bookings. */
-bool beginsAtSegment(std::string_view path, std::string_view prefix) noexcept
+/** Whether path has the prefix in whole segments: /booking matches /booking/7, not /bookings. */
+bool hasSegmentPrefix(std::string_view path, std::string_view prefix) noexcept
 {
     if (prefix.ends_with('/')) {
         prefix.remove_suffix(1);
@@ -24,7 +24,8 @@
     return path.size() == prefix.size() || path[prefix.size()] == '/' || path[prefix.size()] == ';';
 }
 
-bool hasEncodedPlainLetter(std::string_view path) noexcept
+/** Whether a percent escape is invalid or stands for a printable ASCII character. */
+bool hasUnneededEscape(std::string_view path) noexcept
 {
     constexpr int Hex = 16;
     for (std::size_t at = path.find('%'); at != std::string_view::npos;
@@ -42,14 +43,14 @@
 }
 
 /**
- * Whether the endpoint may read the path differently from us. "/search/../confirmations" and
- * "/%63onfirmations" reach a route of the endpoint that our prefixes do not see; taken at its
- * word, such a call could be repeated and send a confirmation twice.
+ * Whether the endpoint may interpret the path differently. "/search/../confirmations" and
+ * "/%63onfirmations" reach another route at the endpoint than the prefixes here match, so that a
+ * request that isn't idempotent could be repeated and send a confirmation twice.
  */
 bool isAmbiguous(std::string_view path) noexcept
 {
     return path.find("//") != std::string_view::npos || path.find("/.") != std::string_view::npos
-           || path.find('\\') != std::string_view::npos || hasEncodedPlainLetter(path);
+           || path.find('\\') != std::string_view::npos || hasUnneededEscape(path);
 }
 
 Repeatability repeatabilityOfMethod(std::string_view method) noexcept
@@ -66,7 +67,7 @@
     const Service *best = nullptr;
     for (const auto &[id, service] : fleet.services_) {
         const bool longer = !best || service.pathPrefix_.size() > best->pathPrefix_.size();
-        if (longer && beginsAtSegment(plain, service.pathPrefix_)) {
+        if (longer && hasSegmentPrefix(plain, service.pathPrefix_)) {
             best = &service;
         }
     }
@@ -83,7 +84,7 @@
     const Route *best = nullptr;
     for (const Route &route : service.routes_) {
         const bool longer = !best || route.pathPrefix_.size() > best->pathPrefix_.size();
-        if (route.method_ == method && longer && beginsAtSegment(path, route.pathPrefix_)) {
+        if (route.method_ == method && longer && hasSegmentPrefix(path, route.pathPrefix_)) {
             best = &route;
         }
     }
--- a/libs/fleet/src/textrules.cpp
+++ b/libs/fleet/src/textrules.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t MaxKeyBytes = 1'000;
 constexpr std::size_t Sha256HexBytes = 64;
 
-constexpr std::array<std::string_view, 5> OwnPrefixes {"/v1", "/admin", "/healthz", "/readyz",
-                                                       "/metrics"};
+constexpr std::array<std::string_view, 5> ReservedPrefixes {"/v1", "/admin", "/healthz", "/readyz",
+                                                            "/metrics"};
 constexpr std::array<std::string_view, 7> Methods {"GET",   "HEAD",   "POST",   "PUT",
                                                    "PATCH", "DELETE", "OPTIONS"};
 
@@ -31,15 +31,15 @@
     return isDigit(letter) || (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z');
 }
 
-bool isVisible(char letter) noexcept
+bool isPrintable(char letter) noexcept
 {
     return letter > ' ' && letter < '\x7f';
 }
 
-bool consistsOf(std::string_view text, std::string_view alsoAllowed) noexcept
+bool consistsOf(std::string_view text, std::string_view otherCharacters) noexcept
 {
     return std::all_of(text.begin(), text.end(), [&](char letter) {
-        return isAlphanumeric(letter) || alsoAllowed.find(letter) != std::string_view::npos;
+        return isAlphanumeric(letter) || otherCharacters.find(letter) != std::string_view::npos;
     });
 }
 
@@ -51,7 +51,7 @@
     return error == std::errc() && stop == end && port > 0;
 }
 
-/** A path of plain segments: nothing that two readers could understand in two ways. */
+/** A path without anything that two parsers could interpret differently. */
 bool isPlainPath(std::string_view text) noexcept
 {
     return text.size() <= MaxPathBytes && text.starts_with('/') && consistsOf(text, "/._~-")
@@ -86,11 +86,11 @@
 
 bool isServicePrefix(std::string_view text) noexcept
 {
-    const auto isOwn = [&](std::string_view prefix) {
+    const auto isReserved = [&](std::string_view prefix) {
         return text == prefix || (text.starts_with(prefix) && text[prefix.size()] == '/');
     };
     return text.size() > 1 && isPlainPath(text) && !text.ends_with('/')
-           && std::none_of(OwnPrefixes.begin(), OwnPrefixes.end(), isOwn);
+           && std::none_of(ReservedPrefixes.begin(), ReservedPrefixes.end(), isReserved);
 }
 
 bool isRoutePrefix(std::string_view text) noexcept
@@ -117,7 +117,7 @@
 
 bool isOperatorKey(std::string_view text) noexcept
 {
-    return text.size() <= MaxKeyBytes && std::all_of(text.begin(), text.end(), isVisible);
+    return text.size() <= MaxKeyBytes && std::all_of(text.begin(), text.end(), isPrintable);
 }
 
 } // namespace almondridge::fleet
--- a/libs/fleet/src/textrules.h
+++ b/libs/fleet/src/textrules.h
@@ -1,5 +1,5 @@
 /**
- * What texts of a fleet or settings file must look like.
+ * Validation of strings in fleet and settings files.
  */
 #pragma once
 
@@ -7,12 +7,12 @@
 
 namespace almondridge::fleet {
 
-/** A check on text, with the words that tell how to pass it. */
+/** A predicate for strings, and the remedy shown when it fails. */
 struct TextRule
 {
     bool (*accepts_)(std::string_view text);
     std::string_view remedy_;
-    bool secret_ = false; ///< Errors do not show the value.
+    bool secret_ = false; ///< The value isn't shown in errors.
 };
 
 bool isName(std::string_view text) noexcept;
@@ -30,9 +30,9 @@
 inline constexpr TextRule VersionText {isVersion,
                                        "write 1 to 100 letters, digits, '.', '_', '+' or '-'"};
 inline constexpr TextRule AddressText {
-    isAddress, "write an IPv4 number and a port from 1 on, as in 127.0.0.1:8080"};
+    isAddress, "write an IPv4 address and a port from 1 to 65535, as in 127.0.0.1:8080"};
 inline constexpr TextRule ServicePrefixText {
-    isServicePrefix, "write a path as in /booking, without a slash at its end, none of /v1, "
+    isServicePrefix, "write a path as in /booking, without a trailing slash, other than /v1, "
                      "/admin, /healthz, /readyz, /metrics"};
 inline constexpr TextRule RoutePrefixText {isRoutePrefix, "write a path as in /confirmations"};
 inline constexpr TextRule MethodText {isMethod,
--- a/libs/fleet/tests/entrysettingstest.cpp
+++ b/libs/fleet/tests/entrysettingstest.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-const std::string Needed = R"("instance":"i-1","domain":"a","ip":"10.0.0.1",
+const std::string RequiredFields = R"("instance":"i-1","domain":"a","ip":"10.0.0.1",
     "listen":"10.0.0.1:80","healthListen":"10.0.0.1:81","firstPeerPort":7000,
     "store":"10.0.0.2:90")";
 
-/** The fields that a settings text is wrong in. */
-std::vector<std::string> wrongFields(const std::string &text)
+/** The fields in which a settings text has errors. */
+std::vector<std::string> invalidFields(const std::string &text)
 {
     const auto captured = capture([&] { return parseEntrySettings(text); });
     std::vector<std::string> fields;
@@ -28,22 +28,23 @@
 
 BOOST_AUTO_TEST_SUITE(EntrySettingsFile)
 
-BOOST_AUTO_TEST_CASE(whatIsNotGivenHasItsDefault)
+BOOST_AUTO_TEST_CASE(missingFieldsHaveDefaults)
 {
-    const EntrySettings settings = parseEntrySettings("{" + Needed + "}").value();
+    const EntrySettings settings = parseEntrySettings("{" + RequiredFields + "}").value();
     BOOST_TEST(settings.instance_.value() == "i-1");
     BOOST_TEST(settings.firstPeerPort_ == 7'000);
     BOOST_TEST(settings.leaseTermMillis_ == 3'000);
     BOOST_TEST(settings.leaveBoundMillis_ == 2'000);
 }
 
-BOOST_AUTO_TEST_CASE(everyWrongFieldIsNamedAtOnce)
+BOOST_AUTO_TEST_CASE(allInvalidFieldsAreReported)
 {
-    const std::vector<std::string> fields = wrongFields(
-        "{" + Needed + R"(,"leaseTermMillis":0,"leaveBoundMillis":-1,"secondSendRatio":"much",
+    const std::vector<std::string> fields =
+        invalidFields("{" + RequiredFields
+                      + R"(,"leaseTermMillis":0,"leaveBoundMillis":-1,"secondSendRatio":"much",
                "colour":"red"})");
     BOOST_TEST(fields.size() == 4U);
-    BOOST_TEST(wrongFields("{}").size() == 7U);
+    BOOST_TEST(invalidFields("{}").size() == 7U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/fleet/tests/examples.h
+++ b/libs/fleet/tests/examples.h
@@ -1,4 +1,4 @@
-/** The example files and what the tests do with errors. */
+/** Access to the example files, and helpers for errors. */
 #pragma once
 
 #include "almondridge/base/error.h"
@@ -17,13 +17,13 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
-/** text with the first before replaced by after. */
+/** The text with the first occurrence of before replaced by after. */
 inline std::string replaced(std::string text, const std::string &before, const std::string &after)
 {
     return text.replace(text.find(before), before.size(), after);
 }
 
-/** The failure of function; an Error of kind Internal with no message when it succeeded. */
+/** The error of function; if it succeeds, one of kind Internal without a message. */
 template <typename Function>
 Error errorOf(Function &&function)
 {
--- a/libs/fleet/tests/fleetfiletest.cpp
+++ b/libs/fleet/tests/fleetfiletest.cpp
@@ -17,15 +17,15 @@
     return parseFleet(readExample("kaarna.json")).value();
 }
 
-/** One wrong edit of kaarna.json and the field that the error must name. */
-struct WrongEdit
+/** An edit that makes kaarna.json invalid, and the field that the error must name. */
+struct InvalidEdit
 {
     const char *before_;
     const char *after_;
     const char *field_;
 };
 
-const WrongEdit WrongEdits[] {
+const InvalidEdit InvalidEdits[] {
     {R"("name": "kaarna")", R"("name": "")", "name"},
     {R"("name": "kaarna",)", "", "name"},
     {R"("name": "kaarna")", R"("name": "kaarna", "colour": 1)", "colour"},
@@ -62,7 +62,7 @@
 
 BOOST_AUTO_TEST_SUITE(FleetFile)
 
-BOOST_DATA_TEST_CASE(anExampleIsWholeAndSurvivesWritingAndReading, FleetExamples, example)
+BOOST_DATA_TEST_CASE(exampleIsValidAndEqualAfterRoundTrip, FleetExamples, example)
 {
     const Fleet fleet = parseFleet(readExample(example)).value();
     BOOST_TEST(fleet.endpoints_.size() >= 23U);
@@ -70,10 +70,10 @@
     BOOST_TEST((parseFleet(writeFleet(fleet)).value() == fleet));
 }
 
-BOOST_AUTO_TEST_CASE(everyWrongFieldIsNamedWithItsRemedy)
+BOOST_AUTO_TEST_CASE(invalidFieldIsReportedWithRemedy)
 {
     const std::string text = readExample("kaarna.json");
-    for (const WrongEdit &edit : WrongEdits) {
+    for (const InvalidEdit &edit : InvalidEdits) {
         const std::string wrong = replaced(text, edit.before_, edit.after_);
         const Error error = errorOf([&] { return parseFleet(wrong); });
         BOOST_TEST_CONTEXT(edit.after_ << " gave " << describe(error))
@@ -85,7 +85,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(allWrongFieldsComeAtOnce)
+BOOST_AUTO_TEST_CASE(allInvalidFieldsAreReported)
 {
     std::string text = replaced(readExample("kaarna.json"), "\"share\": 3.0", "\"share\": -3");
     text = replaced(text, ":21004", ":99999");
@@ -94,17 +94,16 @@
     BOOST_TEST(error.fields_.size() == 3U);
 }
 
-// An operator adds a second "policy" to a long file and applies it.
-// JSON readers keep the last of two keys without a word, so the first one is lost;
-// the operator sees the file accepted and the fleet behave by the other half.
-BOOST_AUTO_TEST_CASE(aKeyThatStandsTwiceIsRefused)
+// Guards against silently losing one of two equal keys, such as a second "policy" in a long file:
+// JSON parsers keep only the last one.
+BOOST_AUTO_TEST_CASE(duplicateKeyIsRefused)
 {
     const std::string text =
         replaced(readExample("kaarna.json"), "\"policy\": {", "\"policy\": {}, \"policy\": {");
     BOOST_TEST(names(errorOf([&] { return parseFleet(text); }), "policy"));
 }
 
-BOOST_AUTO_TEST_CASE(aSecretThatIsWrongIsNotShown)
+BOOST_AUTO_TEST_CASE(invalidSecretIsNotShown)
 {
     const std::string text = replaced(readExample("kaarna.json"), "840853d2", "my-raw-api-key-");
     const std::string line = describe(errorOf([&] { return parseFleet(text); }));
@@ -112,7 +111,7 @@
     BOOST_TEST(line.find("my-raw") == std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(aDiffNamesEveryChangeByIdWhateverTheOrder)
+BOOST_AUTO_TEST_CASE(diffNamesChangesByIdIndependentOfOrder)
 {
     const Fleet before = kaarna();
     Fleet after = before;
@@ -132,7 +131,7 @@
     BOOST_TEST(diffFleets(before, before).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aServiceIsFoundByTheLongestPrefixOfWholeSegments)
+BOOST_AUTO_TEST_CASE(serviceIsFoundByLongestSegmentPrefix)
 {
     Fleet fleet = kaarna();
     fleet.services_[ServiceId("notes")] = Service {ServiceId("notes"), "/booking/notes", {}};
@@ -143,7 +142,7 @@
     BOOST_TEST(findService(fleet, "/?/booking") == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(aRouteDecidesWhetherACallMayBeRepeated)
+BOOST_AUTO_TEST_CASE(routeDecidesWhetherARequestMayBeRepeated)
 {
     const Service service = kaarna().services_.at(ServiceId("booking-desk"));
     const auto repeatable = [&](const char *method, const char *path) {
@@ -156,10 +155,10 @@
     BOOST_TEST(repeatable("GET", "/rosters/M%C3%BCller%20Oy"));
 }
 
-// A coordinator's client posts to /rosters/search/../confirmations and the answer is lost.
-// The route of /rosters/search says that a repeat is harmless; the endpoint resolves the dots and
-// sends a confirmation each time. Cause: two readers of one path.
-BOOST_AUTO_TEST_CASE(aPathThatTheEndpointMayReadDifferentlyIsNeverRepeated)
+// Guards against repeating a request whose path the endpoint interprets differently: a POST to
+// /rosters/search/../confirmations matches the idempotent route /rosters/search here, but the
+// endpoint resolves the dots and would send a confirmation for each attempt.
+BOOST_AUTO_TEST_CASE(ambiguousPathIsNeverRepeated)
 {
     const Service service = kaarna().services_.at(ServiceId("booking-desk"));
     for (const char *path :
@@ -169,7 +168,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(theBuilderRefusesWhatTheFileRefuses)
+BOOST_AUTO_TEST_CASE(builderValidatesLikeTheParser)
 {
     FleetBuilder builder;
     builder.name("small").domain(DomainId("pasila")).model({ModelId("m"), "1", {}, 0});
--- a/libs/fleet/tests/mutationtest.cpp
+++ b/libs/fleet/tests/mutationtest.cpp
@@ -1,4 +1,4 @@
-/** Files of any bytes: read or refused with an error, never a crash. Rounds and seed are fixed. */
+/** Fuzzing with fixed rounds and seed: mutated files are parsed or refused, and never crash. */
 #include "examples.h"
 
 #include "almondridge/fleet/settings.h"
@@ -19,7 +19,7 @@
 class Mutator
 {
 public:
-    /** Changes, drops or doubles a few bytes. */
+    /** Changes, removes or duplicates some bytes. */
     std::string bytes(std::string text)
     {
         for (std::size_t edit = 0; edit <= below(3); ++edit) {
@@ -40,7 +40,7 @@
         return text;
     }
 
-    /** Puts an odd value in the place of some value of the tree. */
+    /** Replaces a value of the tree by an unusual one. */
     std::string structure(const Json &json)
     {
         static const std::vector<Json> odd {nullptr,
@@ -72,7 +72,8 @@
     std::mt19937 random_ {Seed};
 };
 
-/** Every mutant is read, or refused as invalid input with a remedy. Gives the number refused. */
+/** Checks that each mutant is parsed, or refused as InvalidInput with a remedy; counts the latter.
+ */
 template <typename Parse>
 int refusedMutants(const std::string &example, Parse parse)
 {
@@ -95,7 +96,7 @@
 
 BOOST_AUTO_TEST_SUITE(Mutation)
 
-BOOST_AUTO_TEST_CASE(aMutatedFleetFileIsReadWholeOrRefused)
+BOOST_AUTO_TEST_CASE(mutatedFleetFileIsParsedOrRefused)
 {
     for (const char *example : {"kaarna.json", "lagon.json"}) {
         const int refused = refusedMutants(example, [](const std::string &text) -> Result<Fleet> {
@@ -107,14 +108,14 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aMutatedSettingsFileIsReadOrRefused)
+BOOST_AUTO_TEST_CASE(mutatedSettingsFileIsParsedOrRefused)
 {
     const int refused = refusedMutants("settings.json",
                                        [](const std::string &text) { return parseSettings(text); });
     BOOST_TEST(refused > Rounds / 2);
 }
 
-// A file of a hundred thousand opening brackets ends the stack of whoever walks it by recursion.
+// Guards against stack overflow: parsing 100,000 opening brackets recursively exhausts the stack.
 BOOST_AUTO_TEST_CASE(deepNestingAndLongFilesAreRefused)
 {
     for (const std::string &text :
--- a/libs/fleet/tests/settingstest.cpp
+++ b/libs/fleet/tests/settingstest.cpp
@@ -9,7 +9,7 @@
 
 BOOST_AUTO_TEST_SUITE(SettingsFile)
 
-BOOST_AUTO_TEST_CASE(theExampleIsReadAndTheRestHasDefaults)
+BOOST_AUTO_TEST_CASE(exampleIsParsedAndMissingFieldsHaveDefaults)
 {
     const Settings settings = parseSettings(readExample("settings.json")).value();
     BOOST_TEST(settings.instance_ == InstanceId("pasila-entry-1"));
@@ -17,7 +17,7 @@
     BOOST_TEST(settings.heartbeatMillis_ == Settings().heartbeatMillis_);
 }
 
-BOOST_AUTO_TEST_CASE(everyWrongSettingIsNamedAndNoKeyIsShown)
+BOOST_AUTO_TEST_CASE(allInvalidSettingsAreReportedWithoutSecrets)
 {
     std::string text = replaced(readExample("settings.json"), "change-me-change-me", "short-key");
     text = replaced(text, "\"logLevel\": \"info\"", "\"logLevel\": \"loud\", \"shards\": 3");
--- a/libs/gateway/src/gatewaystate.h
+++ b/libs/gateway/src/gatewaystate.h
@@ -66,8 +66,8 @@
     Gateway::OnExecutionStarted onExecutionStarted_;
     UnknownKeyQueue unknownKeys_;
     async::Timer unknownKeysTimer_;
-    LineAllowance denialLines_;
-    LineAllowance endpointLines_;
+    LogRateLimiter denialLines_;
+    LogRateLimiter endpointLines_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Call>> calls_; ///< By CallId::call_.
     std::map<ServiceId, DemandMeter> demand_;
     std::map<ServiceId, RequestCosts> costs_;
--- a/libs/observe/include/almondridge/observe/metrics.h
+++ b/libs/observe/include/almondridge/observe/metrics.h
@@ -1,5 +1,5 @@
 /**
- * Counters, gauges and histograms of one process, printed in Prometheus text format.
+ * Counters, gauges and histograms of one process, in the Prometheus text format.
  */
 #pragma once
 
@@ -13,10 +13,10 @@
 
 namespace almondridge::observe {
 
-/** One label as it is printed, its value escaped. Join several with commas. */
+/** A label as key="value", with the value escaped. Several are joined by commas. */
 std::string metricLabel(std::string_view key, std::string_view value);
 
-/** Metrics by name, in shards by name, each under its own lock. */
+/** All metrics of a process, sharded by name; each shard has its own lock. Thread-safe. */
 class Metrics
 {
 public:
@@ -25,12 +25,14 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    /** Adds to a counter. labels stand as they are printed: kind="unknown". */
+    /** Adds to a counter. labels are in the printed form, as in kind="unknown". */
     void count(std::string_view name, std::string_view labels = {}, std::uint64_t by = 1);
+    /** Sets a gauge. */
     void gauge(std::string_view name, double value, std::string_view labels = {});
-    /** Adds a sample in seconds to a histogram on a logarithmic axis. */
+    /** Adds a sample in seconds to a histogram with logarithmic buckets. */
     void observeSeconds(std::string_view name, double seconds, std::string_view labels = {});
 
+    /** The value of a counter; 0 if it doesn't exist. */
     std::uint64_t counter(std::string_view name, std::string_view labels = {}) const;
 
     /** All metrics in Prometheus text format. */
--- a/libs/observe/include/almondridge/observe/requesthistory.h
+++ b/libs/observe/include/almondridge/observe/requesthistory.h
@@ -1,6 +1,6 @@
 /**
- * A request's story from the logs of any number of instances: its own lines, and what its instance
- * came to believe of the endpoints and dependencies that it met.
+ * Reconstructs the history of a request from the logs of any number of instances: the request's own
+ * lines, and the lines of its instance on the endpoints and dependencies that it used.
  */
 #pragma once
 
@@ -11,26 +11,27 @@
 
 namespace almondridge::observe {
 
-struct LogPair
+struct LogLineField
 {
     std::string key_;
     std::string value_;
 };
 
-/** One line of key=value pairs. */
+/** A log line of key=value pairs. */
 struct LogLine
 {
-    std::vector<LogPair> pairs_;
-    std::string text_; ///< As it stood in the log, from its time on.
+    std::vector<LogLineField> fields_;
+    std::string text_; ///< The original text, from its time on.
 
-    /** Empty when the line has no such key. */
+    /** The value of a key; empty if the line doesn't have it. */
     std::string_view value(std::string_view key) const;
 };
 
-/** Reads a line; whatever stands before its time is skipped. nullopt: it is no log line. */
-std::optional<LogLine> readLogLine(std::string_view line);
+/** Parses a line; text before its time is skipped. nullopt: not a log line. */
+std::optional<LogLine> parseLogLine(std::string_view line);
 
-/** The story's lines in the order of time, its cause last; empty: no line names the request. */
-std::vector<std::string> tellStory(const std::vector<LogLine> &lines, std::string_view requestId);
+/** The lines in order of time, then the cause; empty if no line has the request's id. */
+std::vector<std::string> requestHistory(const std::vector<LogLine> &lines,
+                                        std::string_view requestId);
 
 } // namespace almondridge::observe
--- a/libs/observe/include/almondridge/observe/timeline.h
+++ b/libs/observe/include/almondridge/observe/timeline.h
@@ -1,5 +1,5 @@
 /**
- * The time line: a bounded ring of events in each process, merged over all processes on demand.
+ * The timeline: a bounded buffer of events in each process, merged over all processes on demand.
  */
 #pragma once
 
@@ -17,14 +17,14 @@
 
 enum class EventKind {
     Instance, ///< Start, readiness, stop of an instance.
-    Peer,     ///< A peer seen, lost, refused.
-    Apply,    ///< An apply accepted, rejected, in force.
-    Lease,    ///< Claimed, renewed, lost, released.
-    Order,    ///< Intent, order sent, outcome.
-    Endpoint, ///< Availability of an endpoint.
-    Request,  ///< Accepted, refused, attempt, resumed, finished.
-    Plan,     ///< A role change decided or declined.
-    Platform, ///< Log, instance list or weight store lost or back.
+    Peer,     ///< A peer was discovered, lost or refused.
+    Apply,    ///< An apply was accepted, rejected or put in force.
+    Lease,    ///< A lease was claimed, renewed, lost or released.
+    Order,    ///< The intent, sending or result of an order to an engine.
+    Endpoint, ///< The availability of an endpoint changed.
+    Request,  ///< A request was accepted, refused, sent, resumed or finished.
+    Plan,     ///< A role change was decided or declined.
+    Platform, ///< The log, instance list or weight store was lost or is back.
 };
 
 inline constexpr std::array<EnumName<EventKind>, 9> EventKindNames {{
@@ -39,13 +39,13 @@
     {EventKind::Platform, "platform"},
 }};
 
-/** A hybrid logical clock: wall milliseconds, and a counter for events within one of them. */
+/** A timestamp of a hybrid logical clock: wall clock, and a counter within a millisecond. */
 struct HybridTime
 {
     std::int64_t wallMillis_ = 0;
     std::uint32_t counter_ = 0;
 
-    // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the compiler's own 0 for ours.
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive in the generated comparison.
     friend auto operator<=>(const HybridTime &, const HybridTime &) = default;
 };
 
@@ -55,29 +55,32 @@
     InstanceId instance_;
     DomainId domain_;
     EventKind kind_ = EventKind::Instance;
-    std::string name_;    ///< As in "lease.claimed".
-    std::string subject_; ///< The request, endpoint, revision or peer it is about.
-    std::string detail_;  ///< Why: the estimate, rule or lease behind it, as key=value pairs.
-    std::int64_t durationMillis_ = 0; ///< For events that end something that took time.
+    std::string name_;                ///< As in "lease.claimed".
+    std::string subject_;             ///< The request, endpoint, revision or peer concerned.
+    std::string detail_;              ///< The reason (estimate, rule or lease), as key=value pairs.
+    std::int64_t durationMillis_ = 0; ///< Of what the event ends; 0: none.
 };
 
-/** One process's events. Thread-safe; old events give way to new ones. */
+/** The events of one process. Thread-safe; when full, the oldest event is dropped. */
 class Timeline
 {
 public:
     Timeline(InstanceId instance, DomainId domain, std::size_t capacity);
 
-    /** Adds an event now and logs it as one line; events of requests at debug level. */
+    /** Adds an event at the current time and logs it; events of requests at debug level. */
     void add(EventKind kind, std::string name, std::string subject, std::string detail = {},
              std::int64_t durationMillis = 0);
 
-    /** Moves the clock past a time that came with a peer's message, unless it lies further ahead
-     * of the wall clock than peers' messages may. */
-    void witness(HybridTime time);
+    /**
+     * Advances the clock to the timestamp of a peer's message, unless that is too far ahead of the
+     * wall clock.
+     */
+    void advanceClock(HybridTime time);
+    /** A timestamp after all previous ones. */
     HybridTime now();
 
     std::vector<Event> events() const;
-    /** Events that gave way to newer ones. */
+    /** Number of events dropped for newer ones. */
     std::uint64_t dropped() const;
 
 private:
@@ -92,19 +95,19 @@
     std::uint64_t dropped_ = 0;
 };
 
-/** Events of several processes in the order of their hybrid times. */
+/** Events of several processes in the order of their timestamps. */
 std::vector<Event> mergeEvents(std::vector<std::vector<Event>> perInstance);
 
-/** JSON for transport between processes. */
+/** JSON array for transport between processes. */
 std::string eventsToJson(const std::vector<Event> &events);
-/** Reads what eventsToJson() wrote. Leaves out entries that are no events; never fails. */
+/** Parses the output of eventsToJson(). Skips entries that aren't events; never fails. */
 std::vector<Event> eventsFromJson(std::string_view text);
 
-/** One line an event. */
+/** Text with one line for each event. */
 std::string timelineText(const std::vector<Event> &events);
 /** Chrome's trace format: one process for each instance, one row for each kind. */
 std::string timelineChromeTrace(const std::vector<Event> &events);
-/** One self-contained HTML page with a picture of all instances. */
+/** A self-contained HTML page with a chart of all instances. */
 std::string timelineHtml(const std::vector<Event> &events);
 
 } // namespace almondridge::observe
--- a/libs/observe/src/histogramseries.cpp
+++ b/libs/observe/src/histogramseries.cpp
@@ -8,9 +8,9 @@
 namespace almondridge::observe {
 namespace {
 
-constexpr double FirstEdge = 0.000'1;
-constexpr double LastEdge = 120.0;
-/** Six bins to a factor of ten: an edge is 1.48 times the one before. */
+constexpr double FirstEdge = 0.000'1; // seconds
+constexpr double LastEdge = 120.0;    // seconds
+/** Six bins for each factor of ten: each edge is 1.48 times the previous one. */
 constexpr unsigned BinCount = 36;
 
 } // namespace
@@ -59,7 +59,7 @@
         printSample(out, name, "_bucket", prefix + "le=\"" + edge + "\"", std::to_string(total));
     };
     const Axis &axis = bins_.axis();
-    // Bin -1 holds what lies below the first edge.
+    // Bin -1 has the samples below the first edge.
     for (int bin = -1; bin < axis.size(); ++bin) {
         total += bins_.at(bin);
         printBucket(numberText(axis.value(bin + 1)));
--- a/libs/observe/src/histogramseries.h
+++ b/libs/observe/src/histogramseries.h
@@ -1,5 +1,5 @@
 /**
- * One histogram of seconds on a logarithmic axis, printed as Prometheus buckets.
+ * A histogram of durations in seconds with logarithmic buckets, printed as Prometheus buckets.
  */
 #pragma once
 
@@ -10,9 +10,9 @@
 
 namespace almondridge::observe {
 
-/** Shortest text that reads back as the same number. */
+/** The shortest text that parses to the same number. */
 std::string numberText(double value);
-/** One line: name and suffix, labels in braces, value. */
+/** Prints one line: name and suffix, labels in braces, value. */
 void printSample(std::string &out, std::string_view name, std::string_view suffix,
                  std::string_view labels, std::string_view value);
 
@@ -21,7 +21,7 @@
 public:
     HistogramSeries();
 
-    /** Adds a sample. Negative ones count as 0; what is not a number is left out. */
+    /** Adds a sample. Negative values count as 0; NaN and infinity are ignored. */
     void add(double seconds);
     void print(std::string &out, std::string_view name, std::string_view labels) const;
 
--- a/libs/observe/src/metrics.cpp
+++ b/libs/observe/src/metrics.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /**
- * Label sets of one metric. A label that callers of the system can choose would otherwise fill
- * the memory of an instance; it shows as a growing /metrics page. What comes later is added up
- * under one label set of its own, so totals stay right.
+ * Limit on the label sets of one metric. Otherwise a label with values that callers choose could
+ * exhaust the instance's memory, and the /metrics page would keep growing. Samples of further label
+ * sets are added to a single overflow label set, so that totals stay correct.
  */
 constexpr std::size_t MaxSeries = 10'000;
 constexpr std::string_view OverflowLabels = R"(overflow="true")";
@@ -23,18 +23,18 @@
 using Families = std::map<std::string, Series<Value>, std::less<>>;
 
 template <typename Map>
-typename Map::mapped_type &entryOf(Map &map, std::string_view key)
+typename Map::mapped_type &findOrInsert(Map &map, std::string_view key)
 {
     const auto found = map.find(key);
     return found != map.end() ? found->second : map[std::string(key)];
 }
 
 template <typename Value>
-Value &valueOf(Families<Value> &families, std::string_view name, std::string_view labels)
+Value &seriesValue(Families<Value> &families, std::string_view name, std::string_view labels)
 {
-    Series<Value> &series = entryOf(families, name);
+    Series<Value> &series = findOrInsert(families, name);
     const bool full = series.size() >= MaxSeries && series.find(labels) == series.end();
-    return entryOf(series, full ? OverflowLabels : labels);
+    return findOrInsert(series, full ? OverflowLabels : labels);
 }
 
 void printValue(std::string &out, std::string_view name, std::string_view labels,
@@ -54,7 +54,7 @@
     value.print(out, name, labels);
 }
 
-/** The text of one metric, by its name. */
+/** The text of each metric, by name. */
 using Page = std::map<std::string, std::string>;
 
 template <typename Value>
@@ -97,21 +97,21 @@
 {
     Shard &shard = shardOf(name);
     const std::lock_guard lock(shard.mutex_);
-    valueOf(shard.counters_, name, labels) += by;
+    seriesValue(shard.counters_, name, labels) += by;
 }
 
 void Metrics::gauge(std::string_view name, double value, std::string_view labels)
 {
     Shard &shard = shardOf(name);
     const std::lock_guard lock(shard.mutex_);
-    valueOf(shard.gauges_, name, labels) = value;
+    seriesValue(shard.gauges_, name, labels) = value;
 }
 
 void Metrics::observeSeconds(std::string_view name, double seconds, std::string_view labels)
 {
     Shard &shard = shardOf(name);
     const std::lock_guard lock(shard.mutex_);
-    valueOf(shard.histograms_, name, labels).add(seconds);
+    seriesValue(shard.histograms_, name, labels).add(seconds);
 }
 
 std::uint64_t Metrics::counter(std::string_view name, std::string_view labels) const
--- a/libs/observe/src/timeline.cpp
+++ b/libs/observe/src/timeline.cpp
@@ -10,19 +10,19 @@
 namespace {
 
 /**
- * How far a peer's time may lie ahead of the wall clock here. An instance with a clock of next
- * year would otherwise move the events of all others there, and no later one could be ordered by
- * when it happened.
+ * How far a peer's timestamp may be ahead of the local wall clock. Otherwise an instance whose
+ * clock is a year ahead would shift the events of all other instances there, and later events could
+ * no longer be ordered by time.
  */
 constexpr std::int64_t MaxAheadMillis = 60'000;
 
-/** Thousands of requests a second would bury the few events that explain the fleet. */
+/** Events of requests, thousands a second, would hide the few others at the info level. */
 LogLevel levelOf(EventKind kind)
 {
     return kind == EventKind::Request ? LogLevel::Debug : LogLevel::Info;
 }
 
-void logOne(const Event &event)
+void logTimelineEvent(const Event &event)
 {
     logEvent(levelOf(event.kind_), event.name_,
              {{"subject", event.subject_},
@@ -49,7 +49,7 @@
     event.subject_ = std::move(subject);
     event.detail_ = std::move(detail);
     event.durationMillis_ = std::max<std::int64_t>(durationMillis, 0);
-    logOne(event);
+    logTimelineEvent(event);
 
     const std::lock_guard lock(mutex_);
     event.time_ = tickLocked();
@@ -60,7 +60,7 @@
     events_.push_back(std::move(event));
 }
 
-void Timeline::witness(HybridTime time)
+void Timeline::advanceClock(HybridTime time)
 {
     if (time.wallMillis_ > wallMillis() + MaxAheadMillis) {
         return;
--- a/libs/observe/src/timelinehtml.cpp
+++ b/libs/observe/src/timelinehtml.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 /**
- * JSON that may stand inside a script element. A subject of "</script><script>..." would
- * otherwise end the element and run in the operator's browser; with these letters written as
- * escapes no tag or comment can begin inside the data.
+ * Escapes JSON for use inside a script element. Otherwise a subject of "</script><script>..." would
+ * end the element and run in the operator's browser. With these characters escaped, no tag or
+ * comment can begin within the data.
  */
 std::string scriptSafe(const std::string &json)
 {
--- a/libs/observe/src/timelinejson.cpp
+++ b/libs/observe/src/timelinejson.cpp
@@ -17,13 +17,13 @@
 constexpr std::int64_t MaxWallMillis = 253'402'300'799'999;
 constexpr std::int64_t MaxCounter = std::numeric_limits<std::uint32_t>::max();
 
-/** Details may hold any bytes; what is not UTF-8 is replaced rather than thrown at. */
-std::string textOf(const Json &json)
+/** Details may have any bytes: invalid UTF-8 is replaced, as dump() would throw otherwise. */
+std::string dumpJson(const Json &json)
 {
     return json.dump(-1, ' ', true, Json::error_handler_t::replace);
 }
 
-Json jsonOf(const Event &event)
+Json eventToJson(const Event &event)
 {
     return {{"wall_ms", event.time_.wallMillis_},
             {"counter", event.time_.counter_},
@@ -36,45 +36,45 @@
             {"duration_ms", event.durationMillis_}};
 }
 
-std::string stringAt(const Json &json, const char *key)
+std::string stringMember(const Json &json, const char *key)
 {
     const auto found = json.find(key);
     return found != json.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-/** The number, kept within 0 and most: sums and products of it must not overflow. */
-std::int64_t integerAt(const Json &json, const char *key, std::int64_t most)
+/** The number, clamped to 0..max so that sums and products of it can't overflow. */
+std::int64_t integerMember(const Json &json, const char *key, std::int64_t max)
 {
     const auto found = json.find(key);
     const bool readable = found != json.end() && found->is_number_integer();
-    return readable ? std::clamp<std::int64_t>(found->get<std::int64_t>(), 0, most) : 0;
+    return readable ? std::clamp<std::int64_t>(found->get<std::int64_t>(), 0, max) : 0;
 }
 
-std::optional<Event> eventOf(const Json &json)
+std::optional<Event> eventFromJson(const Json &json)
 {
     const auto kind =
-        json.is_object() ? valueOf(EventKindNames, stringAt(json, "kind")) : std::nullopt;
+        json.is_object() ? valueOf(EventKindNames, stringMember(json, "kind")) : std::nullopt;
     if (!kind) {
         return std::nullopt;
     }
     Event event;
-    event.time_.wallMillis_ = integerAt(json, "wall_ms", MaxWallMillis);
-    event.time_.counter_ = static_cast<std::uint32_t>(integerAt(json, "counter", MaxCounter));
-    event.instance_ = InstanceId(stringAt(json, "instance"));
-    event.domain_ = DomainId(stringAt(json, "domain"));
+    event.time_.wallMillis_ = integerMember(json, "wall_ms", MaxWallMillis);
+    event.time_.counter_ = static_cast<std::uint32_t>(integerMember(json, "counter", MaxCounter));
+    event.instance_ = InstanceId(stringMember(json, "instance"));
+    event.domain_ = DomainId(stringMember(json, "domain"));
     event.kind_ = *kind;
-    event.name_ = stringAt(json, "name");
-    event.subject_ = stringAt(json, "subject");
-    event.detail_ = stringAt(json, "detail");
-    event.durationMillis_ = integerAt(json, "duration_ms", MaxWallMillis);
+    event.name_ = stringMember(json, "name");
+    event.subject_ = stringMember(json, "subject");
+    event.detail_ = stringMember(json, "detail");
+    event.durationMillis_ = integerMember(json, "duration_ms", MaxWallMillis);
     return event;
 }
 
-/** Numbers for instances, in the order in which they come up. */
+/** Process numbers of instances for the trace, in order of first use. */
 class ProcessNumbers
 {
 public:
-    /** The instance's number, and whether it is new. */
+    /** The instance's number, and whether it was assigned now. */
     std::pair<int, bool> of(const InstanceId &instance)
     {
         const auto [place, isNew] =
@@ -86,7 +86,7 @@
     std::map<InstanceId, int> numbers_;
 };
 
-Json traceName(const char *what, int process, int row, const std::string &name)
+Json traceMetadata(const char *what, int process, int row, const std::string &name)
 {
     return {
         {"ph", "M"}, {"name", what}, {"pid", process}, {"tid", row}, {"args", {{"name", name}}}};
@@ -94,17 +94,17 @@
 
 void addProcess(Json &trace, int process, const Event &event)
 {
-    trace.push_back(traceName("process_name", process, 0,
-                              event.instance_.value() + " (" + event.domain_.value() + ")"));
+    trace.push_back(traceMetadata("process_name", process, 0,
+                                  event.instance_.value() + " (" + event.domain_.value() + ")"));
     for (const EnumName<EventKind> &row : EventKindNames) {
-        trace.push_back(traceName("thread_name", process, static_cast<int>(row.value_),
-                                  std::string(row.name_)));
+        trace.push_back(traceMetadata("thread_name", process, static_cast<int>(row.value_),
+                                      std::string(row.name_)));
     }
 }
 
 Json traceEvent(int process, const Event &event)
 {
-    // The counter stands in for microseconds, so that viewers keep the order within one.
+    // The counter is used as microseconds, so that viewers keep the order within a millisecond.
     const std::int64_t sub = std::min<std::int64_t>(event.time_.counter_, MicrosPerMilli - 1);
     const std::int64_t start = event.time_.wallMillis_ - event.durationMillis_;
     Json json {{"name", event.name_},
@@ -129,9 +129,9 @@
 {
     Json list = Json::array();
     for (const Event &event : events) {
-        list.push_back(jsonOf(event));
+        list.push_back(eventToJson(event));
     }
-    return textOf(list);
+    return dumpJson(list);
 }
 
 std::vector<Event> eventsFromJson(std::string_view text)
@@ -142,7 +142,7 @@
         return events;
     }
     for (const Json &entry : list) {
-        if (std::optional<Event> event = eventOf(entry)) {
+        if (std::optional<Event> event = eventFromJson(entry)) {
             events.push_back(std::move(*event));
         }
     }
@@ -160,7 +160,7 @@
         }
         trace.push_back(traceEvent(process, event));
     }
-    return textOf({{"displayTimeUnit", "ms"}, {"traceEvents", std::move(trace)}});
+    return dumpJson({{"displayTimeUnit", "ms"}, {"traceEvents", std::move(trace)}});
 }
 
 } // namespace almondridge::observe
--- a/libs/observe/src/timelinepage.h
+++ b/libs/observe/src/timelinepage.h
@@ -1,6 +1,6 @@
 /**
- * The page of the time line: what stands before and after the events' JSON. It loads nothing and
- * puts text into the page as text only, never as markup.
+ * The HTML page of the timeline: the parts before and after the events' JSON. It loads no external
+ * resources and inserts event data as text only, never as markup.
  */
 #pragma once
 
--- a/libs/observe/src/timelinetext.cpp
+++ b/libs/observe/src/timelinetext.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::int64_t MillisPerSecond = 1'000;
 
-/** As in 2026-05-04T07:59:58.120Z. */
+/** UTC time as in 2026-05-04T07:59:58.120Z. */
 std::string timeText(std::int64_t wallMillis)
 {
     const std::time_t seconds = wallMillis / MillisPerSecond;
@@ -24,7 +24,7 @@
     return std::string(text.data()) + "." + millis.substr(1) + "Z";
 }
 
-/** A detail is pairs already; it only must not leave its line or steer a terminal. */
+/** Replaces control characters, so that an event can't break its line or control a terminal. */
 std::string onOneLine(std::string text)
 {
     for (char &letter : text) {
--- a/libs/observe/tests/metricstest.cpp
+++ b/libs/observe/tests/metricstest.cpp
@@ -21,7 +21,7 @@
     return false;
 }
 
-/** The value of the last bucket line at or before the bucket whose edge is over edge. */
+/** The cumulative count of the last bucket whose upper edge is at most edge. */
 std::uint64_t countBelow(const std::string &text, double edge)
 {
     std::istringstream lines(text);
@@ -38,9 +38,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(MetricsOfAProcess)
+BOOST_AUTO_TEST_SUITE(MetricsTest)
 
-BOOST_AUTO_TEST_CASE(countersAndGaugesArePrintedByNameAndLabels)
+BOOST_AUTO_TEST_CASE(countersAndGaugesArePrintedWithNameAndLabels)
 {
     Metrics metrics;
     metrics.count("requests_total");
@@ -56,12 +56,12 @@
     BOOST_TEST(metrics.counter("refused_total") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aLabelCannotLeaveItsQuotesOrItsLine)
+BOOST_AUTO_TEST_CASE(labelValuesAreEscaped)
 {
     BOOST_TEST(metricLabel("model", "a\"b\\c\nd") == R"(model="a\"b\\c\nd")");
 }
 
-BOOST_AUTO_TEST_CASE(bucketsAddUpOverTheWholeAxis)
+BOOST_AUTO_TEST_CASE(bucketsAreCumulative)
 {
     Metrics metrics;
     for (const double seconds : {-1.0, 0.0, 0.000'05, 0.01, 0.5, 60.0, 119.0, 500.0}) {
@@ -78,9 +78,9 @@
     BOOST_TEST(hasLine(text, "ttft_seconds_sum{model=\"m\"} 679.51005"));
 }
 
-// An instance is killed for its memory after hours; its /metrics page has grown all the time.
-// Callers send model names of their own making, and each made a label set that stayed.
-BOOST_AUTO_TEST_CASE(endlessLabelSetsEndInOneOfTheirOwn)
+// Guards against unbounded memory use: callers send arbitrary model names, and each one added a
+// label set that was never removed.
+BOOST_AUTO_TEST_CASE(excessLabelSetsAreCountedAsOverflow)
 {
     Metrics metrics;
     for (int index = 0; index < 10'100; ++index) {
@@ -89,7 +89,7 @@
     BOOST_TEST(metrics.counter("refused_total", R"(overflow="true")") == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(threadsCountWithoutLosingOne)
+BOOST_AUTO_TEST_CASE(concurrentUpdatesAreNotLost)
 {
     Metrics metrics;
     std::vector<std::thread> threads;
--- a/libs/observe/tests/timelinetest.cpp
+++ b/libs/observe/tests/timelinetest.cpp
@@ -46,9 +46,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(TimelineOfEvents)
+BOOST_AUTO_TEST_SUITE(TimelineTest)
 
-BOOST_AUTO_TEST_CASE(oldEventsGiveWayAndAreCounted)
+BOOST_AUTO_TEST_CASE(oldestEventsAreDroppedAndCounted)
 {
     Timeline timeline(InstanceId("i1"), DomainId("ebene"), 3);
     for (int index = 0; index < 5; ++index) {
@@ -61,28 +61,27 @@
     BOOST_TEST((events[0].time_ < events[1].time_ && events[1].time_ < events[2].time_));
 }
 
-// An operator reads that an engine took an order before the holder sent it.
-// The holder's wall clock runs ahead of the other instance's; both stamp by their own.
-// Cause: times of two clocks compared as if they were one.
-BOOST_AUTO_TEST_CASE(whatFollowsAMessageComesAfterItWhateverTheClocksSay)
+// Guards against a timeline where an engine accepts an order before the leader sends it, because
+// the leader's wall clock is ahead and timestamps of two clocks are compared.
+BOOST_AUTO_TEST_CASE(eventsAfterAMessageHaveLaterTimestampsDespiteClockSkew)
 {
     Timeline timeline(InstanceId("i1"), DomainId("ebene"), 10);
     const HybridTime ahead {wallMillis() + 20'000, 4};
-    timeline.witness(ahead);
+    timeline.advanceClock(ahead);
     timeline.add(EventKind::Order, "order.taken", "e1");
     BOOST_TEST((timeline.events().front().time_ > ahead));
 }
 
-// All events of a day stand at one point of next year and in no order of time.
-// One instance came up with a clock of next year; the others followed its messages.
-BOOST_AUTO_TEST_CASE(aTimeFarAheadDoesNotMoveTheClock)
+// Guards against an instance whose clock is a year ahead: when the others adopted the timestamps of
+// its messages, all later events had nearly the same time and lost their order.
+BOOST_AUTO_TEST_CASE(timestampFarAheadDoesNotAdvanceTheClock)
 {
     Timeline timeline(InstanceId("i1"), DomainId("ebene"), 10);
-    timeline.witness({wallMillis() + 365LL * 24 * 3'600'000, 0});
+    timeline.advanceClock({wallMillis() + 365LL * 24 * 3'600'000, 0});
     BOOST_TEST(timeline.now().wallMillis_ < wallMillis() + 60'000);
 }
 
-BOOST_AUTO_TEST_CASE(mergedEventsStandInHybridOrder)
+BOOST_AUTO_TEST_CASE(mergedEventsAreOrderedByHybridTime)
 {
     const std::vector<Event> merged = mergeEvents({{eventAt(5, 0, "b"), eventAt(7, 1, "b")},
                                                    {eventAt(5, 0, "a")},
@@ -94,7 +93,7 @@
     BOOST_TEST(order == "abcbc");
 }
 
-BOOST_AUTO_TEST_CASE(eventsSurviveTransport)
+BOOST_AUTO_TEST_CASE(eventsAreEqualAfterJsonRoundTrip)
 {
     const std::vector<Event> back = eventsFromJson(eventsToJson({eventAt(1'234, 5, "i1")}));
     BOOST_REQUIRE(back.size() == 1U);
@@ -104,7 +103,7 @@
     BOOST_TEST(back[0].time_.counter_ == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNoEventIsLeftOut)
+BOOST_AUTO_TEST_CASE(invalidEventsAreSkipped)
 {
     BOOST_TEST(eventsFromJson("").empty());
     BOOST_TEST(eventsFromJson("{\"kind\":\"lease\"}").empty());
@@ -117,7 +116,7 @@
     BOOST_TEST(!timelineChromeTrace(odd).empty());
 }
 
-BOOST_AUTO_TEST_CASE(aChromeTraceHasAProcessForEachInstanceAndARowForEachKind)
+BOOST_AUTO_TEST_CASE(chromeTraceHasAProcessPerInstanceAndARowPerKind)
 {
     const auto trace = nlohmann::json::parse(
         timelineChromeTrace({eventAt(1'000, 2, "i1"), eventAt(1'000, 0, "i2")}));
@@ -129,9 +128,9 @@
     BOOST_TEST(last.at("dur") == 20'000);
 }
 
-// An operator opens the time line and a caller's text runs in the browser with the operator's
-// rights, since a subject or name holds "</script>".
-BOOST_AUTO_TEST_CASE(hostileNamesStayTextInEveryForm)
+// Guards against script injection: a caller's text with "</script>" in a subject or name would run
+// in the operator's browser when the timeline is opened.
+BOOST_AUTO_TEST_CASE(hostileNamesAreEscapedInEveryFormat)
 {
     const std::vector<Event> events {hostileEvent()};
     const std::string empty = timelineHtml({});
@@ -146,7 +145,7 @@
     BOOST_TEST(nlohmann::json::accept(timelineChromeTrace(events)));
 }
 
-BOOST_AUTO_TEST_CASE(threadsAddWithoutLosingAnEvent)
+BOOST_AUTO_TEST_CASE(concurrentAddsAreNotLost)
 {
     Timeline timeline(InstanceId("i1"), DomainId("ebene"), 100);
     std::vector<std::thread> threads;
@@ -155,7 +154,7 @@
         threads.emplace_back([&] {
             for (int count = 0; count < 500; ++count) {
                 timeline.add(EventKind::Request, "request.accepted", "r");
-                timeline.witness(timeline.now());
+                timeline.advanceClock(timeline.now());
             }
         });
     }
--- a/libs/peers/src/credentials.cpp
+++ b/libs/peers/src/credentials.cpp
@@ -66,7 +66,7 @@
     const ProofVerdict verdict =
         greeting ? window_.admit(request.instance_, request.nonce_, now) : ProofVerdict::Valid;
     if (verdict == ProofVerdict::Valid) {
-        events_.witness(request.clock_);
+        events_.advanceClock(request.clock_);
     }
     return verdict;
 }
@@ -77,7 +77,7 @@
         || !Prover::same(answer.proof_, prover_.answerProof(answer, requestNonce))) {
         return false;
     }
-    events_.witness(answer.clock_);
+    events_.advanceClock(answer.clock_);
     return true;
 }
 
--- a/libs/peers/src/peerevents.cpp
+++ b/libs/peers/src/peerevents.cpp
@@ -58,7 +58,7 @@
     return std::to_string(now.wallMillis_) + "." + std::to_string(now.counter_);
 }
 
-void PeerEvents::witness(std::string_view clock)
+void PeerEvents::advanceClock(std::string_view clock)
 {
     const std::size_t point = clock.find('.');
     if (timeline_ == nullptr || point == std::string_view::npos) {
@@ -72,7 +72,7 @@
     // A peer whose clock runs far ahead would drag the time line of the whole fleet with it.
     const bool near = time.wallMillis_ <= wallMillis() + toMillis(MaxClockSkew);
     if (millisRead.ec == std::errc() && counterRead.ec == std::errc() && near) {
-        timeline_->witness(time);
+        timeline_->advanceClock(time);
     }
 }
 
--- a/libs/peers/src/peerevents.h
+++ b/libs/peers/src/peerevents.h
@@ -30,7 +30,7 @@
     /** The hybrid time for the next message: "millis.counter". Empty without a time line. */
     std::string clock();
     /** Moves the hybrid clock past one that came with a proved message. */
-    void witness(std::string_view clock);
+    void advanceClock(std::string_view clock);
 
 private:
     observe::Timeline *const timeline_;
