--- a/libs/gateway/include/almondridge/gateway/access.h
+++ b/libs/gateway/include/almondridge/gateway/access.h
@@ -36,9 +36,9 @@
 };
 
 enum class Access {
-    Anonymous, ///< No key is needed, and no valid one was sent.
-    Granted,   ///< The key belongs to an account.
-    Unproven,  ///< The lease has expired: keys may have been revoked since.
+    Anonymous,   ///< No key is needed, and no valid one was sent.
+    Granted,     ///< The key belongs to an account.
+    Unconfirmed, ///< The lease has expired: keys may have been revoked since.
     KeyMissing,
     KeyMalformed,
     KeyUnknown,
@@ -47,7 +47,7 @@
 inline constexpr std::array<EnumName<Access>, 6> AccessNames {{
     {Access::Anonymous, "anonymous"},
     {Access::Granted, "granted"},
-    {Access::Unproven, "keys-unconfirmed"},
+    {Access::Unconfirmed, "keys-unconfirmed"},
     {Access::KeyMissing, "key-missing"},
     {Access::KeyMalformed, "key-malformed"},
     {Access::KeyUnknown, "key-unknown"},
--- a/libs/gateway/src/access.cpp
+++ b/libs/gateway/src/access.cpp
@@ -39,7 +39,7 @@
         return result;
     }
     if (!lease.holds(now)) {
-        result.access_ = route.public_ ? Access::Anonymous : Access::Unproven;
+        result.access_ = route.public_ ? Access::Anonymous : Access::Unconfirmed;
         return result;
     }
     if (credentials.state_ != CredentialState::Present) {
--- a/libs/gateway/src/accounts.cpp
+++ b/libs/gateway/src/accounts.cpp
@@ -20,7 +20,7 @@
     return secret;
 }
 
-/** With an unkeyed hash the look-up time would leak information on a hash that callers choose. */
+/** Prevents timing attacks: with an unkeyed hash, callers could choose the hash looked up. */
 const KeyDigest &processSecret()
 {
     static const KeyDigest secret = generateSecret();
--- a/libs/gateway/src/call.h
+++ b/libs/gateway/src/call.h
@@ -32,7 +32,7 @@
 };
 
 /** Cause in the log and the response if the account's key was revoked after the request came. */
-inline constexpr std::string_view KeyWithdrawnCause = "key-withdrawn";
+inline constexpr std::string_view KeyRevokedCause = "key-withdrawn";
 
 /** Limit on the attempts for one request, to bound what a request can cost. */
 inline constexpr int MaxSends = 5;
@@ -151,7 +151,7 @@
     Attempt attempt_;
     std::vector<EndpointId> excluded_; ///< Not used for further attempts.
     int runs_ = 0;                     ///< Attempts that may have been executed.
-    int sends_ = 0;                    ///< Attempts, whatever became of them.
+    int sends_ = 0;                    ///< All attempts.
     int maxSends_ = MaxSends;
     bool mayHaveRun_ = false;                      ///< An attempt may have been executed.
     Suspicion suspicion_ = Suspicion::None;        ///< When the request was started.
--- a/libs/gateway/src/config.cpp
+++ b/libs/gateway/src/config.cpp
@@ -20,7 +20,7 @@
 
 const Route *Config::find(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so one look-up for each slash of the path finds the longest one;
+    // Prefixes end with a slash, so one look-up for each slash of the path finds the longest;
     // the cost doesn't depend on the number of routes.
     std::string candidate = normalizeHost(host);
     const std::size_t hostLength = candidate.size();
--- a/libs/gateway/src/gateway.cpp
+++ b/libs/gateway/src/gateway.cpp
@@ -17,7 +17,7 @@
 /** Limits log lines, since anybody can send invalid keys; the metric counts all of them. */
 constexpr int MaxDenialLines = 20;
 constexpr Duration DenialLogWindow = millis(10'000);
-/** Limits log lines on changed endpoints: a whole list has thousands, and a log line of its own. */
+/** Limits log lines on changed endpoints: a full list has thousands, and one log line in total. */
 constexpr int MaxEndpointLines = 200;
 constexpr Duration EndpointLogWindow = millis(10'000);
 
@@ -289,7 +289,7 @@
             return;
         }
         break;
-    case Access::Unproven:
+    case Access::Unconfirmed:
     case Access::KeyMissing:
     case Access::KeyMalformed:
         break;
@@ -358,7 +358,7 @@
                   {"config", config_->version()},
                   {"keys_age_ms", asOf ? toMillis(now - *asOf) : -1}});
     }
-    if (access == Access::Unproven) {
+    if (access == Access::Unconfirmed) {
         server_.respond(id, dialect_.refusal(503, UnconfirmedRetryMillis, reason));
     } else {
         server_.respond(id, dialect_.refusal(401, std::nullopt, reason));
--- a/libs/gateway/src/modelcall.cpp
+++ b/libs/gateway/src/modelcall.cpp
@@ -33,7 +33,7 @@
 {
     const TimePoint now = BootClock::now();
     if (!isKeyValid()) {
-        giveUp(KeyWithdrawnCause);
+        giveUp(KeyRevokedCause);
         return;
     }
     PromptQuery query = promptQuery();
@@ -308,7 +308,7 @@
 {
     releaseEndpointState();
     cancelAttempt(std::nullopt);
-    if (cause != DeadlineCause && cause != KeyWithdrawnCause && canRetryLater()) {
+    if (cause != DeadlineCause && cause != KeyRevokedCause && canRetryLater()) {
         phase_ = ModelPhase::Idle;
         excluded_.clear();
         startAttemptTimer(BootClock::now() + ResumeRetryDelay);
--- a/libs/gateway/src/modelstream.cpp
+++ b/libs/gateway/src/modelstream.cpp
@@ -24,7 +24,7 @@
 {
     const TimePoint now = BootClock::now();
     if (!isKeyValid()) {
-        giveUp(KeyWithdrawnCause);
+        giveUp(KeyRevokedCause);
         return;
     }
     auto choice = chooseGenerator(prefillDomain_);
--- a/libs/gateway/src/servicecall.cpp
+++ b/libs/gateway/src/servicecall.cpp
@@ -28,7 +28,7 @@
 void ServiceCall::sendNext()
 {
     if (!isKeyValid()) {
-        endUnanswered(KeyWithdrawnCause);
+        endUnanswered(KeyRevokedCause);
         return;
     }
     const auto endpoint =
--- a/libs/gateway/tests/accesstest.cpp
+++ b/libs/gateway/tests/accesstest.cpp
@@ -89,14 +89,14 @@
 // Guards against a revoked key that is still accepted by an instance that is cut off.
 BOOST_AUTO_TEST_CASE(noKeyIsAcceptedWithoutConfirmedConfiguration)
 {
-    BOOST_TEST((access(credentialsFor("k1"), 0) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k1"), 0) == Access::Unconfirmed));
     lease_.confirm(at(0));
     BOOST_TEST((access(credentialsFor("k1"), 4'400) == Access::Granted));
-    BOOST_TEST((access(credentialsFor("k1"), BoundMillis) == Access::Unproven));
-    BOOST_TEST((access(credentialsFor("k3"), BoundMillis) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k1"), BoundMillis) == Access::Unconfirmed));
+    BOOST_TEST((access(credentialsFor("k3"), BoundMillis) == Access::Unconfirmed));
     lease_.confirm(at(-9'000));
     BOOST_TEST((access(credentialsFor("k1"), 4'400) == Access::Granted));
-    BOOST_TEST((access(credentialsFor("k1"), BoundMillis) == Access::Unproven));
+    BOOST_TEST((access(credentialsFor("k1"), BoundMillis) == Access::Unconfirmed));
 }
 
 BOOST_AUTO_TEST_CASE(keysNeedNoConfirmationWithoutARevocationBound)
