--- a/libs/gateway/include/almondridge/gateway/sizecontroller.h
+++ b/libs/gateway/include/almondridge/gateway/sizecontroller.h
@@ -4,8 +4,8 @@
  */
 #pragma once
 
-#include "almondridge/gateway/authoritykeeper.h"
 #include "almondridge/gateway/gateway.h"
+#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/sizeplan.h"
 
 #include <functional>
@@ -34,14 +34,14 @@
 public:
     virtual ~SizeApi() = default;
     /** Orders a number of endpoints under this right to give orders; done gets the result. */
-    virtual void order(const OrderRight &right, const ServiceId &service, const SizeOrder &order,
+    virtual void order(const LeaderLease &lease, const ServiceId &service, const SizeOrder &order,
                        std::function<void(OrderOutcome)> done) = 0;
 };
 
 class SizeController
 {
 public:
-    SizeController(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
+    SizeController(async::EventLoop &loop, Gateway &gateway, LeaderElection &leaderElection,
                    SizeApi &api, SizePlanSettings settings);
 
     void start() { planAll(); }
@@ -52,11 +52,11 @@
 private:
     void planAll();
     SizePlan &planOf(const ServiceId &service);
-    void planService(const ServiceTraits &service, const OrderRight &right, TimePoint now);
-    void sendOrder(const OrderRight &right, const ServiceId &service, const SizeOrder &order);
+    void planService(const ServiceTraits &service, const LeaderLease &lease, TimePoint now);
+    void sendOrder(const LeaderLease &lease, const ServiceId &service, const SizeOrder &order);
 
     Gateway &gateway_;
-    AuthorityKeeper &authority_;
+    LeaderElection &leaderElection_;
     SizeApi &api_;
     SizePlanSettings settings_;
     std::map<ServiceId, SizePlan> plans_;
--- a/libs/gateway/include/almondridge/gateway/stagecontroller.h
+++ b/libs/gateway/include/almondridge/gateway/stagecontroller.h
@@ -5,8 +5,8 @@
 #pragma once
 
 #include "almondridge/async/httpclient.h"
-#include "almondridge/gateway/authoritykeeper.h"
 #include "almondridge/gateway/gateway.h"
+#include "almondridge/gateway/leaderelection.h"
 #include "almondridge/gateway/stageplan.h"
 
 #include <functional>
@@ -33,7 +33,7 @@
 {
 public:
     StageController(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
-                    AuthorityKeeper &authority, StageControllerSettings settings);
+                    LeaderElection &leaderElection, StageControllerSettings settings);
     ~StageController();
 
     void start();
@@ -44,8 +44,8 @@
 private:
     void planAll();
     void fetchReport(const ServiceId &service, const StageChange &change);
-    void updateStartTime(const EndpointId &id, const EngineReport &report);
-    void sendOrder(const ServiceId &service, const StageChange &change, const EngineReport &report);
+    void updateStartTime(const EndpointId &id, const EngineStatus &report);
+    void sendOrder(const ServiceId &service, const StageChange &change, const EngineStatus &report);
     void sendRequest(const EndpointId &engine, std::string text,
                      const std::function<void(int status, const std::string &body)> &done);
     void onOrderAnswer(const ServiceId &service, const EndpointId &engine, int status);
@@ -54,7 +54,7 @@
 
     Gateway &gateway_;
     const Dialect &dialect_;
-    AuthorityKeeper &authority_;
+    LeaderElection &leaderElection_;
     StageControllerSettings settings_;
     std::map<ServiceId, StagePlan> plans_;
     async::HttpClient client_;
--- a/libs/gateway/src/crashguard.cpp
+++ b/libs/gateway/src/crashguard.cpp
@@ -51,7 +51,7 @@
     pendingProbes_[id].inFlight_.insert(key);
     if (!probeRunning) {
         const TimePoint connectDeadline =
-            BootClock::now() + millis(gateway_.settings_.connectMillis_);
+            BootClock::now() + millis(gateway_.settings_.connectTimeoutMillis_);
         gateway_.client_.open(id.value(), endpoint->listed_.address_, connectDeadline,
                               [this, id](bool reached) { onProbed(id, reached); });
     }
@@ -82,7 +82,7 @@
     const EndpointId &id = endpoint.listed_.id_;
     const TimePoint now = BootClock::now();
     for (const auto &[number, call] : gateway_.calls_) {
-        if (call->isAt(id, endpoint.lifetime_)) {
+        if (call->isRunningOn(id, endpoint.lifetime_)) {
             inFlight.insert(call->key());
         }
     }
--- a/libs/gateway/src/placement.cpp
+++ b/libs/gateway/src/placement.cpp
@@ -144,7 +144,7 @@
 {
     const Prompt &prompt = *query.prompt_;
     std::int64_t cached = cacheIndex_.cachedTokens(engine.listed_, prompt);
-    const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
+    const std::int64_t shared = prompt.tokens_ - prompt.unsharedTokens();
     Estimate estimate;
     estimate.engine_ = &engine;
     if (mayBeCached && cached < shared) {
@@ -169,7 +169,7 @@
     estimate.millis_ =
         query.costs_->prefillMillis(0)
         + perToken * static_cast<double>(estimate.queuedTokens_ + estimate.uncachedTokens_);
-    const std::int64_t recomputed = estimate.uncachedTokens_ - query.prompt_->ownTokens();
+    const std::int64_t recomputed = estimate.uncachedTokens_ - query.prompt_->unsharedTokens();
     estimate.cost_ =
         estimate.millis_
         + RecomputePenalty * perToken * static_cast<double>(std::max<std::int64_t>(0, recomputed));
@@ -284,7 +284,7 @@
     constexpr Duration MinCacheAge = millis(1'500);
     // Prefilling fewer tokens takes about as long as setting up a copy.
     constexpr std::int64_t MinCopiedTokens = 1'000;
-    const std::int64_t shared = prompt.tokens_ - prompt.ownTokens();
+    const std::int64_t shared = prompt.tokens_ - prompt.unsharedTokens();
     const std::int64_t minTokens =
         cacheIndex_.cachedTokens(prefillEngine.listed_, prompt) + MinCopiedTokens;
     if (minTokens >= shared) {
@@ -455,12 +455,12 @@
                                         const Prompt &prompt, std::int64_t queuedTokens,
                                         double milliseconds)
 {
-    const auto shared = static_cast<double>(prompt.tokens_ - prompt.ownTokens());
+    const auto shared = static_cast<double>(prompt.tokens_ - prompt.unsharedTokens());
     if (shared < MinSampleTokens) {
         return;
     }
     const double computed = (milliseconds - costs.prefillMillis(0)) / millisPerToken(costs, engine)
-                            - static_cast<double>(queuedTokens + prompt.ownTokens());
+                            - static_cast<double>(queuedTokens + prompt.unsharedTokens());
     const double cached = computed < shared / 2 ? 1 : 0;
     unknownHitRate_ += HitRateSmoothing * (cached - unknownHitRate_);
 }
--- a/libs/gateway/src/sizecontroller.cpp
+++ b/libs/gateway/src/sizecontroller.cpp
@@ -12,10 +12,11 @@
 
 } // namespace
 
-SizeController::SizeController(async::EventLoop &loop, Gateway &gateway, AuthorityKeeper &authority,
-                               SizeApi &api, SizePlanSettings settings)
+SizeController::SizeController(async::EventLoop &loop, Gateway &gateway,
+                               LeaderElection &leaderElection, SizeApi &api,
+                               SizePlanSettings settings)
     : gateway_(gateway)
-    , authority_(authority)
+    , leaderElection_(leaderElection)
     , api_(api)
     , settings_(settings)
     , timer_(loop)
@@ -28,21 +29,21 @@
     if (gateway_.config() == nullptr) {
         return;
     }
-    const auto right = authority_.right();
-    if (!right) {
+    const auto lease = leaderElection_.lease();
+    if (!lease) {
         for (const ServiceTraits &service : gateway_.config()->services()) {
             planOf(service.id_).observe(gateway_.endpoints(), service, now);
         }
         return;
     }
-    if (right->fence_ != fence_) {
-        fence_ = right->fence_;
+    if (lease->fence_ != fence_) {
+        fence_ = lease->fence_;
         for (auto &[service, plan] : plans_) {
             plan.resetOrders();
         }
     }
     for (const ServiceTraits &service : gateway_.config()->services()) {
-        planService(service, *right, now);
+        planService(service, *lease, now);
     }
 }
 
@@ -58,19 +59,19 @@
            && plan->second.isReleasing(endpoint.listed_.domain_);
 }
 
-void SizeController::planService(const ServiceTraits &service, const OrderRight &right,
+void SizeController::planService(const ServiceTraits &service, const LeaderLease &lease,
                                  TimePoint now)
 {
     SizePlan &plan = planOf(service.id_);
     for (const SizeOrder &order : plan.plan(gateway_.endpoints(), service, now)) {
-        sendOrder(right, service.id_, order);
+        sendOrder(lease, service.id_, order);
     }
 }
 
-void SizeController::sendOrder(const OrderRight &right, const ServiceId &service,
+void SizeController::sendOrder(const LeaderLease &lease, const ServiceId &service,
                                const SizeOrder &order)
 {
-    api_.order(right, service, order, [this, service, order](OrderOutcome outcome) {
+    api_.order(lease, service, order, [this, service, order](OrderOutcome outcome) {
         logEvent(LogLevel::Info, "size_order",
                  {{"service", service.value()},
                   {"domain", order.domain_.value()},
@@ -79,7 +80,7 @@
                   {"fence", fence_},
                   {"outcome", nameOf(OrderOutcomeNames, outcome)}});
         if (outcome == OrderOutcome::StaleFence) {
-            authority_.onOvertaken();
+            leaderElection_.onHigherFenceSeen();
         }
         plans_.at(service).onAnswer(order, outcome == OrderOutcome::Granted, BootClock::now());
     });
--- a/libs/gateway/src/sizeplan.cpp
+++ b/libs/gateway/src/sizeplan.cpp
@@ -42,12 +42,12 @@
     }
     const auto domains = static_cast<double>(baseline.size());
     const double lostShare = std::min(1.0, toleratedLosses / domains);
-    const double maxSize = static_cast<double>(limits.most_) / largestBaseline;
+    const double maxSize = static_cast<double>(limits.maxPerDomain_) / largestBaseline;
     double lowest = 1 - MinSaving;
     for (int step = 1; step < MixSteps; ++step) {
         const double onDemand = static_cast<double>(step) / MixSteps;
         const double size = 1 / (1 - (1 - onDemand) * lostShare);
-        const double cost = size * (onDemand + (1 - onDemand) * limits.spotPrice_);
+        const double cost = size * (onDemand + (1 - onDemand) * limits.spotPriceRatio_);
         if (size <= maxSize && cost < lowest) {
             best = {size, onDemand};
             lowest = cost;
@@ -74,7 +74,7 @@
 int SizePlan::totalOf(int baseline, const SizeLimits &limits) const
 {
     return std::clamp(static_cast<int>(std::ceil(mix_.size_ * baseline)),
-                      std::max(1, limits.least_), std::max(1, limits.most_));
+                      std::max(1, limits.minPerDomain_), std::max(1, limits.maxPerDomain_));
 }
 
 /**
@@ -98,7 +98,7 @@
 int SizePlan::onDemandOf(int total, const SizeLimits &limits) const
 {
     const int wanted = static_cast<int>(std::ceil(mix_.onDemand_ * total));
-    return std::clamp(wanted, std::min(limits.least_, total), total);
+    return std::clamp(wanted, std::min(limits.minPerDomain_, total), total);
 }
 
 /**
@@ -152,7 +152,8 @@
         const int total = totalOf(baseline, limits);
         const int onDemand = onDemandOf(total, limits);
         const int spots = total - onDemand;
-        const int spotLimit = listComplete_ ? std::max(0, limits.most_ - here.onDemand_) : baseline;
+        const int spotLimit =
+            listComplete_ ? std::max(0, limits.maxPerDomain_ - here.onDemand_) : baseline;
         const int ordered = std::min(spots, spotLimit);
         TimePoint &since = spotsCompleteSince_[domain];
         if (here.spot_ < ordered) {
@@ -192,7 +193,7 @@
     }
     state.count_ = order.count_;
     state.pending_ = true;
-    state.retryAt_ = now + millis(limits.bootMillis_ + ListingDelayMillis);
+    state.retryAt_ = now + millis(limits.startupMillis_ + ListingDelayMillis);
     orders.push_back(order);
 }
 
--- a/libs/gateway/src/stagecontroller.cpp
+++ b/libs/gateway/src/stagecontroller.cpp
@@ -19,10 +19,10 @@
 } // namespace
 
 StageController::StageController(async::EventLoop &loop, Gateway &gateway, const Dialect &dialect,
-                                 AuthorityKeeper &authority, StageControllerSettings settings)
+                                 LeaderElection &leaderElection, StageControllerSettings settings)
     : gateway_(gateway)
     , dialect_(dialect)
-    , authority_(authority)
+    , leaderElection_(leaderElection)
     , settings_(std::move(settings))
     , client_(loop)
     , planTimer_(loop)
@@ -61,7 +61,7 @@
         StagePlan &plan = planOf(service.id_);
         plan.observe(gateway_.endpoints(), service.id_,
                      gateway_.stageLoad(service.id_, settings_.demand_(service.id_)), now);
-        if (!authority_.right()) {
+        if (!leaderElection_.lease()) {
             continue;
         }
         for (const StageChange &change :
@@ -98,9 +98,9 @@
 void StageController::fetchReport(const ServiceId &service, const StageChange &change)
 {
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
-    sendRequest(change.engine_, dialect_.reportText(engine->listed_.address_),
+    sendRequest(change.engine_, dialect_.serializeStatusQuery(engine->listed_.address_),
                 [this, service, change](int, const std::string &body) {
-                    const auto report = dialect_.readReport(body);
+                    const auto report = dialect_.parseEngineStatus(body);
                     if (report) {
                         updateStartTime(change.engine_, *report);
                     }
@@ -118,7 +118,7 @@
 }
 
 /** The engine's report may show a restart before its list entry does. */
-void StageController::updateStartTime(const EndpointId &id, const EngineReport &report)
+void StageController::updateStartTime(const EndpointId &id, const EngineStatus &report)
 {
     const Endpoint *engine = gateway_.endpoints().find(id);
     if (engine != nullptr && engine->isListed_
@@ -130,25 +130,25 @@
 }
 
 void StageController::sendOrder(const ServiceId &service, const StageChange &change,
-                                const EngineReport &report)
+                                const EngineStatus &report)
 {
     // Checked again because the right may have lapsed during the request for the report.
-    const auto right = authority_.right();
+    const auto lease = leaderElection_.lease();
     const Endpoint *engine = gateway_.endpoints().find(change.engine_);
-    if (!right || engine == nullptr || !running_) {
+    if (!lease || engine == nullptr || !running_) {
         return;
     }
     ++orders_;
     logEvent(LogLevel::Info, "order",
              {{"engine", change.engine_.value()},
               {"stage", nameOf(StageNames, change.stage_)},
-              {"fence", right->fence_},
+              {"fence", lease->fence_},
               {"expect", report.orders_}});
     const StageOrder order {engine->listed_.address_,    change.engine_, change.stage_,
-                            settings_.instance_.value(), right->fence_,  report.orders_};
+                            settings_.instance_.value(), lease->fence_,  report.orders_};
     // An order without an answer may still be carried out later. The expected number of orders in
     // it makes a late or repeated execution harmless.
-    sendRequest(change.engine_, dialect_.orderText(order),
+    sendRequest(change.engine_, dialect_.serializeOrder(order),
                 [this, service, id = change.engine_](int status, const std::string &) {
                     onOrderAnswer(service, id, status);
                 });
@@ -162,7 +162,7 @@
         onAccepted(service, engine, now);
     }
     if (status == StaleFence) {
-        authority_.onOvertaken();
+        leaderElection_.onHigherFenceSeen();
     }
     if (status == StaleFence || status == Conflict) {
         planOf(service).onRefused(engine, now);
@@ -178,7 +178,7 @@
     if (traits == nullptr || !traits->engine_) {
         return;
     }
-    const TimePoint until = now + millis(traits->engine_->switchMillis_);
+    const TimePoint until = now + millis(traits->engine_->stageChangeMillis_);
     gateway_.endpoints().onChanging(engine, until);
     settings_.onOrderAccepted_(engine, until);
 }
--- a/libs/gateway/tests/peerloadtest.cpp
+++ b/libs/gateway/tests/peerloadtest.cpp
@@ -25,7 +25,7 @@
     Placement other({DomainId("a")});
     const PromptPlan first = *planFor(reader, table, prompt);
     BOOST_TEST(first.cacheHitUnknown_);
-    BOOST_TEST(first.uncachedTokens_ > prompt.ownTokens());
+    BOOST_TEST(first.uncachedTokens_ > prompt.unsharedTokens());
     reader.onPromptSent(table.find(*first.prefill_)->listed_, prompt, at(0));
     LoadReport report {InstanceId("reader"), 1, 1};
     report.readParts_ = reader.takeNewCachedParts();
@@ -36,7 +36,7 @@
     const PromptPlan second = *planFor(other, table, prompt);
     BOOST_TEST((second.prefill_ == first.prefill_));
     BOOST_TEST(!second.cacheHitUnknown_);
-    BOOST_TEST(second.uncachedTokens_ == prompt.ownTokens());
+    BOOST_TEST(second.uncachedTokens_ == prompt.unsharedTokens());
 }
 
 /**
--- a/libs/gateway/tests/sizeplantest.cpp
+++ b/libs/gateway/tests/sizeplantest.cpp
@@ -96,11 +96,12 @@
                 ++orderCount_;
                 orders_.push_back(order);
                 BOOST_TEST(order.count_ + count(order.domain_.value(), !order.spot_)
-                           <= service_.size_->most_);
+                           <= service_.size_->maxPerDomain_);
                 const bool available = !order.spot_ || now_ >= spotsAvailableFrom_;
                 if (available) {
                     const bool grows = order.count_ > count(order.domain_.value(), order.spot_);
-                    inProgress_.emplace(now_ + (grows ? service_.size_->bootMillis_ : 500), order);
+                    inProgress_.emplace(now_ + (grows ? service_.size_->startupMillis_ : 500),
+                                        order);
                 }
                 plan.onAnswer(order, available, at(now_));
             }
@@ -171,7 +172,7 @@
 
 BOOST_AUTO_TEST_CASE(serviceWithoutSpotEndpointsGetsNoOrders)
 {
-    service_.size_->spotPrice_ = 1;
+    service_.size_->spotPriceRatio_ = 1;
     SizePlan plan({2, 0.6});
     run(plan, 20'000);
     BOOST_TEST(orderCount_ == 0);
