--- a/libs/news/include/almondridge/news/readers.h
+++ b/libs/replication/include/almondridge/replication/distributiontree.h
@@ -19,7 +19,7 @@
 #include <map>
 #include <vector>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 
 /** An instance of a failure domain, and how much it can send. */
 struct Member
@@ -93,4 +93,4 @@
     std::map<InstanceId, Pass> passes_;
 };
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/include/almondridge/news/relay.h
+++ b/libs/replication/include/almondridge/replication/protocol.h
@@ -5,16 +5,16 @@
  */
 #pragma once
 
-#include "almondridge/news/board.h"
+#include "almondridge/replication/topicreplica.h"
 
 #include "almondridge/async/httpclient.h"
 #include "almondridge/async/httpserver.h"
-#include "almondridge/news/packing.h"
-#include "almondridge/news/readers.h"
+#include "almondridge/replication/valuecompression.h"
+#include "almondridge/replication/distributiontree.h"
 
 #include <list>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 
 /** How long a peer that has no news holds the question; its answer tells that it lives. */
 inline constexpr Duration HoldTime = millis(800);
@@ -149,4 +149,4 @@
     bool patient_ = false;
 };
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/include/almondridge/news/board.h
+++ b/libs/replication/include/almondridge/replication/topicreplica.h
@@ -19,7 +19,7 @@
 #include <string_view>
 #include <vector>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 
 enum class Topic { Config, Endpoints, Instances, Quarantine };
 
@@ -158,4 +158,4 @@
     std::size_t removals_ = 0;
 };
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/include/almondridge/news/newssource.h
+++ b/libs/replication/include/almondridge/replication/upstreamselector.h
@@ -13,12 +13,12 @@
 
 #include "almondridge/base/ids.h"
 #include "almondridge/base/time.h"
-#include "almondridge/news/readers.h"
+#include "almondridge/replication/distributiontree.h"
 
 #include <optional>
 #include <vector>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 
 enum class SourceKind {
     OwnReads, ///< This instance reads the store.
@@ -100,4 +100,4 @@
     std::uint64_t waits_ = 0;   ///< Peers that were waited for.
 };
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/include/almondridge/news/packing.h
+++ b/libs/replication/include/almondridge/replication/valuecompression.h
@@ -4,14 +4,14 @@
  */
 #pragma once
 
-#include "almondridge/news/board.h"
+#include "almondridge/replication/topicreplica.h"
 
 #include <map>
 #include <optional>
 #include <string>
 #include <string_view>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 
 /** The zlib form of a value. */
 std::string pack(std::string_view value);
@@ -37,4 +37,4 @@
     std::map<std::pair<Topic, std::string>, Packed> values_;
 };
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/src/readers.cpp
+++ b/libs/replication/src/distributiontree.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/news/readers.h"
+#include "almondridge/replication/distributiontree.h"
 
 #include "almondridge/gateway/promptmemory.h"
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <utility>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 namespace {
 
 /** Several, so that the loss of one never matters. */
@@ -190,4 +190,4 @@
     passes_.erase(member);
 }
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/src/relay.cpp
+++ b/libs/replication/src/protocol.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/protocol.h"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <fmt/ranges.h>
 #include <nlohmann/json.hpp>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 namespace {
 
 using Json = nlohmann::json;
@@ -405,4 +405,4 @@
     events_.onUseless_(cause);
 }
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/src/board.cpp
+++ b/libs/replication/src/topicreplica.cpp
@@ -1,10 +1,10 @@
-#include "almondridge/news/board.h"
+#include "almondridge/replication/topicreplica.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 namespace {
 
 /** Removed keys that are remembered; a peer that missed more of them is sent everything. */
@@ -277,4 +277,4 @@
     return found;
 }
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/src/newssource.cpp
+++ b/libs/replication/src/upstreamselector.cpp
@@ -1,11 +1,11 @@
-#include "almondridge/news/newssource.h"
+#include "almondridge/replication/upstreamselector.h"
 
 #include "almondridge/gateway/promptmemory.h"
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/protocol.h"
 
 #include <algorithm>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 namespace {
 
 /** A first read of ours: a call over a connection that is silent, and one over a new one. */
@@ -217,4 +217,4 @@
     return true;
 }
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/src/packing.cpp
+++ b/libs/replication/src/valuecompression.cpp
@@ -1,8 +1,8 @@
-#include "almondridge/news/packing.h"
+#include "almondridge/replication/valuecompression.h"
 
 #include <zlib.h>
 
-namespace almondridge::news {
+namespace almondridge::replication {
 namespace {
 
 /** A shorter value fits into a few packets as it is. */
@@ -61,4 +61,4 @@
     return &packed.bytes_;
 }
 
-} // namespace almondridge::news
+} // namespace almondridge::replication
--- a/libs/news/tests/prooftest.cpp
+++ b/libs/replication/tests/configurationstalenesstest.cpp
@@ -1,11 +1,11 @@
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/protocol.h"
 
 #include <boost/test/unit_test.hpp>
 #include <list>
 #include <random>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 
 namespace {
 
--- a/libs/news/tests/configurationtransfertest.cpp
+++ b/libs/replication/tests/configurationtransfertest.cpp
@@ -1,6 +1,6 @@
-#include "readertree.h"
+#include "treesupport.h"
 
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/protocol.h"
 
 #include "../../async/tests/loopsupport.h"
 
@@ -9,7 +9,7 @@
 #include <random>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 using async::testing::runUntil;
 
 namespace {
--- a/libs/news/tests/readerstest.cpp
+++ b/libs/replication/tests/distributiontreetest.cpp
@@ -1,9 +1,9 @@
-#include "readertree.h"
+#include "treesupport.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 using testing::parentsOf;
 
 namespace {
--- a/libs/news/tests/boardorderstest.cpp
+++ b/libs/replication/tests/replicaconvergencetest.cpp
@@ -1,12 +1,12 @@
 /** Boards that tell each other a store's history in any order, by chance and by a seed. */
-#include "almondridge/news/board.h"
+#include "almondridge/replication/topicreplica.h"
 
 #include <boost/test/unit_test.hpp>
 #include <map>
 #include <random>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 
 namespace {
 
--- a/libs/news/tests/newstest.cpp
+++ b/libs/replication/tests/topicreplicatest.cpp
@@ -1,11 +1,11 @@
-#include "almondridge/news/board.h"
-#include "almondridge/news/newssource.h"
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/topicreplica.h"
+#include "almondridge/replication/upstreamselector.h"
+#include "almondridge/replication/protocol.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 
 namespace {
 
--- a/libs/news/tests/readertree.h
+++ b/libs/replication/tests/treesupport.h
@@ -1,14 +1,14 @@
 /** The tree in which news pass a failure domain, for tests. */
 #pragma once
 
-#include "almondridge/news/readers.h"
+#include "almondridge/replication/distributiontree.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 #include <vector>
 
-namespace almondridge::news::testing {
+namespace almondridge::replication::testing {
 
 /** Whom each of them asks; those that read ask nobody. */
 inline std::map<InstanceId, InstanceId> parentsOf(const std::vector<Member> &members,
@@ -32,4 +32,4 @@
     return parents;
 }
 
-} // namespace almondridge::news::testing
+} // namespace almondridge::replication::testing
--- a/libs/news/tests/newssourcetest.cpp
+++ b/libs/replication/tests/upstreamselectortest.cpp
@@ -1,5 +1,5 @@
-#include "almondridge/news/newssource.h"
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/upstreamselector.h"
+#include "almondridge/replication/protocol.h"
 
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -8,7 +8,7 @@
 #include <set>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 
 namespace {
 
--- a/libs/news/tests/packingtest.cpp
+++ b/libs/replication/tests/valuecompressiontest.cpp
@@ -1,10 +1,10 @@
-#include "almondridge/news/packing.h"
-#include "almondridge/news/relay.h"
+#include "almondridge/replication/valuecompression.h"
+#include "almondridge/replication/protocol.h"
 
 #include <boost/test/unit_test.hpp>
 
 using namespace almondridge;
-using namespace almondridge::news;
+using namespace almondridge::replication;
 
 namespace {
 
--- a/libs/usage/include/almondridge/usage/usagebook.h
+++ b/libs/usage/include/almondridge/usage/usageledger.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "almondridge/usage/usagenote.h"
+#include "almondridge/usage/usagemessage.h"
 
 #include <map>
 #include <set>
--- a/libs/usage/include/almondridge/usage/usagemesh.h
+++ b/libs/usage/include/almondridge/usage/usagemesh.h
@@ -9,8 +9,8 @@
 #pragma once
 
 #include "almondridge/gateway/loadmesh.h"
-#include "almondridge/usage/truetime.h"
-#include "almondridge/usage/usagebook.h"
+#include "almondridge/usage/fleetclock.h"
+#include "almondridge/usage/usageledger.h"
 
 namespace almondridge::usage {
 
--- a/libs/usage/src/truetime.cpp
+++ b/libs/usage/src/fleetclock.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/usage/truetime.h"
+#include "almondridge/usage/fleetclock.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/libs/usage/src/usagebook.cpp
+++ b/libs/usage/src/usageledger.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/usage/usagebook.h"
+#include "almondridge/usage/usageledger.h"
 
 #include <algorithm>
 #include <limits>
--- a/libs/usage/tests/usagenotetest.cpp
+++ b/libs/usage/tests/usagemessagetest.cpp
@@ -1,4 +1,4 @@
-#include "almondridge/usage/usagenote.h"
+#include "almondridge/usage/usagemessage.h"
 
 #include <boost/test/unit_test.hpp>
 #include <random>
