--- a/libs/replication/include/almondridge/replication/distributiontree.h
+++ b/libs/replication/include/almondridge/replication/distributiontree.h
@@ -29,49 +29,49 @@
 };
 
 /** Why a peer was of no use to whoever asked it for news. */
-enum class Uselessness {
-    Silent,     ///< No answer in the time that a live peer needs.
-    Unanswered, ///< No connection, or one that broke.
-    Unreadable, ///< An answer that is no news.
-    Old,        ///< What it knows is too old.
-    Lost,       ///< It says that the store turns it away and that it has no news from others yet.
+enum class PeerFailure {
+    Timeout,     ///< No answer in the time that a live peer needs.
+    Disconnected, ///< No connection, or one that broke.
+    Malformed, ///< An answer that is no news.
+    Stale,        ///< What it knows is too old.
+    StoreLost,       ///< It says that the store turns it away and that it has no news from others yet.
 };
 
-inline constexpr std::array<EnumName<Uselessness>, 5> UselessnessNames {{
-    {Uselessness::Silent, "silent"},
-    {Uselessness::Unanswered, "unanswered"},
-    {Uselessness::Unreadable, "unreadable"},
-    {Uselessness::Old, "old"},
-    {Uselessness::Lost, "lost"},
+inline constexpr std::array<EnumName<PeerFailure>, 5> PeerFailureNames {{
+    {PeerFailure::Timeout, "silent"},
+    {PeerFailure::Disconnected, "unanswered"},
+    {PeerFailure::Malformed, "unreadable"},
+    {PeerFailure::Stale, "old"},
+    {PeerFailure::StoreLost, "lost"},
 }};
 
-class Readers
+class DistributionTree
 {
 public:
-    explicit Readers(InstanceId self);
+    explicit DistributionTree(InstanceId self);
 
     /** The instances of this failure domain, this one too. */
     void setMembers(std::vector<Member> members);
     /** With so few instances all of them read: asking each other would save next to nothing. */
-    bool allRead() const noexcept;
+    bool allMembersRead() const noexcept;
     /** The instances of the failure domain. */
     std::size_t size() const noexcept { return order_.size(); }
     /** Whether this instance reads when none is passed over, or would if one more were. */
-    bool comesFirst() const;
+    bool isPreferredReader() const;
     /** Asking that instance was of no use. */
-    void onUseless(const InstanceId &member, Uselessness cause, TimePoint now);
-    void onUseful(const InstanceId &member);
+    void onPeerFailed(const InstanceId &member, PeerFailure cause, TimePoint now);
+    void onPeerSucceeded(const InstanceId &member);
     /** Peers that had lost the store may have it back. */
-    void onStoreBack();
-    bool isPassedOver(const InstanceId &member, TimePoint now) const;
-    std::size_t countPassedOver(TimePoint now) const;
+    void onStoreRecovered();
+    bool isExcluded(const InstanceId &member, TimePoint now) const;
+    std::size_t excludedCount(TimePoint now) const;
     /** Those that read, as far as is known here; without this one if it cannot. */
-    std::vector<InstanceId> atWork(bool canRead, TimePoint now) const;
+    std::vector<InstanceId> activeReaders(bool canRead, TimePoint now) const;
     /**
      * Whose news to wait for when all are of no use: by turns one of those that read when none is
      * passed over, and any other one, as one that is not among these may have the store back.
      */
-    InstanceId toWaitFor(std::uint64_t attempt) const;
+    InstanceId fallbackPeer(std::uint64_t attempt) const;
     /**
      * The instance that this one asks: one of the tier before its own, by chance that follows their
      * links and is the same each time. Empty: there is none before it.
@@ -80,17 +80,17 @@
 
 private:
     /** What is in use of the order, this instance too. */
-    std::vector<const Member *> inUse(TimePoint now) const;
+    std::vector<const Member *> availableMembers(TimePoint now) const;
 
-    struct Pass
+    struct Exclusion
     {
         TimePoint until_ {};
-        int silences_ = 0; ///< Since it was last of use.
+        int timeouts_ = 0; ///< Since it was last of use.
     };
 
     InstanceId self_;
     std::vector<Member> order_;
-    std::map<InstanceId, Pass> passes_;
+    std::map<InstanceId, Exclusion> exclusions_;
 };
 
 } // namespace almondridge::replication
--- a/libs/replication/include/almondridge/replication/upstreamselector.h
+++ b/libs/replication/include/almondridge/replication/upstreamselector.h
@@ -20,21 +20,21 @@
 
 namespace almondridge::replication {
 
-enum class SourceKind {
-    OwnReads, ///< This instance reads the store.
+enum class UpstreamKind {
+    StoreReads, ///< This instance reads the store.
     Peer,     ///< It asks a peer.
-    Nobody,   ///< No peer was of use lately, and the store does not answer: it waits for one's.
+    WaitForPeer,   ///< No peer was of use lately, and the store does not answer: it waits for one's.
 };
 
-struct Source
+struct Upstream
 {
-    SourceKind kind_ = SourceKind::Nobody;
+    UpstreamKind kind_ = UpstreamKind::WaitForPeer;
     InstanceId peer_; ///< Whom it asks, or whose news it waits for.
 
-    friend bool operator==(const Source &, const Source &) = default;
+    friend bool operator==(const Upstream &, const Upstream &) = default;
 };
 
-class NewsSource
+class UpstreamSelector
 {
     enum class StoreState {
         Unknown, ///< It was not called of late.
@@ -44,60 +44,60 @@
 
 public:
     /** leaveBound: until a leaving endpoint must get no more work. */
-    NewsSource(InstanceId self, Duration leaveBound);
+    UpstreamSelector(InstanceId self, Duration leaveBound);
 
     /** The instances of this failure domain, this one too. */
     void setMembers(std::vector<Member> members);
     /** The peer that is asked had news of use, read from the store at that time. */
-    void onNews(TimePoint readAt);
+    void onPeerData(TimePoint readAt);
     /** It had none. age: of what is known here; nullopt: something is not known at all. */
-    void onUseless(Uselessness cause, std::optional<Duration> age, TimePoint now);
+    void onPeerFailed(PeerFailure cause, std::optional<Duration> age, TimePoint now);
     /** A read of this instance's own, or the call that tests the store, was answered. */
     void onStoreAnswered(TimePoint now);
     /** Reads of its own, or the call that tests the store, failed. */
     void onStoreFailed(TimePoint now);
 
     /** What to do from now on. */
-    const Source &choose(TimePoint now);
+    const Upstream &choose(TimePoint now);
     /**
      * Whether the store is to be tested now by a single call; true once for each. It is tested
      * after it failed us, and before this instance takes reading over from others in trouble:
      * lists are read only from a store that answers.
      */
-    bool takeTest(TimePoint now);
+    bool takeProbe(TimePoint now);
     /** Whether a test decides what comes next: until then nobody is asked anew. */
-    bool awaitsTest() const noexcept { return mustTest_; }
+    bool awaitsProbe() const noexcept { return probeRequired_; }
     /**
      * Whether this instance is of no use to others: the store turns it away, and it has had no
      * news from a peer since. Told at once, it spares them to find out by the age of its news.
      */
-    bool isLost() const noexcept { return store_ == StoreState::Fails && withoutNews_; }
+    bool hasLostStore() const noexcept { return store_ == StoreState::Fails && withoutPeerData_; }
 
 private:
-    void onUnanswered(std::int64_t pauseMillis, TimePoint now);
+    void markStoreFailed(std::int64_t pauseMillis, TimePoint now);
     /** A pause that keeps all instances of the failure domain together at the same rate. */
-    std::int64_t forAll(std::int64_t least, std::int64_t millisOfOne) const;
-    bool isTrouble(TimePoint now) const;
-    Source wanted(TimePoint now);
+    std::int64_t scaledByDomain(std::int64_t least, std::int64_t millisOfOne) const;
+    bool mayBeOutage(TimePoint now) const;
+    Upstream preferredUpstream(TimePoint now);
 
     InstanceId self_;
     Duration leaveBound_;
-    Readers readers_;
-    Source current_;
-    TimePoint keptUntil_ {};  ///< Until then a peer that is of use is asked on.
-    TimePoint readsUntil_ {}; ///< Until then reads that others need go on.
-    TimePoint waitsUntil_ {}; ///< Until then others may find that the store is back.
+    DistributionTree tree_;
+    Upstream current_;
+    TimePoint upstreamKeptUntil_ {};  ///< Until then a peer that is of use is asked on.
+    TimePoint readsKeptUntil_ {}; ///< Until then reads that others need go on.
+    TimePoint peerRecoveryUntil_ {}; ///< Until then others may find that the store is back.
     StoreState store_ = StoreState::Unknown;
-    TimePoint answersUntil_ {}; ///< So long its last answer counts.
-    bool mustRead_ = false;     ///< Waiting for another peer could miss the bound.
-    TimePoint lostAt_ {};       ///< When the store first failed us.
-    bool withoutNews_ = false;  ///< From anybody, since the store last failed us.
-    bool mustTest_ = false;     ///< It is to read, and the store was not called of late.
-    bool testing_ = false;      ///< A test's outcome is awaited.
-    TimePoint testAt_ {};       ///< When the store is tested, if it failed us.
+    TimePoint storeAnswerValidUntil_ {}; ///< So long its last answer counts.
+    bool readRequired_ = false;     ///< Waiting for another peer could miss the bound.
+    TimePoint storeLostAt_ {};       ///< When the store first failed us.
+    bool withoutPeerData_ = false;  ///< From anybody, since the store last failed us.
+    bool probeRequired_ = false;     ///< It is to read, and the store was not called of late.
+    bool probePending_ = false;      ///< A test's outcome is awaited.
+    TimePoint probeAt_ {};       ///< When the store is tested, if it failed us.
     int failures_ = 0;          ///< Of reads and tests in a row.
-    std::uint64_t tests_ = 0;   ///< Spreads the pauses of instances that failed together.
-    std::uint64_t waits_ = 0;   ///< Peers that were waited for.
+    std::uint64_t probes_ = 0;   ///< Spreads the pauses of instances that failed together.
+    std::uint64_t fallbackAttempts_ = 0;   ///< Peers that were waited for.
 };
 
 } // namespace almondridge::replication
--- a/libs/replication/include/almondridge/replication/valuecompression.h
+++ b/libs/replication/include/almondridge/replication/valuecompression.h
@@ -14,27 +14,27 @@
 namespace almondridge::replication {
 
 /** The zlib form of a value. */
-std::string pack(std::string_view value);
+std::string compressValue(std::string_view value);
 
 /** The value of `size` bytes that was packed; nullopt: it is no such form, or of another size. */
-std::optional<std::string> unpack(std::string_view packed, std::size_t size);
+std::optional<std::string> decompressValue(std::string_view compressed, std::size_t size);
 
 /** Packed forms of large values, each worked out once for all followers that are sent it. */
-class PackedValues
+class CompressedValueCache
 {
 public:
     /** nullptr: the value is sent as it is. Valid until the next call. */
-    const std::string *of(const Change &change);
+    const std::string *compressedFormOf(const Change &change);
 
 private:
-    struct Packed
+    struct Compressed
     {
         LogOffset offset_ = 0;
         std::size_t size_ = 0;
         std::string bytes_;
     };
 
-    std::map<std::pair<Topic, std::string>, Packed> values_;
+    std::map<std::pair<Topic, std::string>, Compressed> values_;
 };
 
 } // namespace almondridge::replication
--- a/libs/replication/src/distributiontree.cpp
+++ b/libs/replication/src/distributiontree.cpp
@@ -11,28 +11,28 @@
 
 /** Several, so that the loss of one never matters. */
 constexpr std::size_t ReadersPerDomain = 2;
-constexpr std::size_t FewMembers = 3;
+constexpr std::size_t MaxMembersAllReading = 3;
 /**
  * A peer that does not answer is asked again after this time, which doubles up to the longest: each
  * time costs whoever asks the length of a silence, and its news grow too old to wait for another.
  */
-constexpr std::int64_t FirstPassMillis = 15'000;
-constexpr std::int64_t LongestPassMillis = 60'000;
-constexpr int MostDoublings = 2;
+constexpr std::int64_t InitialExclusionMillis = 15'000;
+constexpr std::int64_t MaxExclusionMillis = 60'000;
+constexpr int MaxDoublings = 2;
 /** One that has lost the store says so at once, and may have it back any moment. */
-constexpr Duration PassedOverWhenLost = millis(2'000);
+constexpr Duration StoreLostExclusion = millis(2'000);
 /** Any fixed number: it gives the names of a domain one order. */
 constexpr std::uint64_t OrderSeed = 1;
 /** An instance bears a follower for each so much of its link. */
 constexpr double MbpsPerFollower = 10;
 /** A tier has to be wider than the one before it, whatever the links. */
-constexpr double FewestFollowers = 4;
+constexpr double MinFollowers = 4;
 /** A list leaves for each of them in turn: the last one waits for all others. */
-constexpr double MostFollowers = 32;
+constexpr double MaxFollowers = 32;
 
-double followersOf(const Member &member)
+double followerCapacity(const Member &member)
 {
-    return std::clamp(member.linkMbps_ / MbpsPerFollower, FewestFollowers, MostFollowers);
+    return std::clamp(member.linkMbps_ / MbpsPerFollower, MinFollowers, MaxFollowers);
 }
 
 /**
@@ -47,7 +47,7 @@
     const std::uint64_t seed = gateway::rendezvousWeight(chooser, OrderSeed);
     const auto score = [&](const Member &member) {
         const auto hash = static_cast<double>(gateway::rendezvousWeight(member.id_.value(), seed));
-        return followersOf(member) / -std::log((hash + 1) / (Range + 2));
+        return followerCapacity(member) / -std::log((hash + 1) / (Range + 2));
     };
     const auto best = std::max_element(from, until, [&](const Member *one, const Member *other) {
         return score(*one) < score(*other);
@@ -57,11 +57,11 @@
 
 } // namespace
 
-Readers::Readers(InstanceId self)
+DistributionTree::DistributionTree(InstanceId self)
     : self_(std::move(self))
 { }
 
-void Readers::setMembers(std::vector<Member> members)
+void DistributionTree::setMembers(std::vector<Member> members)
 {
     const auto rank = [](const Member &member) {
         return std::make_pair(member.linkMbps_,
@@ -70,18 +70,18 @@
     std::sort(members.begin(), members.end(),
               [&](const Member &one, const Member &other) { return rank(one) > rank(other); });
     order_ = std::move(members);
-    std::erase_if(passes_, [&](const auto &entry) {
+    std::erase_if(exclusions_, [&](const auto &entry) {
         return std::none_of(order_.begin(), order_.end(),
                             [&](const Member &member) { return member.id_ == entry.first; });
     });
 }
 
-bool Readers::allRead() const noexcept
+bool DistributionTree::allMembersRead() const noexcept
 {
-    return order_.size() <= FewMembers;
+    return order_.size() <= MaxMembersAllReading;
 }
 
-bool Readers::comesFirst() const
+bool DistributionTree::isPreferredReader() const
 {
     const auto last =
         order_.begin() + static_cast<std::ptrdiff_t>(std::min(order_.size(), ReadersPerDomain + 1));
@@ -89,32 +89,32 @@
                        [&](const Member &member) { return member.id_ == self_; });
 }
 
-void Readers::onUseless(const InstanceId &member, Uselessness cause, TimePoint now)
+void DistributionTree::onPeerFailed(const InstanceId &member, PeerFailure cause, TimePoint now)
 {
-    Pass &pass = passes_[member];
-    if (cause == Uselessness::Old || cause == Uselessness::Lost) {
-        pass = {now + PassedOverWhenLost, 0};
+    Exclusion &exclusion = exclusions_[member];
+    if (cause == PeerFailure::Stale || cause == PeerFailure::StoreLost) {
+        exclusion = {now + StoreLostExclusion, 0};
         return;
     }
-    const std::int64_t doubled = FirstPassMillis << std::min(pass.silences_, MostDoublings);
-    pass.until_ = now + millis(std::min(doubled, LongestPassMillis));
-    ++pass.silences_;
+    const std::int64_t doubled = InitialExclusionMillis << std::min(exclusion.timeouts_, MaxDoublings);
+    exclusion.until_ = now + millis(std::min(doubled, MaxExclusionMillis));
+    ++exclusion.timeouts_;
 }
 
-bool Readers::isPassedOver(const InstanceId &member, TimePoint now) const
+bool DistributionTree::isExcluded(const InstanceId &member, TimePoint now) const
 {
-    const auto found = passes_.find(member);
-    return found != passes_.end() && found->second.until_ > now;
+    const auto found = exclusions_.find(member);
+    return found != exclusions_.end() && found->second.until_ > now;
 }
 
-std::size_t Readers::countPassedOver(TimePoint now) const
+std::size_t DistributionTree::excludedCount(TimePoint now) const
 {
     return static_cast<std::size_t>(
-        std::count_if(passes_.begin(), passes_.end(),
+        std::count_if(exclusions_.begin(), exclusions_.end(),
                       [&](const auto &entry) { return entry.second.until_ > now; }));
 }
 
-InstanceId Readers::toWaitFor(std::uint64_t attempt) const
+InstanceId DistributionTree::fallbackPeer(std::uint64_t attempt) const
 {
     std::vector<InstanceId> others;
     for (const Member &member : order_) {
@@ -125,27 +125,27 @@
     if (others.empty()) {
         return {};
     }
-    const bool asksFirst = attempt % 2 == 0;
-    const std::size_t among = asksFirst ? std::min(others.size(), ReadersPerDomain) : others.size();
-    return others[gateway::rendezvousWeight(self_.value(), attempt / 2) % among];
+    const bool amongReaders = attempt % 2 == 0;
+    const std::size_t candidates = amongReaders ? std::min(others.size(), ReadersPerDomain) : others.size();
+    return others[gateway::rendezvousWeight(self_.value(), attempt / 2) % candidates];
 }
 
-std::vector<const Member *> Readers::inUse(TimePoint now) const
+std::vector<const Member *> DistributionTree::availableMembers(TimePoint now) const
 {
     std::vector<const Member *> members;
     members.reserve(order_.size());
     for (const Member &member : order_) {
-        if (member.id_ == self_ || !isPassedOver(member.id_, now)) {
+        if (member.id_ == self_ || !isExcluded(member.id_, now)) {
             members.push_back(&member);
         }
     }
     return members;
 }
 
-std::vector<InstanceId> Readers::atWork(bool canRead, TimePoint now) const
+std::vector<InstanceId> DistributionTree::activeReaders(bool canRead, TimePoint now) const
 {
     std::vector<InstanceId> readers;
-    for (const Member *member : inUse(now)) {
+    for (const Member *member : availableMembers(now)) {
         if ((member->id_ != self_ || canRead) && readers.size() < ReadersPerDomain) {
             readers.push_back(member->id_);
         }
@@ -153,9 +153,9 @@
     return readers;
 }
 
-InstanceId Readers::parent(bool canRead, TimePoint now) const
+InstanceId DistributionTree::parent(bool canRead, TimePoint now) const
 {
-    std::vector<const Member *> members = inUse(now);
+    std::vector<const Member *> members = availableMembers(now);
     const auto self = std::find_if(members.begin(), members.end(),
                                    [&](const Member *member) { return member->id_ == self_; });
     const auto place = static_cast<std::size_t>(self - members.begin());
@@ -167,7 +167,7 @@
     for (;;) {
         double followers = 0;
         for (std::size_t index = from; index < until; ++index) {
-            followers += followersOf(*members[index]);
+            followers += followerCapacity(*members[index]);
         }
         const std::size_t next = until + static_cast<std::size_t>(followers);
         if (place < next || next >= members.size()) {
@@ -180,14 +180,14 @@
                           begin + static_cast<std::ptrdiff_t>(until), self_.value());
 }
 
-void Readers::onStoreBack()
+void DistributionTree::onStoreRecovered()
 {
-    std::erase_if(passes_, [](const auto &entry) { return entry.second.silences_ == 0; });
+    std::erase_if(exclusions_, [](const auto &entry) { return entry.second.timeouts_ == 0; });
 }
 
-void Readers::onUseful(const InstanceId &member)
+void DistributionTree::onPeerSucceeded(const InstanceId &member)
 {
-    passes_.erase(member);
+    exclusions_.erase(member);
 }
 
 } // namespace almondridge::replication
--- a/libs/replication/src/protocol.cpp
+++ b/libs/replication/src/protocol.cpp
@@ -11,17 +11,17 @@
 
 using Json = nlohmann::json;
 
-constexpr std::string_view NewsPath = "/news?";
-constexpr std::string_view PatientMark = "&patient";
-constexpr std::string_view UnpacksMark = "&unpacks";
+constexpr std::string_view RequestPath = "/news?";
+constexpr std::string_view WaitForLostStoreFlag = "&patient";
+constexpr std::string_view AcceptsCompressedFlag = "&unpacks";
 /** A change is topic, key, value, offset; and the value's size where it is packed. */
-constexpr std::size_t FieldsOfPacked = 5;
-constexpr std::int64_t ConnectMillis = 250;
+constexpr std::size_t CompressedChangeFields = 5;
+constexpr std::int64_t ConnectTimeoutMillis = 250;
 /** News this much newer than what those who wait were told are told to them. */
-constexpr Duration ConfirmStep = millis(300);
+constexpr Duration MinConfirmationStep = millis(300);
 constexpr char EndsSeparator = '.';
 
-std::uint64_t numberIn(std::string_view target, std::string_view name)
+std::uint64_t numberParameter(std::string_view target, std::string_view name)
 {
     std::uint64_t number = 0;
     const std::size_t at = target.find(name);
@@ -32,13 +32,13 @@
     return number;
 }
 
-std::string textOf(const TopicEnds &ends)
+std::string formatEnds(const TopicEnds &ends)
 {
     return fmt::format("{}", fmt::join(ends, "."));
 }
 
 /** Ends that are missing are 0. */
-TopicEnds endsIn(std::string_view target, std::string_view name)
+TopicEnds endsParameter(std::string_view target, std::string_view name)
 {
     TopicEnds ends {};
     std::size_t at = target.find(name);
@@ -56,19 +56,19 @@
 }
 
 /** nullopt: the peer has none, or is of a version that tells none. */
-std::optional<TimePoint> readProof(const Json &json, std::size_t index, TimePoint askedAt)
+std::optional<TimePoint> readAsOf(const Json &json, std::size_t index, TimePoint requestedAt)
 {
     const auto proofs = json.find("proofs");
     if (proofs == json.end() || proofs->at(index).is_null()) {
         return std::nullopt;
     }
-    return askedAt - millis(proofs->at(index).get<std::int64_t>());
+    return requestedAt - millis(proofs->at(index).get<std::int64_t>());
 }
 
-Json encodeChange(const Change &change, PackedValues *packed)
+Json encodeChange(const Change &change, CompressedValueCache *compressed)
 {
     const auto topic = static_cast<int>(change.topic_);
-    const std::string *bytes = packed != nullptr ? packed->of(change) : nullptr;
+    const std::string *bytes = compressed != nullptr ? compressed->compressedFormOf(change) : nullptr;
     if (bytes == nullptr) {
         return {topic, change.key_, change.value_, change.offset_};
     }
@@ -85,12 +85,12 @@
     }
     Change change {
         static_cast<Topic>(topic), json.at(1).get<std::string>(), {}, json.at(3).get<LogOffset>()};
-    if (json.size() < FieldsOfPacked) {
+    if (json.size() < CompressedChangeFields) {
         change.value_ = json.at(2).get<std::string>();
         return change;
     }
     const Json::binary_t &bytes = json.at(2).get_binary();
-    auto value = unpack({reinterpret_cast<const char *>(bytes.data()), bytes.size()},
+    auto value = decompressValue({reinterpret_cast<const char *>(bytes.data()), bytes.size()},
                         json.at(4).get<std::size_t>());
     if (!value) {
         return std::nullopt;
@@ -101,12 +101,12 @@
 
 } // namespace
 
-std::string encodeChanges(const ChangeSet &set, std::uint64_t lifetime, bool lost, TimePoint now,
-                          TimePoint askedAt, PackedValues *packed)
+std::string encodeChanges(const ChangeSet &set, std::uint64_t lifetime, bool storeLost, TimePoint now,
+                          TimePoint requestedAt, CompressedValueCache *compressed)
 {
     Json changes = Json::array();
     for (const Change &change : set.changes_) {
-        changes.push_back(encodeChange(change, packed));
+        changes.push_back(encodeChange(change, compressed));
     }
     Json ages = Json::array();
     Json ends = Json::array();
@@ -114,11 +114,11 @@
     for (const TopicState &topic : set.topics_) {
         ages.push_back(topic.readAt_ ? Json(toMillis(now - *topic.readAt_)) : Json(nullptr));
         ends.push_back(topic.end_);
-        proofs.push_back(topic.asOf_ ? Json(toMillis(askedAt - *topic.asOf_) + 1) : Json(nullptr));
+        proofs.push_back(topic.asOf_ ? Json(toMillis(requestedAt - *topic.asOf_) + 1) : Json(nullptr));
     }
-    const Json json {{"lifetime", lifetime}, {"lost", lost},      {"whole", set.whole_},
-                     {"first", set.first_},  {"more", set.more_}, {"next", set.next_},
-                     {"base", set.base_},    {"ages", ages},      {"ends", ends},
+    const Json json {{"lifetime", lifetime}, {"lost", storeLost},      {"whole", set.isSnapshot_},
+                     {"first", set.isFirstPart_},  {"more", set.more_}, {"next", set.nextSequence_},
+                     {"base", set.historyStart_},    {"ages", ages},      {"ends", ends},
                      {"proofs", proofs},     {"changes", changes}};
     std::string body;
     Json::to_cbor(json, body);
@@ -126,25 +126,25 @@
 }
 
 std::optional<ReceivedChanges> decodeChanges(const std::string &body, TimePoint now,
-                                             TimePoint askedAt)
+                                             TimePoint requestedAt)
 {
     try {
         const Json json = Json::from_cbor(body);
         ReceivedChanges received;
         received.lifetime_ = json.at("lifetime").get<std::uint64_t>();
-        received.lost_ = json.at("lost").get<bool>();
-        received.set_.whole_ = json.at("whole").get<bool>();
-        received.set_.first_ = json.value("first", received.set_.whole_);
+        received.storeLost_ = json.at("lost").get<bool>();
+        received.set_.isSnapshot_ = json.at("whole").get<bool>();
+        received.set_.isFirstPart_ = json.value("first", received.set_.isSnapshot_);
         received.set_.more_ = json.value("more", false);
-        received.set_.next_ = json.at("next").get<std::uint64_t>();
-        received.set_.base_ = json.value("base", std::uint64_t {0});
+        received.set_.nextSequence_ = json.at("next").get<std::uint64_t>();
+        received.set_.historyStart_ = json.value("base", std::uint64_t {0});
         for (std::size_t index = 0; index < TopicCount; ++index) {
             const Json &age = json.at("ages").at(index);
             if (!age.is_null()) {
                 received.set_.topics_[index].readAt_ = now - millis(age.get<std::int64_t>());
             }
             received.set_.topics_[index].end_ = json.at("ends").at(index).get<LogOffset>();
-            received.set_.topics_[index].asOf_ = readProof(json, index, askedAt);
+            received.set_.topics_[index].asOf_ = readAsOf(json, index, requestedAt);
         }
         for (const Json &entry : json.at("changes")) {
             auto change = decodeChange(entry);
@@ -159,177 +159,177 @@
     }
 }
 
-RelayServer::RelayServer(async::EventLoop &loop, const Board &board, std::uint64_t lifetime)
+ReplicationServer::ReplicationServer(async::EventLoop &loop, const TopicReplica &board, std::uint64_t lifetime)
     : board_(board)
     , lifetime_(lifetime)
     , timer_(loop)
     , loop_(loop)
 { }
 
-bool RelayServer::takes(const async::ServerCall &call) const
+bool ReplicationServer::takes(const async::ServerCall &call) const
 {
-    return call.head_.target_.starts_with(NewsPath);
+    return call.head_.target_.starts_with(RequestPath);
 }
 
-RelayServer::Question RelayServer::readQuestion(const async::ServerCall &call) const
+ReplicationServer::PollRequest ReplicationServer::readPollRequest(const async::ServerCall &call) const
 {
     const std::string &target = call.head_.target_;
-    Question question {call.id_,
+    PollRequest pollRequest {call.id_,
                        {},
-                       endsIn(target, "ends="),
+                       endsParameter(target, "ends="),
                        call.startedAt_,
-                       target.find(UnpacksMark) != std::string::npos};
-    if (numberIn(target, "lifetime=") == lifetime_) {
-        question.position_ = {numberIn(target, "from="), numberIn(target, "base="),
-                              numberIn(target, "listing=") != 0};
+                       target.find(AcceptsCompressedFlag) != std::string::npos};
+    if (numberParameter(target, "lifetime=") == lifetime_) {
+        pollRequest.cursor_ = {numberParameter(target, "from="), numberParameter(target, "base="),
+                              numberParameter(target, "listing=") != 0};
     }
-    return question;
+    return pollRequest;
 }
 
-void RelayServer::answer(async::HttpServer &server, const async::ServerCall &call)
+void ReplicationServer::answer(async::HttpServer &server, const async::ServerCall &call)
 {
     server_ = &server;
-    const Question question = readQuestion(call);
+    const PollRequest pollRequest = readPollRequest(call);
     const TimePoint now = BootClock::now();
     // With old news the answer would be of no use: this instance may be about to have newer ones,
     // as whoever asks it now was left by the same reader at the same moment.
-    if (!board_.isAtEnd(question.position_) && isFresh(now)) {
-        respond(question);
+    if (!board_.isAtEnd(pollRequest.cursor_) && isFresh(now)) {
+        respond(pollRequest);
         return;
     }
-    const bool patient = call.head_.target_.ends_with(PatientMark);
-    if (lost_ && !patient) {
-        respond(question);
+    const bool waitsForLostStore = call.head_.target_.ends_with(WaitForLostStoreFlag);
+    if (storeLost_ && !waitsForLostStore) {
+        respond(pollRequest);
         return;
     }
-    waiting_.push_back({question, now + HoldTime, patient});
-    if (waiting_.size() == 1) {
-        timer_.startAt(waiting_.front().until_, [this] { answerLate(); });
+    pending_.push_back({pollRequest, now + LongPollTimeout, waitsForLostStore});
+    if (pending_.size() == 1) {
+        timer_.startAt(pending_.front().until_, [this] { respondToExpired(); });
     }
 }
 
-ChangeSet RelayServer::answerTo(const Question &question) const
+ChangeSet ReplicationServer::changesFor(const PollRequest &pollRequest) const
 {
-    const bool knowsAll = ageOf(board_.topics(), BootClock::now()).has_value();
-    if (lost_ || !knowsAll) {
+    const bool knowsAll = oldestReadAge(board_.topics(), BootClock::now()).has_value();
+    if (storeLost_ || !knowsAll) {
         // Nothing of use, or not yet: whoever asked need not be sent what may be half a list.
         ChangeSet none;
-        none.next_ = question.position_.from_;
-        none.base_ = question.position_.base_;
+        none.nextSequence_ = pollRequest.cursor_.nextSequence_;
+        none.historyStart_ = pollRequest.cursor_.historyStart_;
         return none;
     }
-    const bool isNew = question.position_.base_ == 0;
+    const bool isNew = pollRequest.cursor_.historyStart_ == 0;
     const auto missing =
-        isNew ? board_.missingAt(question.ends_, MostChangesInAnswer) : std::optional<ChangeSet>();
-    return missing ? *missing : board_.after(question.position_, MostChangesInAnswer);
+        isNew ? board_.changesBeyond(pollRequest.ends_, MaxChangesPerResponse) : std::optional<ChangeSet>();
+    return missing ? *missing : board_.after(pollRequest.cursor_, MaxChangesPerResponse);
 }
 
-void RelayServer::respond(const Question &question)
+void ReplicationServer::respond(const PollRequest &pollRequest)
 {
-    PackedValues *const packed = question.unpacks_ ? &packed_ : nullptr;
-    server_->respond(question.id_, {200,
+    CompressedValueCache *const compressed = pollRequest.acceptsCompressed_ ? &compressedValues_ : nullptr;
+    server_->respond(pollRequest.id_, {200,
                                     {},
-                                    encodeChanges(answerTo(question), lifetime_, lost_,
-                                                  BootClock::now(), question.askedAt_, packed)});
+                                    encodeChanges(changesFor(pollRequest), lifetime_, storeLost_,
+                                                  BootClock::now(), pollRequest.requestedAt_, compressed)});
 }
 
-void RelayServer::answerLate()
+void ReplicationServer::respondToExpired()
 {
     const TimePoint now = BootClock::now();
-    while (!waiting_.empty() && waiting_.front().until_ <= now) {
-        respond(waiting_.front().question_);
-        waiting_.pop_front();
+    while (!pending_.empty() && pending_.front().until_ <= now) {
+        respond(pending_.front().request_);
+        pending_.pop_front();
     }
-    if (!waiting_.empty()) {
-        timer_.startAt(waiting_.front().until_, [this] { answerLate(); });
+    if (!pending_.empty()) {
+        timer_.startAt(pending_.front().until_, [this] { respondToExpired(); });
     }
 }
 
-bool RelayServer::isFresh(TimePoint now) const
+bool ReplicationServer::isFresh(TimePoint now) const
 {
-    const auto age = ageOf(board_.topics(), now);
-    return age && *age <= UselessAge;
+    const auto age = oldestReadAge(board_.topics(), now);
+    return age && *age <= MaxUsableAge;
 }
 
-void RelayServer::setLost(bool lost)
+void ReplicationServer::setStoreLost(bool storeLost)
 {
-    if (lost == lost_) {
+    if (storeLost == storeLost_) {
         return;
     }
-    lost_ = lost;
-    if (lost) {
-        answerThose([](const Waiting &one) { return !one.patient_; });
+    storeLost_ = storeLost;
+    if (storeLost) {
+        respondWhere([](const PendingPoll &one) { return !one.waitsForLostStore_; });
     }
 }
 
-void RelayServer::answerThose(const std::function<bool(const Waiting &)> &chosen)
+void ReplicationServer::respondWhere(const std::function<bool(const PendingPoll &)> &chosen)
 {
-    std::list<Waiting> answered;
-    for (auto one = waiting_.begin(); one != waiting_.end();) {
+    std::list<PendingPoll> answered;
+    for (auto one = pending_.begin(); one != pending_.end();) {
         const auto next = std::next(one);
         if (chosen(*one)) {
-            answered.splice(answered.end(), waiting_, one);
+            answered.splice(answered.end(), pending_, one);
         }
         one = next;
     }
-    for (const Waiting &one : answered) {
-        respond(one.question_);
+    for (const PendingPoll &one : answered) {
+        respond(one.request_);
     }
 }
 
-void RelayServer::onConfirmed()
+void ReplicationServer::onConfirmed()
 {
     const TimePoint now = BootClock::now();
     if (!isFresh(now)) {
         return;
     }
-    const TimePoint readAt = now - *ageOf(board_.topics(), now);
-    if (readAt < confirmedAt_ + ConfirmStep) {
-        answerThose(
-            [this](const Waiting &one) { return !board_.isAtEnd(one.question_.position_); });
+    const TimePoint readAt = now - *oldestReadAge(board_.topics(), now);
+    if (readAt < lastConfirmedReadAt_ + MinConfirmationStep) {
+        respondWhere(
+            [this](const PendingPoll &one) { return !board_.isAtEnd(one.request_.cursor_); });
         return;
     }
-    confirmedAt_ = readAt;
-    answerThose([](const Waiting &) { return true; });
+    lastConfirmedReadAt_ = readAt;
+    respondWhere([](const PendingPoll &) { return true; });
 }
 
-void RelayServer::forget(const async::CallId &id)
+void ReplicationServer::forget(const async::CallId &id)
 {
-    waiting_.remove_if([&](const Waiting &one) { return one.question_.id_ == id; });
+    pending_.remove_if([&](const PendingPoll &one) { return one.request_.id_ == id; });
 }
 
-void RelayServer::onNews()
+void ReplicationServer::onChanged()
 {
-    if (waiting_.empty() || newsPosted_) {
+    if (pending_.empty() || notificationPosted_) {
         return;
     }
     // Later, so that all changes of one read leave in one answer.
-    newsPosted_ = true;
+    notificationPosted_ = true;
     loop_.post([this] {
-        newsPosted_ = false;
-        for (const Waiting &one : std::exchange(waiting_, {})) {
-            respond(one.question_);
+        notificationPosted_ = false;
+        for (const PendingPoll &one : std::exchange(pending_, {})) {
+            respond(one.request_);
         }
     });
 }
 
-RelayClient::RelayClient(async::EventLoop &loop, Events events)
+ReplicationClient::ReplicationClient(async::EventLoop &loop, Events events)
     : client_(loop)
     , events_(std::move(events))
     , timer_(loop)
 { }
 
-void RelayClient::follow(const net::Address &peer, bool patient)
+void ReplicationClient::follow(const net::Address &peer, bool waitsForLostStore)
 {
     stop();
-    patient_ = patient;
+    waitsForLostStore_ = waitsForLostStore;
     peer_ = peer;
     lifetime_ = 0;
-    position_ = {};
-    ask();
+    cursor_ = {};
+    poll();
 }
 
-void RelayClient::stop()
+void ReplicationClient::stop()
 {
     peer_.reset();
     timer_.stop();
@@ -338,27 +338,27 @@
 }
 
 /** A list that keeps arriving over a narrow link is waited for. */
-void RelayClient::awaitWord()
+void ReplicationClient::restartTimeout()
 {
-    timer_.startAt(std::min(BootClock::now() + LongestSilence, askedAt_ + LongestAnswer),
-                   [this] { giveUp(Uselessness::Silent); });
+    timer_.startAt(std::min(BootClock::now() + ResponseTimeout, requestedAt_ + MaxTransferTime),
+                   [this] { fail(PeerFailure::Timeout); });
 }
 
-void RelayClient::ask()
+void ReplicationClient::poll()
 {
     const TimePoint now = BootClock::now();
-    askedAt_ = now;
+    requestedAt_ = now;
     progress_ = {};
-    awaitWord();
+    restartTimeout();
     async::ExchangeRequest request;
     request.peer_ = net::toString(*peer_);
     request.address_ = *peer_;
-    request.connectBy_ = now + millis(ConnectMillis);
+    request.connectBy_ = now + millis(ConnectTimeoutMillis);
     request.text_ = fmt::format(
         "GET /news?lifetime={}&from={}&base={}&listing={}&ends={}{}{} HTTP/1.1\r\nHost: {}\r\n\r\n",
-        lifetime_, position_.from_, position_.base_, position_.listing_ ? 1 : 0,
-        textOf(events_.ends_ ? events_.ends_() : TopicEnds {}), UnpacksMark,
-        patient_ ? PatientMark : "", net::toString(*peer_));
+        lifetime_, cursor_.nextSequence_, cursor_.historyStart_, cursor_.inSnapshot_ ? 1 : 0,
+        formatEnds(events_.ends_ ? events_.ends_() : TopicEnds {}), AcceptsCompressedFlag,
+        waitsForLostStore_ ? WaitForLostStoreFlag : "", net::toString(*peer_));
     async::ExchangeEvents answer = async::gatherAnswer([this](const async::ExchangeResult &result) {
         onAnswer(result.failure_ ? 0 : result.status_, result.body_);
     });
@@ -366,43 +366,43 @@
         progress_.began_ = progress_.bytes_ == 0 ? BootClock::now() : progress_.began_;
         progress_.bytes_ += part.size();
         gather(std::move(part));
-        awaitWord();
+        restartTimeout();
     };
     exchange_ = client_.start(std::move(request), std::move(answer));
 }
 
-void RelayClient::onAnswer(int status, const std::string &body)
+void ReplicationClient::onAnswer(int status, const std::string &body)
 {
     const TimePoint now = BootClock::now();
-    const auto received = status == 200 ? decodeChanges(body, now, askedAt_) : std::nullopt;
+    const auto received = status == 200 ? decodeChanges(body, now, requestedAt_) : std::nullopt;
     if (!received) {
-        giveUp(status == 0 ? Uselessness::Unanswered : Uselessness::Unreadable);
+        fail(status == 0 ? PeerFailure::Disconnected : PeerFailure::Malformed);
         return;
     }
-    if (received->lost_) {
-        giveUp(Uselessness::Lost);
+    if (received->storeLost_) {
+        fail(PeerFailure::StoreLost);
         return;
     }
     lifetime_ = received->lifetime_;
-    position_ = received->set_.position();
+    cursor_ = received->set_.cursor();
     timer_.stop();
     // Taken also when it is old: the peer may know a later configuration all the same.
     events_.onChanges_(received->set_);
     // A peer that knows nothing yet is about to: it has not lost the store, and says so.
-    const auto age = ageOf(received->set_.topics_, now);
-    if (age && *age > UselessAge && !received->set_.more_) {
-        giveUp(Uselessness::Old);
+    const auto age = oldestReadAge(received->set_.topics_, now);
+    if (age && *age > MaxUsableAge && !received->set_.more_) {
+        fail(PeerFailure::Stale);
         return;
     }
     if (peer_) {
-        ask();
+        poll();
     }
 }
 
-void RelayClient::giveUp(Uselessness cause)
+void ReplicationClient::fail(PeerFailure cause)
 {
     stop();
-    events_.onUseless_(cause);
+    events_.onPeerFailed_(cause);
 }
 
 } // namespace almondridge::replication
--- a/libs/replication/src/topicreplica.cpp
+++ b/libs/replication/src/topicreplica.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /** Removed keys that are remembered; a peer that missed more of them is sent everything. */
-constexpr std::size_t RememberedRemovals = 1'000;
+constexpr std::size_t MaxTombstones = 1'000;
 
 std::size_t indexOf(Topic topic)
 {
@@ -17,7 +17,7 @@
 
 } // namespace
 
-std::optional<Duration> ageOf(const TopicStates &topics, TimePoint now)
+std::optional<Duration> oldestReadAge(const TopicStates &topics, TimePoint now)
 {
     Duration oldest {};
     for (const Topic topic : {Topic::Config, Topic::Endpoints}) {
@@ -30,7 +30,7 @@
     return oldest;
 }
 
-Board::Board(OnChange onChange)
+TopicReplica::TopicReplica(OnChange onChange)
     : onChange_(std::move(onChange))
 { }
 
@@ -39,78 +39,78 @@
  * removals back. Whoever asks it next would have endpoints back that it knew to be gone, and send
  * requests there. Offsets tell: they order all records of a topic, whoever passes them on.
  */
-bool Board::isOlder(const Change &change) const
+bool TopicReplica::isSuperseded(const Change &change) const
 {
-    const auto found = items_.find({change.topic_, change.key_});
-    if (found != items_.end() && change.offset_ < found->second.offset_) {
+    const auto found = entries_.find({change.topic_, change.key_});
+    if (found != entries_.end() && change.offset_ < found->second.offset_) {
         return true;
     }
-    const bool listed = found != items_.end() && !found->second.value_.empty();
+    const bool listed = found != entries_.end() && !found->second.value_.empty();
     // All records before the end are known, and by these there is no such key: it was removed,
     // maybe listed and removed again since this instance was told of its removal.
     return !listed && change.offset_ < topics_[indexOf(change.topic_)].end_;
 }
 
-void Board::put(const Change &change)
+void TopicReplica::put(const Change &change)
 {
-    if (isOlder(change)) {
+    if (isSuperseded(change)) {
         return;
     }
-    const auto [place, added] = items_.try_emplace({change.topic_, change.key_});
-    Item &item = place->second;
-    const bool isSame = item.value_ == change.value_;
+    const auto [place, added] = entries_.try_emplace({change.topic_, change.key_});
+    Entry &entry = place->second;
+    const bool isSame = entry.value_ == change.value_;
     const bool isRemoval = change.value_.empty();
-    const bool isLater = added || change.offset_ > item.offset_;
-    item.offset_ = change.offset_;
+    const bool isLater = added || change.offset_ > entry.offset_;
+    entry.offset_ = change.offset_;
     // A removal of a key that is not listed here is told on all the same: a peer may have seen it
     // listed in between, and only this removal takes it off there.
     if (isSame && !(isRemoval && isLater)) {
         // It may have been another in between, which whoever was told by others may still have.
-        if (isLater && !change.followsKnown_) {
-            item.valueOffset_ = change.offset_;
-            renumber(place);
+        if (isLater && !change.isContiguous_) {
+            entry.valueSince_ = change.offset_;
+            assignSequence(place);
         }
         return;
     }
-    const bool wasRemoved = !added && item.value_.empty();
-    item.value_ = change.value_;
-    item.valueOffset_ = change.offset_;
-    item.isLate_ = change.offset_ < topics_[indexOf(change.topic_)].end_;
-    renumber(place);
-    removals_ += isRemoval ? 1 : 0;
-    removals_ -= wasRemoved ? 1 : 0;
+    const bool wasRemoved = !added && entry.value_.empty();
+    entry.value_ = change.value_;
+    entry.valueSince_ = change.offset_;
+    entry.arrivedOutOfOrder_ = change.offset_ < topics_[indexOf(change.topic_)].end_;
+    assignSequence(place);
+    tombstones_ += isRemoval ? 1 : 0;
+    tombstones_ -= wasRemoved ? 1 : 0;
     if (!isSame) {
         onChange_(change);
     }
-    forgetOldRemovals();
+    discardTombstones();
 }
 
-void Board::renumber(Items::iterator item)
+void TopicReplica::assignSequence(Entries::iterator entry)
 {
-    byChange_.erase(item->second.change_);
-    item->second.change_ = next_++;
-    byChange_.emplace(item->second.change_, item);
+    bySequence_.erase(entry->second.sequence_);
+    entry->second.sequence_ = nextSequence_++;
+    bySequence_.emplace(entry->second.sequence_, entry);
 }
 
-void Board::forgetOldRemovals()
+void TopicReplica::discardTombstones()
 {
-    if (removals_ <= RememberedRemovals) {
+    if (tombstones_ <= MaxTombstones) {
         return;
     }
-    knownFrom_ = next_;
-    for (auto item = items_.begin(); item != items_.end();) {
-        const bool isRemoved = item->second.value_.empty();
+    historyStart_ = nextSequence_;
+    for (auto entry = entries_.begin(); entry != entries_.end();) {
+        const bool isRemoved = entry->second.value_.empty();
         if (isRemoved) {
-            LogOffset &skipped = skippedUntil_[indexOf(item->first.first)];
-            skipped = std::max(skipped, item->second.offset_ + 1);
-            byChange_.erase(item->second.change_);
+            LogOffset &skipped = removalsUnknownBefore_[indexOf(entry->first.first)];
+            skipped = std::max(skipped, entry->second.offset_ + 1);
+            bySequence_.erase(entry->second.sequence_);
         }
-        item = isRemoved ? items_.erase(item) : std::next(item);
+        entry = isRemoved ? entries_.erase(entry) : std::next(entry);
     }
-    removals_ = 0;
+    tombstones_ = 0;
 }
 
-void Board::keepOnly(Topic topic, const std::vector<std::string> &keys, LogOffset end)
+void TopicReplica::retainOnly(Topic topic, const std::vector<std::string> &keys, LogOffset end)
 {
     if (end == 0) {
         return; // Nothing was read of the topic, so nothing is known to be gone.
@@ -122,97 +122,97 @@
         }
     }
     if (end > topics_[indexOf(topic)].end_) {
-        onSkipped(topic, end);
+        onRecordsSkipped(topic, end);
     }
 }
 
-void Board::onSkipped(Topic topic, LogOffset end)
+void TopicReplica::onRecordsSkipped(Topic topic, LogOffset end)
 {
-    knownFrom_ = ++next_;
-    LogOffset &skipped = skippedUntil_[indexOf(topic)];
+    historyStart_ = ++nextSequence_;
+    LogOffset &skipped = removalsUnknownBefore_[indexOf(topic)];
     skipped = std::max(skipped, end);
 }
 
-void Board::onRead(Topic topic, TimePoint readAt, LogOffset end)
+void TopicReplica::onRead(Topic topic, TimePoint readAt, LogOffset end)
 {
     TopicState &known = topics_[indexOf(topic)];
     known.readAt_ = std::max(known.readAt_.value_or(readAt), readAt);
     known.end_ = std::max(known.end_, end);
 }
 
-void Board::onProven(Topic topic, TimePoint asOf)
+void TopicReplica::onCompleteAsOf(Topic topic, TimePoint asOf)
 {
     TopicState &known = topics_[indexOf(topic)];
     known.asOf_ = std::max(known.asOf_.value_or(asOf), asOf);
 }
 
-std::optional<TimePoint> Board::readAt(Topic topic) const
+std::optional<TimePoint> TopicReplica::readAt(Topic topic) const
 {
     return topics_[indexOf(topic)].readAt_;
 }
 
-ChangeSet Board::emptySet() const
+ChangeSet TopicReplica::emptySet() const
 {
     ChangeSet set;
-    set.next_ = next_;
-    set.base_ = knownFrom_;
+    set.nextSequence_ = nextSequence_;
+    set.historyStart_ = historyStart_;
     set.topics_ = topics_;
     return set;
 }
 
-ChangeSet Board::since(std::uint64_t from) const
+ChangeSet TopicReplica::since(std::uint64_t from) const
 {
-    const bool isKnown = from >= knownFrom_ && from <= next_;
-    return after({from, isKnown ? knownFrom_ : 0, false}, items_.size());
+    const bool isKnown = from >= historyStart_ && from <= nextSequence_;
+    return after({from, isKnown ? historyStart_ : 0, false}, entries_.size());
 }
 
-ChangeSet Board::after(const Position &position, std::size_t most) const
+ChangeSet TopicReplica::after(const Cursor &cursor, std::size_t most) const
 {
-    const bool goesOn = position.base_ == knownFrom_ && position.from_ <= next_;
+    const bool isIncremental = cursor.historyStart_ == historyStart_ && cursor.nextSequence_ <= nextSequence_;
     ChangeSet set = emptySet();
-    set.first_ = !goesOn;
-    set.whole_ = !goesOn || position.listing_;
-    for (auto change = byChange_.lower_bound(goesOn ? position.from_ : 0);
-         change != byChange_.end(); ++change) {
-        const auto &[key, item] = *change->second;
+    set.isFirstPart_ = !isIncremental;
+    set.isSnapshot_ = !isIncremental || cursor.inSnapshot_;
+    for (auto change = bySequence_.lower_bound(isIncremental ? cursor.nextSequence_ : 0);
+         change != bySequence_.end(); ++change) {
+        const auto &[key, entry] = *change->second;
         // The last part tells of removals before the end: what is in no part is gone.
-        const bool isToldByEnd =
-            item.value_.empty() && item.offset_ < topics_[indexOf(key.first)].end_;
-        if (set.first_ && isToldByEnd) {
+        const bool isImpliedByEnd =
+            entry.value_.empty() && entry.offset_ < topics_[indexOf(key.first)].end_;
+        if (set.isFirstPart_ && isImpliedByEnd) {
             continue;
         }
         if (set.changes_.size() >= most) {
             set.more_ = true;
-            set.next_ = change->first;
+            set.nextSequence_ = change->first;
             break;
         }
-        set.changes_.push_back({key.first, key.second, item.value_, item.offset_});
+        set.changes_.push_back({key.first, key.second, entry.value_, entry.offset_});
     }
     return set;
 }
 
-std::optional<ChangeSet> Board::missingAt(const TopicEnds &ends, std::size_t most) const
+std::optional<ChangeSet> TopicReplica::changesBeyond(const TopicEnds &ends, std::size_t most) const
 {
     for (std::size_t index = 0; index < TopicCount; ++index) {
-        if (ends[index] < skippedUntil_[index]) {
+        if (ends[index] < removalsUnknownBefore_[index]) {
             return std::nullopt;
         }
     }
     ChangeSet set = emptySet();
-    for (const auto &[number, place] : byChange_) {
-        const auto &[key, item] = *place;
-        if (!item.isLate_ && item.valueOffset_ < ends[indexOf(key.first)]) {
+    for (const auto &[number, place] : bySequence_) {
+        const auto &[key, entry] = *place;
+        if (!entry.arrivedOutOfOrder_ && entry.valueSince_ < ends[indexOf(key.first)]) {
             continue;
         }
         if (set.changes_.size() >= most) {
             return std::nullopt;
         }
-        set.changes_.push_back({key.first, key.second, item.value_, item.offset_});
+        set.changes_.push_back({key.first, key.second, entry.value_, entry.offset_});
     }
     return set;
 }
 
-TopicEnds Board::ends() const
+TopicEnds TopicReplica::ends() const
 {
     TopicEnds ends {};
     std::transform(topics_.begin(), topics_.end(), ends.begin(),
@@ -221,56 +221,56 @@
 }
 
 /** Keys that are in no part are gone, which is known with the last part. */
-void Board::takeList(const ChangeSet &set)
+void TopicReplica::applySnapshotKeys(const ChangeSet &set)
 {
-    if (!set.whole_) {
-        listed_.reset();
+    if (!set.isSnapshot_) {
+        snapshotKeys_.reset();
         return;
     }
-    if (set.first_ || !listed_) {
-        listed_.emplace();
+    if (set.isFirstPart_ || !snapshotKeys_) {
+        snapshotKeys_.emplace();
     }
     for (const Change &change : set.changes_) {
-        (*listed_)[indexOf(change.topic_)].push_back(change.key_);
+        (*snapshotKeys_)[indexOf(change.topic_)].push_back(change.key_);
     }
     if (set.more_) {
         return;
     }
-    const auto listed = *std::exchange(listed_, std::nullopt);
+    const auto listed = *std::exchange(snapshotKeys_, std::nullopt);
     for (std::size_t index = 0; index < TopicCount; ++index) {
-        keepOnly(static_cast<Topic>(index), listed[index], set.topics_[index].end_);
+        retainOnly(static_cast<Topic>(index), listed[index], set.topics_[index].end_);
     }
 }
 
-void Board::apply(const ChangeSet &set)
+void TopicReplica::apply(const ChangeSet &set)
 {
     for (const Change &change : set.changes_) {
         put(change);
     }
-    takeList(set);
+    applySnapshotKeys(set);
     for (std::size_t index = 0; index < TopicCount && !set.more_; ++index) {
         const auto topic = static_cast<Topic>(index);
-        const TopicState &told = set.topics_[index];
-        if (told.readAt_) {
-            onRead(topic, *told.readAt_, told.end_);
+        const TopicState &received = set.topics_[index];
+        if (received.readAt_) {
+            onRead(topic, *received.readAt_, received.end_);
         }
-        if (told.asOf_) {
-            onProven(topic, *told.asOf_);
+        if (received.asOf_) {
+            onCompleteAsOf(topic, *received.asOf_);
         }
     }
 }
 
-bool Board::has(Topic topic, const std::string &key) const
+bool TopicReplica::has(Topic topic, const std::string &key) const
 {
-    const auto found = items_.find({topic, key});
-    return found != items_.end() && !found->second.value_.empty();
+    const auto found = entries_.find({topic, key});
+    return found != entries_.end() && !found->second.value_.empty();
 }
 
-std::vector<std::string> Board::keys(Topic topic) const
+std::vector<std::string> TopicReplica::keys(Topic topic) const
 {
     std::vector<std::string> found;
-    for (const auto &[key, item] : items_) {
-        if (key.first == topic && !item.value_.empty()) {
+    for (const auto &[key, entry] : entries_) {
+        if (key.first == topic && !entry.value_.empty()) {
             found.push_back(key.second);
         }
     }
--- a/libs/replication/src/upstreamselector.cpp
+++ b/libs/replication/src/upstreamselector.cpp
@@ -9,211 +9,211 @@
 namespace {
 
 /** A first read of ours: a call over a connection that is silent, and one over a new one. */
-constexpr Duration OwnReadTime = millis(500);
+constexpr Duration StoreReadTime = millis(500);
 /**
  * So long a peer that is of use is asked on, although one that comes before it may be back: each
  * change of the peer is a whole list, and one that the store turns away looks back too early.
  */
-constexpr Duration KeptFor = millis(10'000);
+constexpr Duration UpstreamAffinity = millis(10'000);
 /** Between two tests of a store that does not answer this instance; doubles up to the longest. */
-constexpr std::int64_t FirstTestMillis = 500;
+constexpr std::int64_t InitialProbeMillis = 500;
 /** Those that come first find out for all others when the store is back. */
-constexpr std::int64_t LongestTestMillisOfFirst = 1'000;
+constexpr std::int64_t MaxProbeMillisOfReader = 1'000;
 /**
  * The others ask them, and look for themselves in case that these alone are turned away: more
  * rarely in a large failure domain, so that all of them together call as often.
  */
-constexpr std::int64_t LongestTestMillis = 6'000;
-constexpr std::int64_t LongestTestMillisOfOne = 150;
+constexpr std::int64_t MaxProbeMillis = 6'000;
+constexpr std::int64_t MaxProbeMillisPerMember = 150;
 /** The first one of others, who have not called it themselves. */
-constexpr std::int64_t FirstTestMillisOfOthers = 2'000;
-constexpr std::int64_t FirstTestMillisOfOne = 50;
+constexpr std::int64_t InferredOutageProbeMillis = 2'000;
+constexpr std::int64_t InferredOutageProbeMillisPerMember = 50;
 /** After a test of theirs that failed. */
-constexpr std::int64_t SecondTestMillisOfOne = 20;
-constexpr int MostDoublings = 8;
+constexpr std::int64_t InitialProbeMillisPerMember = 20;
+constexpr int MaxDoublings = 8;
 /**
  * Where so many peers are of no use, the store is taken to be away for all: with a third of the
  * instances turned away that is hardly ever wrong. The others need not find out each for itself.
  */
-constexpr std::size_t MostPassedOver = 10;
+constexpr std::size_t MaxExcludedPeers = 10;
 /** An answer of the store says for so long that it answers. */
-constexpr Duration AnswerHolds = millis(4'000);
+constexpr Duration StoreAnswerValidity = millis(4'000);
 /** On their way news seem to grow younger by this much at most, as clocks are not compared. */
 constexpr Duration EchoMargin = millis(200);
 /** Pauses differ by up to half, so that instances that failed together do not call together. */
-constexpr std::uint64_t JitterParts = 64;
+constexpr std::uint64_t JitterSteps = 64;
 
 } // namespace
 
-NewsSource::NewsSource(InstanceId self, Duration leaveBound)
+UpstreamSelector::UpstreamSelector(InstanceId self, Duration leaveBound)
     : self_(self)
     , leaveBound_(leaveBound)
-    , readers_(std::move(self))
+    , tree_(std::move(self))
 { }
 
-void NewsSource::setMembers(std::vector<Member> members)
+void UpstreamSelector::setMembers(std::vector<Member> members)
 {
-    readers_.setMembers(std::move(members));
+    tree_.setMembers(std::move(members));
 }
 
-void NewsSource::onNews(TimePoint readAt)
+void UpstreamSelector::onPeerData(TimePoint readAt)
 {
-    mustRead_ = false;
+    readRequired_ = false;
     // Peers also tell what they had from us: only what was read after our loss is news.
-    if (readAt > lostAt_ + EchoMargin) {
-        withoutNews_ = false;
+    if (readAt > storeLostAt_ + EchoMargin) {
+        withoutPeerData_ = false;
     }
-    if (current_.kind_ == SourceKind::Peer) {
-        readers_.onUseful(current_.peer_);
+    if (current_.kind_ == UpstreamKind::Peer) {
+        tree_.onPeerSucceeded(current_.peer_);
     }
-    if (store_ == StoreState::Fails && !withoutNews_ && !readers_.comesFirst()) {
+    if (store_ == StoreState::Fails && !withoutPeerData_ && !tree_.isPreferredReader()) {
         store_ = StoreState::Unknown; // Tested when this instance is to read, and not before.
     }
 }
 
-void NewsSource::onUseless(Uselessness cause, std::optional<Duration> age, TimePoint now)
+void UpstreamSelector::onPeerFailed(PeerFailure cause, std::optional<Duration> age, TimePoint now)
 {
-    if (current_.kind_ != SourceKind::Peer) {
+    if (current_.kind_ != UpstreamKind::Peer) {
         return;
     }
-    readers_.onUseless(current_.peer_, cause, now);
+    tree_.onPeerFailed(current_.peer_, cause, now);
     // Readers of a failure domain can fall silent together, and whoever waits for one after the
     // other learns beyond the bound that an endpoint left: another one is asked only while its
     // silence would still leave time for a read of our own.
     // One that has lost the store says so at once, and costs no time. Whoever knows nothing yet
     // sends nothing, and has no bound to keep: hundreds that start together would all read.
-    const bool late = age && *age + LongestSilence + OwnReadTime > leaveBound_;
-    mustRead_ = mustRead_ || (late && cause != Uselessness::Lost);
+    const bool late = age && *age + ResponseTimeout + StoreReadTime > leaveBound_;
+    readRequired_ = readRequired_ || (late && cause != PeerFailure::StoreLost);
 }
 
-void NewsSource::onStoreAnswered(TimePoint now)
+void UpstreamSelector::onStoreAnswered(TimePoint now)
 {
-    const bool wasTurnedAway = store_ == StoreState::Fails;
+    const bool wasFailing = store_ == StoreState::Fails;
     store_ = StoreState::Answers;
-    answersUntil_ = now + AnswerHolds;
-    testing_ = false;
-    mustTest_ = false;
-    withoutNews_ = false;
+    storeAnswerValidUntil_ = now + StoreAnswerValidity;
+    probePending_ = false;
+    probeRequired_ = false;
+    withoutPeerData_ = false;
     failures_ = 0;
-    mustRead_ = mustRead_ && current_.kind_ == SourceKind::Peer;
-    if (wasTurnedAway && current_.kind_ != SourceKind::OwnReads) {
+    readRequired_ = readRequired_ && current_.kind_ == UpstreamKind::Peer;
+    if (wasFailing && current_.kind_ != UpstreamKind::StoreReads) {
         // It may be back for the others as well: those that come first find out within a second
         // and read for all. Else the peers are gone through once more, and then this one reads.
-        readers_.onStoreBack();
-        waitsUntil_ = readers_.comesFirst() ? now : now + millis(LongestTestMillisOfFirst);
+        tree_.onStoreRecovered();
+        peerRecoveryUntil_ = tree_.isPreferredReader() ? now : now + millis(MaxProbeMillisOfReader);
     }
 }
 
-void NewsSource::onStoreFailed(TimePoint now)
+void UpstreamSelector::onStoreFailed(TimePoint now)
 {
-    if (mustRead_ && mustTest_ && failures_ == 0) {
+    if (readRequired_ && probeRequired_ && failures_ == 0) {
         // A connection that was kept may be silent though the store is there. With the bound near,
         // the next one is tried at once.
         ++failures_;
-        testing_ = false;
+        probePending_ = false;
         return;
     }
-    const bool isFirst = readers_.comesFirst();
+    const bool isFirst = tree_.isPreferredReader();
     const std::int64_t shortest =
-        isFirst ? FirstTestMillis : forAll(FirstTestMillis, SecondTestMillisOfOne);
+        isFirst ? InitialProbeMillis : scaledByDomain(InitialProbeMillis, InitialProbeMillisPerMember);
     const std::int64_t longest =
-        isFirst ? LongestTestMillisOfFirst : forAll(LongestTestMillis, LongestTestMillisOfOne);
-    onUnanswered(std::min(longest, shortest << std::min(failures_, MostDoublings)), now);
+        isFirst ? MaxProbeMillisOfReader : scaledByDomain(MaxProbeMillis, MaxProbeMillisPerMember);
+    markStoreFailed(std::min(longest, shortest << std::min(failures_, MaxDoublings)), now);
     ++failures_;
 }
 
-std::int64_t NewsSource::forAll(std::int64_t least, std::int64_t millisOfOne) const
+std::int64_t UpstreamSelector::scaledByDomain(std::int64_t least, std::int64_t millisOfOne) const
 {
-    return std::max(least, static_cast<std::int64_t>(readers_.size()) * millisOfOne);
+    return std::max(least, static_cast<std::int64_t>(tree_.size()) * millisOfOne);
 }
 
-void NewsSource::onUnanswered(std::int64_t pauseMillis, TimePoint now)
+void UpstreamSelector::markStoreFailed(std::int64_t pauseMillis, TimePoint now)
 {
     if (store_ != StoreState::Fails) {
-        withoutNews_ = true;
-        lostAt_ = now;
+        withoutPeerData_ = true;
+        storeLostAt_ = now;
     }
     store_ = StoreState::Fails;
-    testing_ = false;
-    mustTest_ = false;
-    const auto part = gateway::rendezvousWeight(self_.value(), ++tests_) % JitterParts;
-    testAt_ =
-        now + millis(pauseMillis / 2 + pauseMillis * static_cast<std::int64_t>(part) / JitterParts);
+    probePending_ = false;
+    probeRequired_ = false;
+    const auto part = gateway::rendezvousWeight(self_.value(), ++probes_) % JitterSteps;
+    probeAt_ =
+        now + millis(pauseMillis / 2 + pauseMillis * static_cast<std::int64_t>(part) / JitterSteps);
 }
 
 /** Whether others of those that read are of no use, so that the store may be the cause. */
-bool NewsSource::isTrouble(TimePoint now) const
+bool UpstreamSelector::mayBeOutage(TimePoint now) const
 {
-    return mustRead_ || readers_.countPassedOver(now) > 0;
+    return readRequired_ || tree_.excludedCount(now) > 0;
 }
 
-const Source &NewsSource::choose(TimePoint now)
+const Upstream &UpstreamSelector::choose(TimePoint now)
 {
-    if (store_ == StoreState::Answers && current_.kind_ != SourceKind::OwnReads
-        && now >= answersUntil_) {
+    if (store_ == StoreState::Answers && current_.kind_ != UpstreamKind::StoreReads
+        && now >= storeAnswerValidUntil_) {
         store_ = StoreState::Unknown;
     }
-    Source wanted = this->wanted(now);
-    const bool begins = wanted != current_;
-    if (begins && wanted.kind_ == SourceKind::OwnReads && store_ != StoreState::Answers
-        && isTrouble(now) && !readers_.allRead()) {
-        mustTest_ = true;
+    Upstream preferredUpstream = this->preferredUpstream(now);
+    const bool switches = preferredUpstream != current_;
+    if (switches && preferredUpstream.kind_ == UpstreamKind::StoreReads && store_ != StoreState::Answers
+        && mayBeOutage(now) && !tree_.allMembersRead()) {
+        probeRequired_ = true;
         return current_;
     }
-    mustTest_ = false;
-    current_ = std::move(wanted);
+    probeRequired_ = false;
+    current_ = std::move(preferredUpstream);
     return current_;
 }
 
-Source NewsSource::wanted(TimePoint now)
+Upstream UpstreamSelector::preferredUpstream(TimePoint now)
 {
-    Source ownReads {SourceKind::OwnReads, {}};
-    if (readers_.allRead()) {
+    Upstream ownReads {UpstreamKind::StoreReads, {}};
+    if (tree_.allMembersRead()) {
         return ownReads;
     }
-    const bool allUseless = readers_.countPassedOver(now) >= MostPassedOver;
-    const bool reads = current_.kind_ == SourceKind::OwnReads;
-    if (allUseless && store_ == StoreState::Unknown && !reads) {
-        onUnanswered(forAll(FirstTestMillisOfOthers, FirstTestMillisOfOne), now);
+    const bool storeAway = tree_.excludedCount(now) >= MaxExcludedPeers;
+    const bool reads = current_.kind_ == UpstreamKind::StoreReads;
+    if (storeAway && store_ == StoreState::Unknown && !reads) {
+        markStoreFailed(scaledByDomain(InferredOutageProbeMillis, InferredOutageProbeMillisPerMember), now);
     }
-    if (current_.kind_ == SourceKind::Nobody && now < waitsUntil_) {
+    if (current_.kind_ == UpstreamKind::WaitForPeer && now < peerRecoveryUntil_) {
         return current_;
     }
     const bool canRead = store_ != StoreState::Fails;
-    const std::vector<InstanceId> readers = readers_.atWork(canRead, now);
+    const std::vector<InstanceId> readers = tree_.activeReaders(canRead, now);
     const bool isReader = std::find(readers.begin(), readers.end(), self_) != readers.end();
-    if (isReader && !reads && isTrouble(now)) {
-        readsUntil_ = now + KeptFor; // Whoever passed the same ones over asks this instance.
+    if (isReader && !reads && mayBeOutage(now)) {
+        readsKeptUntil_ = now + UpstreamAffinity; // Whoever passed the same ones over asks this instance.
     }
-    const bool readsOn = reads && now < readsUntil_;
-    const bool nobodyElse = readers.empty() || (allUseless && store_ == StoreState::Answers);
-    if (canRead && (isReader || readsOn || mustRead_ || nobodyElse)) {
+    const bool keepsReading = reads && now < readsKeptUntil_;
+    const bool noOtherReader = readers.empty() || (storeAway && store_ == StoreState::Answers);
+    if (canRead && (isReader || keepsReading || readRequired_ || noOtherReader)) {
         return ownReads;
     }
-    if (readers.empty() || allUseless) {
-        const bool waits = current_.kind_ == SourceKind::Nobody && now < keptUntil_;
+    if (readers.empty() || storeAway) {
+        const bool waits = current_.kind_ == UpstreamKind::WaitForPeer && now < upstreamKeptUntil_;
         if (waits) {
             return current_;
         }
-        keptUntil_ = now + HoldTime;
-        return {SourceKind::Nobody, readers_.toWaitFor(waits_++)};
+        upstreamKeptUntil_ = now + LongPollTimeout;
+        return {UpstreamKind::WaitForPeer, tree_.fallbackPeer(fallbackAttempts_++)};
     }
-    const bool asksOn = current_.kind_ == SourceKind::Peer && now < keptUntil_
-                        && !readers_.isPassedOver(current_.peer_, now);
-    if (asksOn) {
+    const bool keepsPeer = current_.kind_ == UpstreamKind::Peer && now < upstreamKeptUntil_
+                        && !tree_.isExcluded(current_.peer_, now);
+    if (keepsPeer) {
         return current_;
     }
-    keptUntil_ = now + KeptFor;
-    return {SourceKind::Peer, readers_.parent(canRead, now)};
+    upstreamKeptUntil_ = now + UpstreamAffinity;
+    return {UpstreamKind::Peer, tree_.parent(canRead, now)};
 }
 
-bool NewsSource::takeTest(TimePoint now)
+bool UpstreamSelector::takeProbe(TimePoint now)
 {
-    const bool due = mustTest_ || (store_ == StoreState::Fails && now >= testAt_);
-    if (!due || testing_ || readers_.allRead()) {
+    const bool due = probeRequired_ || (store_ == StoreState::Fails && now >= probeAt_);
+    if (!due || probePending_ || tree_.allMembersRead()) {
         return false;
     }
-    testing_ = true;
+    probePending_ = true;
     return true;
 }
 
--- a/libs/replication/tests/configurationstalenesstest.cpp
+++ b/libs/replication/tests/configurationstalenesstest.cpp
@@ -24,7 +24,7 @@
 {
     struct Instance
     {
-        Board board_ {[](const Change &) {}};
+        TopicReplica board_ {[](const Change &) {}};
         std::int64_t clockMillis_ = 0; ///< Ahead of true time.
         std::int64_t frozenUntil_ = 0;
     };
@@ -118,7 +118,7 @@
         const Change &change = message.read_.changes_.front();
         receiver.board_.put(change);
         receiver.board_.onRead(Topic::Config, clockOf(receiver, now), change.offset_ + 1);
-        receiver.board_.onProven(Topic::Config, askedAt);
+        receiver.board_.onCompleteAsOf(Topic::Config, askedAt);
     }
 
     /** Versions that the store had accepted by then; each takes a key away. */
@@ -188,8 +188,8 @@
 
 BOOST_AUTO_TEST_CASE(aProofIsPassedOnAndGrowsNoYounger)
 {
-    Board reader([](const Change &) {});
-    reader.onProven(Topic::Config, at(1'000));
+    TopicReplica reader([](const Change &) {});
+    reader.onCompleteAsOf(Topic::Config, at(1'000));
     // The question arrives before the reader's own proof, and is answered after it.
     const std::string body = encodeChanges(reader.since(0), 1, false, at(1'500), at(900));
     const auto received = decodeChanges(body, at(61'700), at(60'000));
--- a/libs/replication/tests/configurationtransfertest.cpp
+++ b/libs/replication/tests/configurationtransfertest.cpp
@@ -63,22 +63,22 @@
     }
 
     async::EventLoop loop_;
-    Board source_ {[](const Change &) {}};
+    TopicReplica source_ {[](const Change &) {}};
     std::string received_;
-    Board told_ {[this](const Change &change) { received_ = change.value_; }};
-    RelayServer relay_ {loop_, source_, 1};
+    TopicReplica told_ {[this](const Change &change) { received_ = change.value_; }};
+    ReplicationServer relay_ {loop_, source_, 1};
     async::HttpServer server_ {
         loop_,
         {[this](const async::ServerCall &call) { relay_.answer(server_, call); },
          [this](const async::CallId &id) { relay_.forget(id); },
          {}}};
     std::size_t answerBytes_ = 0;
-    RelayClient client_ {loop_,
+    ReplicationClient client_ {loop_,
                          {[this](const ChangeSet &set) {
                               answerBytes_ = client_.progress().bytes_;
                               told_.apply(set);
                           },
-                          [](Uselessness) {}}};
+                          [](PeerFailure) {}}};
 };
 
 Duration timeToSend(std::size_t bytes, double linkMbps)
--- a/libs/replication/tests/replicaconvergencetest.cpp
+++ b/libs/replication/tests/replicaconvergencetest.cpp
@@ -52,14 +52,14 @@
 /** A board, the values that it shows, and the latest record that it showed of each key. */
 struct Instance
 {
-    Board board_ {[this](const Change &change) { onChange(change); }};
+    TopicReplica board_ {[this](const Change &change) { onChange(change); }};
     std::map<std::string, std::string> shown_;
     std::map<std::string, LogOffset> newest_;
     bool wentBack_ = false;
     LogOffset read_ = 0;       ///< Of a reader: where it goes on.
     std::vector<Change> held_; ///< Of a reader: removals that it holds back.
     Instance *source_ = nullptr;
-    Position position_; ///< Of a follower, in what its source tells.
+    Cursor cursor_; ///< Of a follower, in what its source tells.
 
     void onChange(const Change &change)
     {
@@ -78,7 +78,7 @@
                 held_.push_back(record);
             } else {
                 Change change = record;
-                change.followsKnown_ =
+                change.isContiguous_ =
                     std::erase_if(held_, [&](const Change &one) { return one.key_ == record.key_; })
                     == 0;
                 board_.put(change);
@@ -101,7 +101,7 @@
                 present.push_back(key);
             }
         }
-        board_.keepOnly(Topic::Endpoints, present, history.end());
+        board_.retainOnly(Topic::Endpoints, present, history.end());
         read_ = history.end();
         board_.onRead(Topic::Endpoints, AnyTime, read_);
     }
@@ -118,11 +118,11 @@
     {
         if (source_ != &source) {
             source_ = &source;
-            position_ = {};
+            cursor_ = {};
         }
-        const auto missing = position_.base_ == 0 ? source.board_.missingAt(board_.ends(), most)
+        const auto missing = cursor_.historyStart_ == 0 ? source.board_.changesBeyond(board_.ends(), most)
                                                   : std::optional<ChangeSet>();
-        const ChangeSet set = missing ? *missing : source.board_.after(position_, most);
+        const ChangeSet set = missing ? *missing : source.board_.after(cursor_, most);
         for (const Change &change : set.changes_) {
             // A removal of what is not shown is known all the same.
             if (change.value_.empty() && value(change.key_).empty()) {
@@ -130,14 +130,14 @@
             }
         }
         board_.apply(set);
-        position_ = set.position();
+        cursor_ = set.cursor();
     }
 
     void follow(Instance &source)
     {
         do {
             ask(source, 2);
-        } while (!source.board_.isAtEnd(position_));
+        } while (!source.board_.isAtEnd(cursor_));
     }
 
     std::string value(const std::string &key) const
--- a/libs/replication/tests/topicreplicatest.cpp
+++ b/libs/replication/tests/topicreplicatest.cpp
@@ -20,7 +20,7 @@
 struct CountingBoard
 {
     int told_ = 0;
-    Board board_ {[this](const Change &) { ++told_; }};
+    TopicReplica board_ {[this](const Change &) { ++told_; }};
 };
 
 std::vector<Member> members(int count, double linkMbps = 10)
@@ -38,9 +38,9 @@
 {
     int readers = 0;
     for (const Member &self : members(count)) {
-        NewsSource one(self.id_, LeaveBound);
+        UpstreamSelector one(self.id_, LeaveBound);
         one.setMembers(members(count));
-        readers += one.choose(at(0)).kind_ == SourceKind::OwnReads ? 1 : 0;
+        readers += one.choose(at(0)).kind_ == UpstreamKind::StoreReads ? 1 : 0;
     }
     return readers;
 }
@@ -65,12 +65,12 @@
     reader.board_.put({Topic::Endpoints, "a", "1"});
     reader.board_.put({Topic::Endpoints, "b", "1"});
     const ChangeSet first = reader.board_.since(0);
-    BOOST_TEST(first.whole_);
+    BOOST_TEST(first.isSnapshot_);
     follower.board_.apply(first);
     reader.board_.put({Topic::Endpoints, "a", ""});
     reader.board_.put({Topic::Config, "config", "2"});
-    const ChangeSet second = reader.board_.since(first.next_);
-    BOOST_TEST(!second.whole_);
+    const ChangeSet second = reader.board_.since(first.nextSequence_);
+    BOOST_TEST(!second.isSnapshot_);
     BOOST_TEST(second.changes_.size() == 2U);
     follower.board_.apply(second);
     BOOST_TEST(!follower.board_.has(Topic::Endpoints, "a"));
@@ -95,7 +95,7 @@
         reader.board_.put({Topic::Endpoints, key, "", end++});
     }
     reader.board_.onRead(Topic::Endpoints, at(0), end);
-    BOOST_TEST(reader.board_.since(2).whole_);
+    BOOST_TEST(reader.board_.since(2).isSnapshot_);
     follower.board_.apply(reader.board_.since(2));
     BOOST_TEST(follower.board_.keys(Topic::Endpoints).size() == 1U);
     BOOST_TEST(follower.board_.has(Topic::Endpoints, "new"));
@@ -179,11 +179,11 @@
     mixed[7].linkMbps_ = 200;
     mixed[13].linkMbps_ = 200;
     for (const Member &self : mixed) {
-        NewsSource source(self.id_, LeaveBound);
+        UpstreamSelector source(self.id_, LeaveBound);
         source.setMembers(mixed);
-        const Source chosen = source.choose(at(0));
-        BOOST_TEST((chosen.kind_ == SourceKind::Peer) == (self.linkMbps_ < 200));
-        if (chosen.kind_ == SourceKind::Peer) {
+        const Upstream chosen = source.choose(at(0));
+        BOOST_TEST((chosen.kind_ == UpstreamKind::Peer) == (self.linkMbps_ < 200));
+        if (chosen.kind_ == UpstreamKind::Peer) {
             BOOST_TEST((chosen.peer_ == mixed[7].id_ || chosen.peer_ == mixed[13].id_));
         }
     }
--- a/libs/replication/tests/treesupport.h
+++ b/libs/replication/tests/treesupport.h
@@ -12,20 +12,20 @@
 
 /** Whom each of them asks; those that read ask nobody. */
 inline std::map<InstanceId, InstanceId> parentsOf(const std::vector<Member> &members,
-                                                  const std::set<InstanceId> &passedOver = {})
+                                                  const std::set<InstanceId> &excluded = {})
 {
     constexpr TimePoint Now {millis(1'000'000)};
     std::map<InstanceId, InstanceId> parents;
     for (const Member &member : members) {
-        Readers readers(member.id_);
+        DistributionTree readers(member.id_);
         readers.setMembers(members);
-        for (const InstanceId &one : passedOver) {
+        for (const InstanceId &one : excluded) {
             if (one != member.id_) {
-                readers.onUseless(one, Uselessness::Silent, Now);
+                readers.onPeerFailed(one, PeerFailure::Timeout, Now);
             }
         }
-        const std::vector<InstanceId> atWork = readers.atWork(true, Now);
-        if (std::find(atWork.begin(), atWork.end(), member.id_) == atWork.end()) {
+        const std::vector<InstanceId> activeReaders = readers.activeReaders(true, Now);
+        if (std::find(activeReaders.begin(), activeReaders.end(), member.id_) == activeReaders.end()) {
             parents[member.id_] = readers.parent(true, Now);
         }
     }
--- a/libs/replication/tests/upstreamselectortest.cpp
+++ b/libs/replication/tests/upstreamselectortest.cpp
@@ -40,7 +40,7 @@
         }
         for (const Member &member : members) {
             Node &node = nodes_.try_emplace(member.id_, member.id_).first->second;
-            node.source_.setMembers(members);
+            node.selector_.setMembers(members);
         }
     }
 
@@ -79,7 +79,7 @@
     {
         std::vector<InstanceId> found;
         for (const auto &[id, node] : nodes_) {
-            if (node.used_.kind_ == SourceKind::OwnReads) {
+            if (node.used_.kind_ == UpstreamKind::StoreReads) {
                 found.push_back(id);
             }
         }
@@ -98,7 +98,7 @@
         for (auto &[id, node] : nodes_) {
             if (chosen(id)) {
                 node = Node(id);
-                node.source_.setMembers(members);
+                node.selector_.setMembers(members);
             }
         }
     }
@@ -117,11 +117,11 @@
     struct Node
     {
         explicit Node(const InstanceId &id)
-            : source_(id, LeaveBound)
+            : selector_(id, LeaveBound)
         { }
 
-        NewsSource source_;
-        Source used_;
+        UpstreamSelector selector_;
+        Upstream used_;
         std::optional<TimePoint> readAt_;
         TimePoint chooseAt_ {};
         TimePoint nextReadAt_ {};
@@ -138,18 +138,18 @@
     void choose(const InstanceId &id, Node &node)
     {
         node.chooseAt_ = now_ + millis(1'000);
-        const Source source = node.source_.choose(now_);
-        if (node.source_.awaitsTest()) {
+        const Upstream source = node.selector_.choose(now_);
+        if (node.selector_.awaitsProbe()) {
             return;
         }
         if (source != node.used_
-            || (source.kind_ == SourceKind::Peer && node.answerAt_ == never())) {
+            || (source.kind_ == UpstreamKind::Peer && node.answerAt_ == never())) {
             node.used_ = source;
             node.nextReadAt_ = now_;
             node.failures_ = 0;
             node.askedAt_ = now_;
             node.answerAt_ = now_;
-            if (source.kind_ == SourceKind::OwnReads) {
+            if (source.kind_ == UpstreamKind::StoreReads) {
                 calls_ += CallsOfAFirstRead - 1;
                 everRead_.insert(id);
                 node.nextReadAt_ = now_ + (node.readAt_ ? Duration {} : firstReadTakes_);
@@ -164,13 +164,13 @@
         if (now_ >= node.chooseAt_) {
             choose(id, node);
         }
-        if (node.source_.takeTest(now_)) {
+        if (node.selector_.takeProbe(now_)) {
             ++calls_;
-            storeAnswers_(id, now_) ? node.source_.onStoreAnswered(now_)
-                                    : node.source_.onStoreFailed(now_);
+            storeAnswers_(id, now_) ? node.selector_.onStoreAnswered(now_)
+                                    : node.selector_.onStoreFailed(now_);
             choose(id, node);
         }
-        if (node.used_.kind_ == SourceKind::OwnReads && now_ >= node.nextReadAt_) {
+        if (node.used_.kind_ == UpstreamKind::StoreReads && now_ >= node.nextReadAt_) {
             read(id, node);
         } else if (!node.used_.peer_.empty() && (now_ >= node.answerAt_ || isConfirmed(node))) {
             ask(id, node);
@@ -183,7 +183,7 @@
         constexpr Duration Step = millis(300);
         const auto &readAt = nodes_.at(node.used_.peer_).readAt_;
         return node.answerAt_ != never() && lives_(node.used_.peer_, now_) && readAt
-               && now_ - *readAt <= UselessAge
+               && now_ - *readAt <= MaxUsableAge
                && (!node.readAt_ || *readAt >= *node.readAt_ + Step);
     }
 
@@ -194,12 +194,12 @@
             node.failures_ = 0;
             node.readAt_ = now_;
             node.nextReadAt_ = now_ + millis(ReadPauseMillis);
-            node.source_.onStoreAnswered(now_);
+            node.selector_.onStoreAnswered(now_);
             return;
         }
         node.nextReadAt_ = now_ + millis(50);
         if (++node.failures_ == 2) {
-            node.source_.onStoreFailed(now_);
+            node.selector_.onStoreFailed(now_);
             choose(id, node);
         }
     }
@@ -208,34 +208,34 @@
     {
         const Node &peer = nodes_.at(node.used_.peer_);
         const bool lives = lives_(node.used_.peer_, now_);
-        const bool patient = node.used_.kind_ == SourceKind::Nobody;
-        if (lives && peer.source_.isLost() && !patient) {
-            leave(id, node, Uselessness::Lost);
+        const bool waitsForLostStore = node.used_.kind_ == UpstreamKind::WaitForPeer;
+        if (lives && peer.selector_.hasLostStore() && !waitsForLostStore) {
+            leave(id, node, PeerFailure::StoreLost);
             return;
         }
-        const bool fresh = lives && peer.readAt_ && now_ - *peer.readAt_ <= UselessAge;
+        const bool fresh = lives && peer.readAt_ && now_ - *peer.readAt_ <= MaxUsableAge;
         if (fresh) {
             node.readAt_ = std::max(node.readAt_.value_or(*peer.readAt_), *peer.readAt_);
-            node.source_.onNews(*peer.readAt_);
+            node.selector_.onPeerData(*peer.readAt_);
             node.askedAt_ = now_;
-            node.answerAt_ = now_ + HoldTime;
+            node.answerAt_ = now_ + LongPollTimeout;
             return;
         }
-        const bool held = now_ - node.askedAt_ < (lives ? HoldTime : LongestSilence);
+        const bool held = now_ - node.askedAt_ < (lives ? LongPollTimeout : ResponseTimeout);
         if (held) {
             return;
         }
         if (lives && !peer.readAt_) {
             node.askedAt_ = now_; // It says that it knows nothing yet, and is asked again.
-            node.answerAt_ = now_ + HoldTime;
+            node.answerAt_ = now_ + LongPollTimeout;
             return;
         }
-        leave(id, node, lives ? Uselessness::Old : Uselessness::Silent);
+        leave(id, node, lives ? PeerFailure::Stale : PeerFailure::Timeout);
     }
 
-    void leave(const InstanceId &id, Node &node, Uselessness cause)
+    void leave(const InstanceId &id, Node &node, PeerFailure cause)
     {
-        node.source_.onUseless(cause, age(node), now_);
+        node.selector_.onPeerFailed(cause, age(node), now_);
         node.answerAt_ = never();
         choose(id, node);
     }
@@ -291,7 +291,7 @@
     domain.run(millis(10'000));
     BOOST_TEST(domain.readers().size() == 2U);
     BOOST_TEST(domain.takeCallRate(millis(10'000)) < CallsOfADomainInCalm);
-    BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(UselessAge));
+    BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(MaxUsableAge));
 }
 
 // Callers pay for a store that is called two hundred times a second. It turns both readers of a
@@ -336,7 +336,7 @@
                    outageMillis << " ms: " << seen.calls_);
         BOOST_TEST(seen.callsAfter_ < CallsOfADomainInTrouble,
                    outageMillis << " ms: " << seen.callsAfter_);
-        BOOST_TEST(toMillis(seen.oldestNews_) <= toMillis(UselessAge + HoldTime),
+        BOOST_TEST(toMillis(seen.oldestNews_) <= toMillis(MaxUsableAge + LongPollTimeout),
                    outageMillis << " ms");
     }
 }
@@ -353,7 +353,7 @@
                    outageMillis << " ms: " << seen.calls_);
         BOOST_TEST(seen.callsAfter_ <= CallsOfADomainInTrouble,
                    outageMillis << " ms: " << seen.callsAfter_);
-        BOOST_TEST(toMillis(seen.oldestNews_) <= toMillis(UselessAge + HoldTime),
+        BOOST_TEST(toMillis(seen.oldestNews_) <= toMillis(MaxUsableAge + LongPollTimeout),
                    outageMillis << " ms");
     }
 }
@@ -389,19 +389,19 @@
     }
     const TimePoint now = TimePoint {} + millis(1'000'000);
     for (const Member &self : members) {
-        NewsSource source(self.id_, LeaveBound);
+        UpstreamSelector source(self.id_, LeaveBound);
         source.setMembers(members);
-        if (source.choose(now).kind_ != SourceKind::Peer) {
+        if (source.choose(now).kind_ != UpstreamKind::Peer) {
             continue;
         }
-        source.onUseless(Uselessness::Silent, millis(2'500), now);
+        source.onPeerFailed(PeerFailure::Timeout, millis(2'500), now);
         source.choose(now);
-        BOOST_TEST(source.takeTest(now));
+        BOOST_TEST(source.takeProbe(now));
         source.onStoreFailed(now);
         source.choose(now);
-        BOOST_TEST(source.takeTest(now));
+        BOOST_TEST(source.takeProbe(now));
         source.onStoreAnswered(now);
-        BOOST_TEST((source.choose(now).kind_ == SourceKind::OwnReads));
+        BOOST_TEST((source.choose(now).kind_ == UpstreamKind::StoreReads));
     }
 }
 
@@ -416,7 +416,7 @@
     domain.run(millis(5'000));
     const std::vector<InstanceId> now = domain.readers();
     BOOST_TEST((std::find(now.begin(), now.end(), first.front()) == now.end()));
-    BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(UselessAge + HoldTime));
+    BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(MaxUsableAge + LongPollTimeout));
 }
 
 // Whatever the store and the peers do, half a minute after the last trouble there are two readers
@@ -443,7 +443,7 @@
         domain.storeAnswers_ = [](const InstanceId &, TimePoint) { return true; };
         domain.lives_ = [](const InstanceId &, TimePoint) { return true; };
         domain.run(millis(8'000));
-        BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(UselessAge + HoldTime),
+        BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(MaxUsableAge + LongPollTimeout),
                    "seed " << seed);
         domain.run(millis(22'000));
         BOOST_TEST(domain.readers().size() == 2U, "seed " << seed);
@@ -481,7 +481,7 @@
         domain.losePower([&](const InstanceId &id) { return isTurnedAway(id, seed, 0.55); });
         domain.run(millis(6'000));
         BOOST_TEST(domain.allKnow(), "seed " << seed);
-        BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(UselessAge + HoldTime),
+        BOOST_TEST(toMillis(domain.oldestNews()) <= toMillis(MaxUsableAge + LongPollTimeout),
                    "seed " << seed);
         domain.run(millis(20'000));
         BOOST_TEST(domain.readers().size() == 2U, "seed " << seed);
--- a/libs/replication/tests/valuecompressiontest.cpp
+++ b/libs/replication/tests/valuecompressiontest.cpp
@@ -23,9 +23,9 @@
     return set;
 }
 
-std::string encoded(const Change &change, PackedValues *packed)
+std::string encoded(const Change &change, CompressedValueCache *compressed)
 {
-    return encodeChanges(setOf(change), 1, false, Now, Now, packed);
+    return encodeChanges(setOf(change), 1, false, Now, Now, compressed);
 }
 
 } // namespace
@@ -34,9 +34,9 @@
 
 BOOST_AUTO_TEST_CASE(aLargeValueSurvivesTheWayInAShortForm)
 {
-    PackedValues packed;
+    CompressedValueCache compressed;
     const Change change {Topic::Config, "config", largeValue('a'), 4};
-    const std::string body = encoded(change, &packed);
+    const std::string body = encoded(change, &compressed);
     BOOST_TEST(body.size() < LargeBytes / 10);
     const auto received = decodeChanges(body, Now, Now);
     BOOST_REQUIRE(received.has_value());
@@ -48,9 +48,9 @@
 // Guards against followers that are sent the configuration before the one that is in force.
 BOOST_AUTO_TEST_CASE(aLaterValueOfAKeyIsPackedAnew)
 {
-    PackedValues packed;
-    encoded({Topic::Config, "config", largeValue('a'), 4}, &packed);
-    const std::string body = encoded({Topic::Config, "config", largeValue('b'), 5}, &packed);
+    CompressedValueCache compressed;
+    encoded({Topic::Config, "config", largeValue('a'), 4}, &compressed);
+    const std::string body = encoded({Topic::Config, "config", largeValue('b'), 5}, &compressed);
     const auto received = decodeChanges(body, Now, Now);
     BOOST_REQUIRE(received.has_value());
     BOOST_TEST((received->set_.changes_[0].value_ == largeValue('b')));
@@ -58,8 +58,8 @@
 
 BOOST_AUTO_TEST_CASE(smallValuesAndPeersThatDoNotUnpackGetThemAsTheyAre)
 {
-    PackedValues packed;
-    BOOST_TEST((packed.of({Topic::Endpoints, "e", "1", 2}) == nullptr));
+    CompressedValueCache compressed;
+    BOOST_TEST((compressed.compressedFormOf({Topic::Endpoints, "e", "1", 2}) == nullptr));
     const std::string body = encoded({Topic::Config, "config", largeValue('a'), 4}, nullptr);
     BOOST_TEST(body.size() > LargeBytes);
     BOOST_TEST((decodeChanges(body, Now, Now)->set_.changes_[0].value_ == largeValue('a')));
@@ -69,13 +69,13 @@
 BOOST_AUTO_TEST_CASE(aBrokenFormIsNoNews)
 {
     const std::string value = largeValue('a');
-    const std::string packed = pack(value);
-    BOOST_TEST((unpack(packed, value.size()) == value));
-    BOOST_TEST(!unpack(packed, value.size() - 1).has_value());
-    BOOST_TEST(!unpack(packed, value.size() + 1).has_value());
-    BOOST_TEST(!unpack(packed, std::size_t {1} << 40U).has_value());
-    BOOST_TEST(!unpack(packed.substr(0, packed.size() / 2), value.size()).has_value());
-    BOOST_TEST(!unpack("", value.size()).has_value());
+    const std::string compressed = compressValue(value);
+    BOOST_TEST((decompressValue(compressed, value.size()) == value));
+    BOOST_TEST(!decompressValue(compressed, value.size() - 1).has_value());
+    BOOST_TEST(!decompressValue(compressed, value.size() + 1).has_value());
+    BOOST_TEST(!decompressValue(compressed, std::size_t {1} << 40U).has_value());
+    BOOST_TEST(!decompressValue(compressed.substr(0, compressed.size() / 2), value.size()).has_value());
+    BOOST_TEST(!decompressValue("", value.size()).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/usage/include/almondridge/usage/fleetclock.h
+++ b/libs/usage/include/almondridge/usage/fleetclock.h
@@ -13,32 +13,32 @@
 
 namespace almondridge::usage {
 
-class TrueTime
+class FleetClock
 {
 public:
     /** wallMillis: the wall clock's word at that moment. */
-    TrueTime(std::int64_t wallMillis, TimePoint now);
+    FleetClock(std::int64_t wallMillis, TimePoint now);
 
-    std::int64_t millisAt(TimePoint moment) const noexcept;
-    TimePoint pointOf(std::int64_t unixMillis) const noexcept;
+    std::int64_t unixMillisAt(TimePoint moment) const noexcept;
+    TimePoint timePointAt(std::int64_t unixMillis) const noexcept;
 
     /** An instance's wall clock showed this a moment ago; this instance's own counts as well. */
-    void onWallClock(const InstanceId &instance, std::int64_t wallMillis, TimePoint now);
+    void addSample(const InstanceId &instance, std::int64_t wallMillis, TimePoint now);
     /** Goes to the median of the clocks that were heard of lately. */
-    void settle(TimePoint now);
+    void adjustToMedian(TimePoint now);
     /** What a peer's time has to be moved by; nullopt: it is right, as far as can be told. */
-    std::optional<std::int64_t> correctionOf(std::int64_t peerMillis, TimePoint now) const;
-    void correct(std::int64_t byMillis) noexcept { epochMillis_ += byMillis; }
+    std::optional<std::int64_t> correctionFor(std::int64_t peerMillis, TimePoint now) const;
+    void adjustBy(std::int64_t offsetMillis) noexcept { epochMillis_ += offsetMillis; }
 
 private:
-    struct Clock
+    struct Sample
     {
         std::int64_t epochMillis_ = 0; ///< By this clock, as below.
-        TimePoint heardAt_ {};
+        TimePoint receivedAt_ {};
     };
 
     std::int64_t epochMillis_; ///< The Unix time at the boot clock's zero.
-    std::map<InstanceId, Clock> clocks_;
+    std::map<InstanceId, Sample> samples_;
 };
 
 } // namespace almondridge::usage
--- a/libs/usage/include/almondridge/usage/usageledger.h
+++ b/libs/usage/include/almondridge/usage/usageledger.h
@@ -11,35 +11,35 @@
 namespace almondridge::usage {
 
 /** What one lifetime of an instance has counted. */
-class OwnCounts
+class LocalCounts
 {
 public:
     void onBegan(const AccountId &account, Window window);
     /** What has changed since the last call. Windows before open are closed, each told once. */
-    std::vector<WindowPart> takeChanges(Window open);
+    std::vector<WindowCounts> takeChanges(Window open);
     /** All counts of the windows from one on. */
-    std::vector<WindowPart> since(Window from, Window open) const;
+    std::vector<WindowCounts> since(Window from, Window open) const;
     void forgetBefore(Window window);
 
 private:
-    struct Counted
+    struct WindowState
     {
         AccountCounts counts_;
         std::uint64_t total_ = 0;
         std::set<AccountId> changed_;
-        bool closureTold_ = false;
+        bool closeReported_ = false;
     };
 
-    std::map<Window, Counted> windows_;
-    Window closedUntil_ = 0; ///< Windows before it are closed.
+    std::map<Window, WindowState> windows_;
+    Window closedBefore_ = 0; ///< Windows before it are closed.
 };
 
 /** What all instances have counted, as far as it is known here. */
-class UsageBook
+class UsageLedger
 {
 public:
     /** Parts of windows before the first that is kept are dropped. */
-    void add(const UsageNote &note);
+    void add(const UsageUpdate &update);
     /** The requests of all instances and lifetimes. */
     AccountCounts counts(Window window) const;
     /** Whether the newest lifetime of the instance has told all that it will. */
@@ -47,7 +47,7 @@
     /** The oldest lifetime that has told anything; nullopt: none has. */
     std::optional<std::uint64_t> oldestLifetime() const;
     /** All that is known of an instance from a window on, a note for each of its lifetimes. */
-    std::vector<UsageNote> notesSince(Window from) const;
+    std::vector<UsageUpdate> updatesSince(Window from) const;
     void forgetBefore(Window window);
 
 private:
@@ -69,7 +69,7 @@
     };
 
     std::map<Key, Entry> entries_;
-    Window first_ = 0;
+    Window firstRetained_ = 0;
 };
 
 } // namespace almondridge::usage
--- a/libs/usage/include/almondridge/usage/usagemesh.h
+++ b/libs/usage/include/almondridge/usage/usagemesh.h
@@ -18,7 +18,7 @@
 {
 public:
     /** lifetime: rises with each restart of this instance. */
-    UsageMesh(InstanceId self, std::uint64_t lifetime, std::int64_t windowMillis, TrueTime time);
+    UsageMesh(InstanceId self, std::uint64_t lifetime, std::int64_t windowMillis, FleetClock time);
 
     /** All instances of the fleet, and those that collect. */
     void setMembers(std::set<InstanceId> members, std::set<InstanceId> collectors);
@@ -27,45 +27,45 @@
     /** What is to be sent now; to be called some times a second. */
     std::vector<gateway::MeshDatagram> tick(std::int64_t wallMillis, TimePoint now);
     /** The same, whenever it was called last. */
-    std::vector<gateway::MeshDatagram> tellNow(std::int64_t wallMillis, TimePoint now);
+    std::vector<gateway::MeshDatagram> tickNow(std::int64_t wallMillis, TimePoint now);
     /** What is to be sent in answer goes to out. */
     gateway::Reception onDatagram(std::string_view datagram, TimePoint now,
                                   std::vector<gateway::MeshDatagram> &out);
 
     /** Asks for all that is known of the windows from one on: this instance reports from now on. */
-    std::vector<gateway::MeshDatagram> askAll(Window from) const;
+    std::vector<gateway::MeshDatagram> queryAll(Window from) const;
     /** Asks those instances that have not told all of a window. */
-    std::vector<gateway::MeshDatagram> askMissing(Window window) const;
+    std::vector<gateway::MeshDatagram> queryIncomplete(Window window) const;
     /** Instances that have not told all of a window. */
-    std::vector<InstanceId> missing(Window window) const;
-    AccountCounts counts(Window window) const { return book_.counts(window); }
+    std::vector<InstanceId> incompleteMembers(Window window) const;
+    AccountCounts counts(Window window) const { return ledger_.counts(window); }
     /** When the oldest lifetime began whose counts are known here, since the Unix epoch. */
     std::int64_t knownSince() const;
-    const TrueTime &time() const noexcept { return time_; }
+    const FleetClock &time() const noexcept { return time_; }
     std::int64_t windowMillis() const noexcept { return windowMillis_; }
 
 private:
     std::set<InstanceId> receivers(TimePoint now) const;
-    UsageNote ownNote(std::vector<WindowPart> parts, TimePoint now);
-    void onCorrection(const TimeCorrection &correction);
+    UsageUpdate makeUpdate(std::vector<WindowCounts> parts, TimePoint now);
+    void onCorrection(const ClockCorrection &correction);
     Window openWindow(TimePoint now) const;
-    void onNote(const UsageNote &note, TimePoint now, std::vector<gateway::MeshDatagram> &out);
-    void onQuestion(const UsageQuestion &question, TimePoint now,
+    void onUpdate(const UsageUpdate &update, TimePoint now, std::vector<gateway::MeshDatagram> &out);
+    void onQuery(const UsageQuery &query, TimePoint now,
                     std::vector<gateway::MeshDatagram> &out);
 
     InstanceId self_;
     std::uint64_t lifetime_;
     std::int64_t windowMillis_;
-    TrueTime time_;
+    FleetClock time_;
     std::int64_t wallMillis_ = 0;  ///< As this instance's wall clock last showed.
     std::set<InstanceId> members_; ///< The others.
     std::set<InstanceId> collectors_;
-    std::map<InstanceId, TimePoint> askers_; ///< They are told as well until then.
-    OwnCounts own_;
-    UsageBook book_;
-    TimePoint tellAt_ {};
-    std::uint64_t noteNumber_ = 0;
-    std::uint64_t correctedAfter_ = 0; ///< Notes up to this one told a time that was mended since.
+    std::map<InstanceId, TimePoint> subscribers_; ///< They are told as well until then.
+    LocalCounts localCounts_;
+    UsageLedger ledger_;
+    TimePoint nextUpdateAt_ {};
+    std::uint64_t updateNumber_ = 0;
+    std::uint64_t correctedUpTo_ = 0; ///< Notes up to this one told a time that was mended since.
 };
 
 } // namespace almondridge::usage
--- a/libs/usage/include/almondridge/usage/usagereporter.h
+++ b/libs/usage/include/almondridge/usage/usagereporter.h
@@ -23,7 +23,7 @@
 struct ReporterSettings
 {
     std::int64_t windowMillis_ = 5'000;
-    std::int64_t dueMillis_ = 10'000; ///< After a window's end its report is of no use any more.
+    std::int64_t reportDeadlineMillis_ = 10'000; ///< After a window's end its report is of no use any more.
 };
 
 enum class ReportStep {
@@ -54,7 +54,7 @@
     explicit UsageReporter(ReporterSettings settings);
 
     /** This instance has the right to report, with that fencing number; nullopt: it has not. */
-    void setRight(std::optional<Fence> fence);
+    void setFence(std::optional<Fence> fence);
     /** Since when counts are known: earlier ones may have been lost with all that had them. */
     void setKnownSince(std::int64_t unixMillis);
     /** What to do now; at most one step is on its way. All times are since the Unix epoch. */
@@ -72,23 +72,23 @@
     /** The step got no answer, or a refusal that another try may mend. */
     void onFailed(ReportStep step, std::int64_t nowMillis);
     /** The counts of the window are not whole yet: it is looked at again. */
-    void onNotReady() { busy_ = false; }
+    void onCountsIncomplete() { busy_ = false; }
     int failures() const noexcept { return failures_; }
 
 private:
-    Window firstOpen(std::int64_t nowMillis) const;
-    void forgetOld(std::int64_t nowMillis);
+    Window firstReportable(std::int64_t nowMillis) const;
+    void dropExpired(std::int64_t nowMillis);
 
     ReporterSettings settings_;
     std::optional<Fence> fence_;
-    bool logKnown_ = false; ///< Read to its end since the right was gained.
+    bool logRead_ = false; ///< Read to its end since the right was gained.
     bool busy_ = false;
     LogOffset next_ = 0; ///< All records before it are known.
     std::int64_t knownSince_ = 0;
     std::map<Window, AccountCounts> reports_; ///< As the log has them.
     std::set<Window> sent_;
     int failures_ = 0; ///< In a row.
-    std::int64_t againAt_ = 0;
+    std::int64_t retryAt_ = 0;
 };
 
 } // namespace almondridge::usage
--- a/libs/usage/include/almondridge/usage/window.h
+++ b/libs/usage/include/almondridge/usage/window.h
@@ -22,7 +22,7 @@
 }
 
 /** The first moment after the window, in milliseconds since the Unix epoch. */
-constexpr std::int64_t endOf(Window window, std::int64_t windowMillis) noexcept
+constexpr std::int64_t windowEndMillis(Window window, std::int64_t windowMillis) noexcept
 {
     return (window + 1) * windowMillis;
 }
--- a/libs/usage/src/fleetclock.cpp
+++ b/libs/usage/src/fleetclock.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /** Smaller differences come from the way of a message. */
-constexpr std::int64_t LeastDriftMillis = 50;
+constexpr std::int64_t MinAdjustmentMillis = 50;
 /** Two instances that tell the same one its time may differ by the drift of both. */
-constexpr std::int64_t LeastCorrectionMillis = 2 * LeastDriftMillis + 50;
+constexpr std::int64_t MinCorrectionMillis = 2 * MinAdjustmentMillis + 50;
 /** A clock that was not heard of for so long tells nothing of now. */
-constexpr Duration ClockHolds = millis(10'000);
+constexpr Duration SampleValidity = millis(10'000);
 
 std::int64_t bootMillis(TimePoint moment)
 {
@@ -21,48 +21,48 @@
 
 } // namespace
 
-TrueTime::TrueTime(std::int64_t wallMillis, TimePoint now)
+FleetClock::FleetClock(std::int64_t wallMillis, TimePoint now)
     : epochMillis_(wallMillis - bootMillis(now))
 { }
 
-std::int64_t TrueTime::millisAt(TimePoint moment) const noexcept
+std::int64_t FleetClock::unixMillisAt(TimePoint moment) const noexcept
 {
     return epochMillis_ + bootMillis(moment);
 }
 
-TimePoint TrueTime::pointOf(std::int64_t unixMillis) const noexcept
+TimePoint FleetClock::timePointAt(std::int64_t unixMillis) const noexcept
 {
     return TimePoint {} + millis(unixMillis - epochMillis_);
 }
 
-void TrueTime::onWallClock(const InstanceId &instance, std::int64_t wallMillis, TimePoint now)
+void FleetClock::addSample(const InstanceId &instance, std::int64_t wallMillis, TimePoint now)
 {
-    clocks_[instance] = {wallMillis - bootMillis(now), now};
+    samples_[instance] = {wallMillis - bootMillis(now), now};
 }
 
-void TrueTime::settle(TimePoint now)
+void FleetClock::adjustToMedian(TimePoint now)
 {
-    std::erase_if(clocks_,
-                  [&](const auto &entry) { return entry.second.heardAt_ + ClockHolds < now; });
+    std::erase_if(samples_,
+                  [&](const auto &entry) { return entry.second.receivedAt_ + SampleValidity < now; });
     std::vector<std::int64_t> epochs;
-    epochs.reserve(clocks_.size());
-    for (const auto &[instance, clock] : clocks_) {
-        epochs.push_back(clock.epochMillis_);
+    epochs.reserve(samples_.size());
+    for (const auto &[instance, sample] : samples_) {
+        epochs.push_back(sample.epochMillis_);
     }
     if (epochs.empty()) {
         return;
     }
     const auto middle = epochs.begin() + static_cast<std::ptrdiff_t>(epochs.size() / 2);
     std::nth_element(epochs.begin(), middle, epochs.end());
-    if (std::abs(*middle - epochMillis_) >= LeastDriftMillis) {
+    if (std::abs(*middle - epochMillis_) >= MinAdjustmentMillis) {
         epochMillis_ = *middle;
     }
 }
 
-std::optional<std::int64_t> TrueTime::correctionOf(std::int64_t peerMillis, TimePoint now) const
+std::optional<std::int64_t> FleetClock::correctionFor(std::int64_t peerMillis, TimePoint now) const
 {
-    const std::int64_t difference = millisAt(now) - peerMillis;
-    return std::abs(difference) >= LeastCorrectionMillis ? std::optional(difference) : std::nullopt;
+    const std::int64_t difference = unixMillisAt(now) - peerMillis;
+    return std::abs(difference) >= MinCorrectionMillis ? std::optional(difference) : std::nullopt;
 }
 
 } // namespace almondridge::usage
--- a/libs/usage/src/usageledger.cpp
+++ b/libs/usage/src/usageledger.cpp
@@ -5,59 +5,59 @@
 
 namespace almondridge::usage {
 
-void OwnCounts::onBegan(const AccountId &account, Window window)
+void LocalCounts::onBegan(const AccountId &account, Window window)
 {
-    Counted &counted = windows_[window];
-    ++counted.counts_[account];
-    ++counted.total_;
-    counted.changed_.insert(account);
-    counted.closureTold_ = false;
+    WindowState &state = windows_[window];
+    ++state.counts_[account];
+    ++state.total_;
+    state.changed_.insert(account);
+    state.closeReported_ = false;
 }
 
-std::vector<WindowPart> OwnCounts::takeChanges(Window open)
+std::vector<WindowCounts> LocalCounts::takeChanges(Window open)
 {
     // A window without a request is closed as well, so that nobody waits for what does not come.
-    for (Window window = std::max(closedUntil_, open - 1); window < open; ++window) {
+    for (Window window = std::max(closedBefore_, open - 1); window < open; ++window) {
         windows_.try_emplace(window);
     }
-    closedUntil_ = std::max(closedUntil_, open);
-    std::vector<WindowPart> parts;
-    for (auto &[window, counted] : windows_) {
-        const bool closes = window < open && !counted.closureTold_;
-        if (!closes && counted.changed_.empty()) {
+    closedBefore_ = std::max(closedBefore_, open);
+    std::vector<WindowCounts> parts;
+    for (auto &[window, state] : windows_) {
+        const bool closes = window < open && !state.closeReported_;
+        if (!closes && state.changed_.empty()) {
             continue;
         }
-        WindowPart part {window, window < open, counted.total_, {}};
+        WindowCounts part {window, window < open, state.total_, {}};
         if (closes) {
-            part.counts_ = counted.counts_;
-            counted.closureTold_ = true;
+            part.counts_ = state.counts_;
+            state.closeReported_ = true;
         } else {
-            for (const AccountId &account : counted.changed_) {
-                part.counts_[account] = counted.counts_[account];
+            for (const AccountId &account : state.changed_) {
+                part.counts_[account] = state.counts_[account];
             }
         }
-        counted.changed_.clear();
+        state.changed_.clear();
         parts.push_back(std::move(part));
     }
     return parts;
 }
 
-std::vector<WindowPart> OwnCounts::since(Window from, Window open) const
+std::vector<WindowCounts> LocalCounts::since(Window from, Window open) const
 {
-    std::vector<WindowPart> parts;
+    std::vector<WindowCounts> parts;
     for (auto place = windows_.lower_bound(from); place != windows_.end(); ++place) {
-        const auto &[window, counted] = *place;
-        parts.push_back({window, window < open, counted.total_, counted.counts_});
+        const auto &[window, state] = *place;
+        parts.push_back({window, window < open, state.total_, state.counts_});
     }
     return parts;
 }
 
-void OwnCounts::forgetBefore(Window window)
+void LocalCounts::forgetBefore(Window window)
 {
     windows_.erase(windows_.begin(), windows_.lower_bound(window));
 }
 
-std::uint64_t UsageBook::Entry::sum() const
+std::uint64_t UsageLedger::Entry::sum() const
 {
     std::uint64_t sum = 0;
     for (const auto &[account, count] : counts_) {
@@ -66,13 +66,13 @@
     return sum;
 }
 
-void UsageBook::add(const UsageNote &note)
+void UsageLedger::add(const UsageUpdate &update)
 {
-    for (const WindowPart &part : note.parts_) {
-        if (part.window_ < first_) {
+    for (const WindowCounts &part : update.parts_) {
+        if (part.window_ < firstRetained_) {
             continue;
         }
-        Entry &entry = entries_[{part.window_, note.sender_, note.lifetime_}];
+        Entry &entry = entries_[{part.window_, update.sender_, update.lifetime_}];
         entry.closed_ = entry.closed_ || part.closed_;
         entry.total_ = std::max(entry.total_, part.total_);
         for (const auto &[account, count] : part.counts_) {
@@ -82,7 +82,7 @@
     }
 }
 
-AccountCounts UsageBook::counts(Window window) const
+AccountCounts UsageLedger::counts(Window window) const
 {
     AccountCounts sums;
     for (auto place = entries_.lower_bound({window, {}, 0});
@@ -94,7 +94,7 @@
     return sums;
 }
 
-bool UsageBook::isComplete(const InstanceId &instance, Window window) const
+bool UsageLedger::isComplete(const InstanceId &instance, Window window) const
 {
     auto place =
         entries_.upper_bound({window, instance, std::numeric_limits<std::uint64_t>::max()});
@@ -107,7 +107,7 @@
            && entry.sum() >= entry.total_;
 }
 
-std::optional<std::uint64_t> UsageBook::oldestLifetime() const
+std::optional<std::uint64_t> UsageLedger::oldestLifetime() const
 {
     std::optional<std::uint64_t> oldest;
     for (const auto &[key, entry] : entries_) {
@@ -116,28 +116,28 @@
     return oldest;
 }
 
-std::vector<UsageNote> UsageBook::notesSince(Window from) const
+std::vector<UsageUpdate> UsageLedger::updatesSince(Window from) const
 {
-    std::map<std::pair<InstanceId, std::uint64_t>, UsageNote> notes;
+    std::map<std::pair<InstanceId, std::uint64_t>, UsageUpdate> updates;
     for (auto place = entries_.lower_bound({from, {}, 0}); place != entries_.end(); ++place) {
         const auto &[key, entry] = *place;
-        UsageNote &note = notes[{key.instance_, key.lifetime_}];
-        note.sender_ = key.instance_;
-        note.lifetime_ = key.lifetime_;
-        note.parts_.push_back({key.window_, entry.closed_, entry.total_, entry.counts_});
+        UsageUpdate &update = updates[{key.instance_, key.lifetime_}];
+        update.sender_ = key.instance_;
+        update.lifetime_ = key.lifetime_;
+        update.parts_.push_back({key.window_, entry.closed_, entry.total_, entry.counts_});
     }
-    std::vector<UsageNote> found;
-    found.reserve(notes.size());
-    for (auto &[key, note] : notes) {
-        found.push_back(std::move(note));
+    std::vector<UsageUpdate> found;
+    found.reserve(updates.size());
+    for (auto &[key, update] : updates) {
+        found.push_back(std::move(update));
     }
     return found;
 }
 
-void UsageBook::forgetBefore(Window window)
+void UsageLedger::forgetBefore(Window window)
 {
-    first_ = std::max(first_, window);
-    entries_.erase(entries_.begin(), entries_.lower_bound({first_, {}, 0}));
+    firstRetained_ = std::max(firstRetained_, window);
+    entries_.erase(entries_.begin(), entries_.lower_bound({firstRetained_, {}, 0}));
 }
 
 } // namespace almondridge::usage
--- a/libs/usage/src/usagemesh.cpp
+++ b/libs/usage/src/usagemesh.cpp
@@ -9,15 +9,15 @@
 using gateway::Reception;
 
 /** What an instance that is killed has counted since it last told is lost. */
-constexpr Duration TellInterval = millis(400);
+constexpr Duration UpdateInterval = millis(400);
 /** After a window's end, for answers that tell of requests that began in it. */
 constexpr Duration CloseMargin = millis(300);
 /** Windows that are remembered: more than may be reported late. */
-constexpr Window WindowsKept = 8;
+constexpr Window RetainedWindows = 8;
 /** A reporter that is no collector asks more often than this. */
-constexpr Duration AskerHolds = millis(15'000);
+constexpr Duration SubscriptionTime = millis(15'000);
 /** Of the collectors so many are asked for what others told them. */
-constexpr std::size_t BooksAsked = 2;
+constexpr std::size_t CollectorsQueriedInFull = 2;
 
 void addAll(const InstanceId &to, const std::vector<std::string> &bytes,
             std::vector<MeshDatagram> &out)
@@ -30,7 +30,7 @@
 } // namespace
 
 UsageMesh::UsageMesh(InstanceId self, std::uint64_t lifetime, std::int64_t windowMillis,
-                     TrueTime time)
+                     FleetClock time)
     : self_(std::move(self))
     , lifetime_(lifetime)
     , windowMillis_(windowMillis)
@@ -42,30 +42,30 @@
     members_ = std::move(members);
     members_.erase(self_);
     collectors_ = std::move(collectors);
-    std::erase_if(askers_, [&](const auto &entry) { return !members_.contains(entry.first); });
+    std::erase_if(subscribers_, [&](const auto &entry) { return !members_.contains(entry.first); });
 }
 
 void UsageMesh::onBegan(const AccountId &account, TimePoint began)
 {
-    own_.onBegan(account, windowAt(time_.millisAt(began), windowMillis_));
+    localCounts_.onBegan(account, windowAt(time_.unixMillisAt(began), windowMillis_));
 }
 
 Window UsageMesh::openWindow(TimePoint now) const
 {
-    return windowAt(time_.millisAt(now - CloseMargin), windowMillis_);
+    return windowAt(time_.unixMillisAt(now - CloseMargin), windowMillis_);
 }
 
-UsageNote UsageMesh::ownNote(std::vector<WindowPart> parts, TimePoint now)
+UsageUpdate UsageMesh::makeUpdate(std::vector<WindowCounts> parts, TimePoint now)
 {
-    return {self_, lifetime_, ++noteNumber_, time_.millisAt(now), wallMillis_, std::move(parts)};
+    return {self_, lifetime_, ++updateNumber_, time_.unixMillisAt(now), wallMillis_, std::move(parts)};
 }
 
 std::set<InstanceId> UsageMesh::receivers(TimePoint now) const
 {
     std::set<InstanceId> receivers = collectors_;
-    for (const auto &[asker, until] : askers_) {
+    for (const auto &[subscriber, until] : subscribers_) {
         if (until > now) {
-            receivers.insert(asker);
+            receivers.insert(subscriber);
         }
     }
     receivers.erase(self_);
@@ -75,33 +75,33 @@
 std::vector<MeshDatagram> UsageMesh::tick(std::int64_t wallMillis, TimePoint now)
 {
     wallMillis_ = wallMillis;
-    if (now < tellAt_) {
+    if (now < nextUpdateAt_) {
         return {};
     }
-    tellAt_ = now + TellInterval;
-    time_.onWallClock(self_, wallMillis, now);
+    nextUpdateAt_ = now + UpdateInterval;
+    time_.addSample(self_, wallMillis, now);
     if (collectors_.contains(self_)) {
-        time_.settle(now);
+        time_.adjustToMedian(now);
     }
     const Window open = openWindow(now);
-    own_.forgetBefore(open - WindowsKept);
-    book_.forgetBefore(open - WindowsKept);
-    const UsageNote note = ownNote(own_.takeChanges(open), now);
-    if (note.parts_.empty()) {
+    localCounts_.forgetBefore(open - RetainedWindows);
+    ledger_.forgetBefore(open - RetainedWindows);
+    const UsageUpdate update = makeUpdate(localCounts_.takeChanges(open), now);
+    if (update.parts_.empty()) {
         return {};
     }
-    book_.add(note);
+    ledger_.add(update);
     std::vector<MeshDatagram> datagrams;
-    const std::vector<std::string> bytes = encodeNote(note);
+    const std::vector<std::string> bytes = encodeUpdate(update);
     for (const InstanceId &receiver : receivers(now)) {
         addAll(receiver, bytes, datagrams);
     }
     return datagrams;
 }
 
-std::vector<MeshDatagram> UsageMesh::tellNow(std::int64_t wallMillis, TimePoint now)
+std::vector<MeshDatagram> UsageMesh::tickNow(std::int64_t wallMillis, TimePoint now)
 {
-    tellAt_ = now;
+    nextUpdateAt_ = now;
     return tick(wallMillis, now);
 }
 
@@ -112,16 +112,16 @@
     if (!message) {
         return Reception::Unreadable;
     }
-    if (message->note_) {
+    if (message->update_) {
         // What a collector tells of others may be of instances that are gone.
-        onNote(*message->note_, now, out);
+        onUpdate(*message->update_, now, out);
         return Reception::Taken;
     }
-    if (message->question_) {
-        if (!members_.contains(message->question_->sender_)) {
+    if (message->query_) {
+        if (!members_.contains(message->query_->sender_)) {
             return Reception::Unknown;
         }
-        onQuestion(*message->question_, now, out);
+        onQuery(*message->query_, now, out);
         return Reception::Taken;
     }
     if (!collectors_.contains(message->correction_->sender_)) {
@@ -132,58 +132,58 @@
 }
 
 /** Several collectors correct the same note, and only the first of them counts. */
-void UsageMesh::onCorrection(const TimeCorrection &correction)
+void UsageMesh::onCorrection(const ClockCorrection &correction)
 {
-    if (correction.note_ > correctedAfter_) {
-        correctedAfter_ = noteNumber_;
-        time_.correct(correction.byMillis_);
+    if (correction.update_ > correctedUpTo_) {
+        correctedUpTo_ = updateNumber_;
+        time_.adjustBy(correction.offsetMillis_);
     }
 }
 
-void UsageMesh::onNote(const UsageNote &note, TimePoint now, std::vector<MeshDatagram> &out)
+void UsageMesh::onUpdate(const UsageUpdate &update, TimePoint now, std::vector<MeshDatagram> &out)
 {
-    book_.add(note);
-    if (note.wallMillis_ == 0 || !members_.contains(note.sender_)) {
+    ledger_.add(update);
+    if (update.wallMillis_ == 0 || !members_.contains(update.sender_)) {
         return;
     }
-    time_.onWallClock(note.sender_, note.wallMillis_, now);
-    const bool corrects = collectors_.contains(self_) && !collectors_.contains(note.sender_);
-    const auto correction = corrects ? time_.correctionOf(note.timeMillis_, now) : std::nullopt;
+    time_.addSample(update.sender_, update.wallMillis_, now);
+    const bool corrects = collectors_.contains(self_) && !collectors_.contains(update.sender_);
+    const auto correction = corrects ? time_.correctionFor(update.timeMillis_, now) : std::nullopt;
     if (correction) {
-        out.push_back({note.sender_, encodeCorrection({self_, note.number_, *correction})});
+        out.push_back({update.sender_, encodeCorrection({self_, update.number_, *correction})});
     }
 }
 
-void UsageMesh::onQuestion(const UsageQuestion &question, TimePoint now,
+void UsageMesh::onQuery(const UsageQuery &query, TimePoint now,
                            std::vector<MeshDatagram> &out)
 {
-    askers_[question.sender_] = now + AskerHolds;
-    addAll(question.sender_, encodeNote(ownNote(own_.since(question.from_, openWindow(now)), now)),
+    subscribers_[query.sender_] = now + SubscriptionTime;
+    addAll(query.sender_, encodeUpdate(makeUpdate(localCounts_.since(query.from_, openWindow(now)), now)),
            out);
-    if (question.ofAll_) {
-        for (const UsageNote &note : book_.notesSince(question.from_)) {
-            addAll(question.sender_, encodeNote(note), out);
+    if (query.includesOthers_) {
+        for (const UsageUpdate &update : ledger_.updatesSince(query.from_)) {
+            addAll(query.sender_, encodeUpdate(update), out);
         }
     }
 }
 
-std::vector<MeshDatagram> UsageMesh::askAll(Window from) const
+std::vector<MeshDatagram> UsageMesh::queryAll(Window from) const
 {
     std::vector<MeshDatagram> datagrams;
-    std::size_t books = 0;
+    std::size_t fullQueries = 0;
     for (const InstanceId &member : members_) {
-        const bool ofAll = collectors_.contains(member) && books < BooksAsked;
-        books += ofAll ? 1 : 0;
-        datagrams.push_back({member, encodeQuestion({self_, from, ofAll})});
+        const bool includesOthers = collectors_.contains(member) && fullQueries < CollectorsQueriedInFull;
+        fullQueries += includesOthers ? 1 : 0;
+        datagrams.push_back({member, encodeQuery({self_, from, includesOthers})});
     }
     return datagrams;
 }
 
-std::vector<MeshDatagram> UsageMesh::askMissing(Window window) const
+std::vector<MeshDatagram> UsageMesh::queryIncomplete(Window window) const
 {
     std::vector<MeshDatagram> datagrams;
-    for (const InstanceId &member : missing(window)) {
-        datagrams.push_back({member, encodeQuestion({self_, window, false})});
+    for (const InstanceId &member : incompleteMembers(window)) {
+        datagrams.push_back({member, encodeQuery({self_, window, false})});
     }
     return datagrams;
 }
@@ -191,18 +191,18 @@
 std::int64_t UsageMesh::knownSince() const
 {
     return static_cast<std::int64_t>(
-        std::min(lifetime_, book_.oldestLifetime().value_or(lifetime_)));
+        std::min(lifetime_, ledger_.oldestLifetime().value_or(lifetime_)));
 }
 
-std::vector<InstanceId> UsageMesh::missing(Window window) const
+std::vector<InstanceId> UsageMesh::incompleteMembers(Window window) const
 {
-    std::vector<InstanceId> missing;
+    std::vector<InstanceId> incompleteMembers;
     for (const InstanceId &member : members_) {
-        if (!book_.isComplete(member, window)) {
-            missing.push_back(member);
+        if (!ledger_.isComplete(member, window)) {
+            incompleteMembers.push_back(member);
         }
     }
-    return missing;
+    return incompleteMembers;
 }
 
 } // namespace almondridge::usage
--- a/libs/usage/src/usagereporter.cpp
+++ b/libs/usage/src/usagereporter.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 /** After a window's end its counts have come from almost all instances. */
-constexpr std::int64_t SettleMillis = 1'200;
-constexpr std::int64_t FirstRetryMillis = 250;
-constexpr std::int64_t LongestRetryMillis = 1'000;
-constexpr int MostDoublings = 4;
+constexpr std::int64_t CompletionDelayMillis = 1'200;
+constexpr std::int64_t InitialRetryMillis = 250;
+constexpr std::int64_t MaxRetryMillis = 1'000;
+constexpr int MaxDoublings = 4;
 
 } // namespace
 
@@ -17,17 +17,17 @@
     : settings_(settings)
 { }
 
-void UsageReporter::setRight(std::optional<Fence> fence)
+void UsageReporter::setFence(std::optional<Fence> fence)
 {
     if (fence == fence_) {
         return;
     }
     fence_ = fence;
     // Others may have reported in between.
-    logKnown_ = false;
+    logRead_ = false;
     busy_ = false;
     failures_ = 0;
-    againAt_ = 0;
+    retryAt_ = 0;
 }
 
 void UsageReporter::setKnownSince(std::int64_t unixMillis)
@@ -36,20 +36,20 @@
 }
 
 /** The first window that is still of use to report. */
-Window UsageReporter::firstOpen(std::int64_t nowMillis) const
+Window UsageReporter::firstReportable(std::int64_t nowMillis) const
 {
     return std::max(windowAt(knownSince_, settings_.windowMillis_) + 1,
-                    windowAt(nowMillis - settings_.dueMillis_, settings_.windowMillis_));
+                    windowAt(nowMillis - settings_.reportDeadlineMillis_, settings_.windowMillis_));
 }
 
 std::vector<Window> UsageReporter::open(std::int64_t nowMillis) const
 {
     std::vector<Window> windows;
-    if (!fence_ || !logKnown_) {
+    if (!fence_ || !logRead_) {
         return windows;
     }
-    const Window current = windowAt(nowMillis - SettleMillis, settings_.windowMillis_);
-    for (Window window = firstOpen(nowMillis); window < current; ++window) {
+    const Window current = windowAt(nowMillis - CompletionDelayMillis, settings_.windowMillis_);
+    for (Window window = firstReportable(nowMillis); window < current; ++window) {
         if (!reports_.contains(window)) {
             windows.push_back(window);
         }
@@ -57,21 +57,21 @@
     return windows;
 }
 
-void UsageReporter::forgetOld(std::int64_t nowMillis)
+void UsageReporter::dropExpired(std::int64_t nowMillis)
 {
-    const Window first = firstOpen(nowMillis);
+    const Window first = firstReportable(nowMillis);
     reports_.erase(reports_.begin(), reports_.lower_bound(first));
     sent_.erase(sent_.begin(), sent_.lower_bound(first));
 }
 
 std::optional<ReportAction> UsageReporter::next(std::int64_t nowMillis)
 {
-    if (!fence_ || busy_ || nowMillis < againAt_) {
+    if (!fence_ || busy_ || nowMillis < retryAt_) {
         return std::nullopt;
     }
-    forgetOld(nowMillis);
+    dropExpired(nowMillis);
     busy_ = true;
-    if (!logKnown_) {
+    if (!logRead_) {
         return ReportAction {ReportStep::ReadLog, next_, 0, {}};
     }
     for (const auto &[window, counts] : reports_) {
@@ -92,12 +92,12 @@
 {
     busy_ = false;
     failures_ = 0;
-    logKnown_ = isLast;
+    logRead_ = isLast;
     next_ = std::max(next_, end);
     for (const ReportRecord &record : records) {
         reports_.try_emplace(record.window_, record.counts_);
     }
-    forgetOld(nowMillis);
+    dropExpired(nowMillis);
 }
 
 void UsageReporter::onAppended(Window window, const AccountCounts &counts, LogOffset offset)
@@ -106,7 +106,7 @@
     failures_ = 0;
     if (offset != next_) {
         // Somebody else, or an earlier call of ours, wrote before: its record may come first.
-        logKnown_ = false;
+        logRead_ = false;
         return;
     }
     ++next_;
@@ -124,10 +124,10 @@
 {
     busy_ = false;
     // A record may have been appended all the same, and is found in the log then.
-    logKnown_ = logKnown_ && step != ReportStep::Append;
-    againAt_ =
+    logRead_ = logRead_ && step != ReportStep::Append;
+    retryAt_ =
         nowMillis
-        + std::min(FirstRetryMillis << std::min(failures_, MostDoublings), LongestRetryMillis);
+        + std::min(InitialRetryMillis << std::min(failures_, MaxDoublings), MaxRetryMillis);
     ++failures_;
 }
 
--- a/libs/usage/tests/usagemeshtest.cpp
+++ b/libs/usage/tests/usagemeshtest.cpp
@@ -48,7 +48,7 @@
         meshes_.erase(id);
         UsageMesh &mesh = meshes_
                               .try_emplace(id, id, static_cast<std::uint64_t>(wall), WindowMillis,
-                                           TrueTime(wall, at(now)))
+                                           FleetClock(wall, at(now)))
                               .first->second;
         mesh.setMembers(members_, collectors_);
     }
@@ -129,7 +129,7 @@
     Fleet fleet(40, 4, 1);
     fleet.run(0, 11'200, 30);
     for (int collector = 0; collector < 4; ++collector) {
-        BOOST_TEST(fleet.mesh(collector).missing(FirstWindow + 1).empty());
+        BOOST_TEST(fleet.mesh(collector).incompleteMembers(FirstWindow + 1).empty());
         BOOST_TEST(
             (fleet.mesh(collector).counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
     }
@@ -144,10 +144,10 @@
         fleet.run(0, 11'000, 20);
         UsageMesh &reporter = fleet.mesh(0);
         for (std::int64_t now = 11'000; now < 13'000; now += 200) {
-            fleet.send(reporter.askMissing(FirstWindow + 1), now);
+            fleet.send(reporter.queryIncomplete(FirstWindow + 1), now);
             fleet.run(now, now + 200, 0);
         }
-        BOOST_TEST(reporter.missing(FirstWindow + 1).empty());
+        BOOST_TEST(reporter.incompleteMembers(FirstWindow + 1).empty());
         BOOST_TEST((reporter.counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
     }
 }
@@ -169,7 +169,7 @@
     Fleet fleet(20, 4, 4);
     fleet.run(0, 11'000, 20);
     fleet.meshes_.erase(InstanceId(nameOf(9)));
-    fleet.send(fleet.mesh(15).askAll(FirstWindow), 11'000);
+    fleet.send(fleet.mesh(15).queryAll(FirstWindow), 11'000);
     fleet.run(11'000, 11'300, 0);
     BOOST_TEST((fleet.mesh(15).counts(FirstWindow) == fleet.truth_.at(FirstWindow)));
     BOOST_TEST((fleet.mesh(15).counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
--- a/libs/usage/tests/usagemessagetest.cpp
+++ b/libs/usage/tests/usagemessagetest.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-UsageNote noteOf(std::size_t accounts)
+UsageUpdate updateWith(std::size_t accounts)
 {
-    UsageNote note {InstanceId("a-1"), 7, 3, 1'764'750'000'123, 1'764'750'000'120, {}};
-    WindowPart part {352'950'000, true, 0, {}};
+    UsageUpdate update {InstanceId("a-1"), 7, 3, 1'764'750'000'123, 1'764'750'000'120, {}};
+    WindowCounts part {352'950'000, true, 0, {}};
     for (std::size_t number = 0; number < accounts; ++number) {
         part.counts_[AccountId("account-" + std::to_string(number))] = number + 1;
         part.total_ += number + 1;
     }
-    note.parts_.push_back(part);
-    return note;
+    update.parts_.push_back(part);
+    return update;
 }
 
 } // namespace
@@ -27,13 +27,13 @@
 BOOST_AUTO_TEST_CASE(aNoteComesThroughWhole)
 {
     for (const std::size_t accounts : {0U, 1U, 20U}) {
-        const UsageNote sent = noteOf(accounts);
-        const std::vector<std::string> datagrams = encodeNote(sent);
+        const UsageUpdate sent = updateWith(accounts);
+        const std::vector<std::string> datagrams = encodeUpdate(sent);
         BOOST_REQUIRE(datagrams.size() == 1U);
         const auto message = decodeUsageMessage(datagrams.front());
         BOOST_REQUIRE(message.has_value());
-        BOOST_REQUIRE(message->note_.has_value());
-        const UsageNote &got = *message->note_;
+        BOOST_REQUIRE(message->update_.has_value());
+        const UsageUpdate &got = *message->update_;
         BOOST_TEST(got.sender_ == sent.sender_);
         BOOST_TEST(got.lifetime_ == sent.lifetime_);
         BOOST_TEST(got.timeMillis_ == sent.timeMillis_);
@@ -50,13 +50,13 @@
 BOOST_AUTO_TEST_CASE(aLongNoteGoesInSeveralPackets)
 {
     constexpr std::size_t PacketBytes = 1'400;
-    const UsageNote sent = noteOf(400);
+    const UsageUpdate sent = updateWith(400);
     AccountCounts got;
-    for (const std::string &datagram : encodeNote(sent)) {
+    for (const std::string &datagram : encodeUpdate(sent)) {
         BOOST_TEST(datagram.size() <= PacketBytes);
         const auto message = decodeUsageMessage(datagram);
         BOOST_REQUIRE(message.has_value());
-        for (const WindowPart &part : message->note_->parts_) {
+        for (const WindowCounts &part : message->update_->parts_) {
             BOOST_TEST(part.total_ == sent.parts_[0].total_);
             got.insert(part.counts_.begin(), part.counts_.end());
         }
@@ -66,17 +66,17 @@
 
 BOOST_AUTO_TEST_CASE(questionsAndCorrectionsComeThrough)
 {
-    const auto question =
-        decodeUsageMessage(encodeQuestion({InstanceId("a-1"), 352'950'000, true}));
-    BOOST_REQUIRE(question.has_value());
-    BOOST_REQUIRE(question->question_.has_value());
-    BOOST_TEST(question->question_->from_ == 352'950'000);
-    BOOST_TEST(question->question_->ofAll_);
+    const auto query =
+        decodeUsageMessage(encodeQuery({InstanceId("a-1"), 352'950'000, true}));
+    BOOST_REQUIRE(query.has_value());
+    BOOST_REQUIRE(query->query_.has_value());
+    BOOST_TEST(query->query_->from_ == 352'950'000);
+    BOOST_TEST(query->query_->includesOthers_);
     for (const std::int64_t by : {-1'500L, 80L}) {
         const auto correction = decodeUsageMessage(encodeCorrection({InstanceId("a-1"), 3, by}));
         BOOST_REQUIRE(correction.has_value());
-        BOOST_TEST(correction->correction_->byMillis_ == by);
-        BOOST_TEST(correction->correction_->note_ == 3U);
+        BOOST_TEST(correction->correction_->offsetMillis_ == by);
+        BOOST_TEST(correction->correction_->update_ == 3U);
     }
 }
 
@@ -84,7 +84,7 @@
 BOOST_AUTO_TEST_CASE(changedDatagramsAreRefusedOrHarmless)
 {
     std::mt19937 random(11);
-    const std::string sound = encodeNote(noteOf(20)).front();
+    const std::string sound = encodeUpdate(updateWith(20)).front();
     for (int round = 0; round < 20'000; ++round) {
         std::string bytes = sound;
         for (int change = 0; change < 3; ++change) {
@@ -94,10 +94,10 @@
             bytes.resize(random() % bytes.size());
         }
         const auto message = decodeUsageMessage(bytes);
-        if (!message || !message->note_) {
+        if (!message || !message->update_) {
             continue;
         }
-        for (const WindowPart &part : message->note_->parts_) {
+        for (const WindowCounts &part : message->update_->parts_) {
             std::uint64_t sum = 0;
             for (const auto &[account, count] : part.counts_) {
                 sum += count;
--- a/libs/usage/tests/usagereportertest.cpp
+++ b/libs/usage/tests/usagereportertest.cpp
@@ -39,7 +39,7 @@
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch - 1);
-    reporter.setRight(1);
+    reporter.setFence(1);
     auto action = reporter.next(Epoch + 7'000);
     BOOST_REQUIRE((action && action->step_ == ReportStep::ReadLog));
     reporter.onLogRead({}, 0, true, Epoch + 7'000);
@@ -67,7 +67,7 @@
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch + 1'000);
-    reporter.setRight(1);
+    reporter.setFence(1);
     reporter.next(Epoch + 7'000);
     reporter.onLogRead({}, 0, true, Epoch + 7'000);
     BOOST_TEST(!reporter.next(Epoch + 7'000).has_value());
@@ -81,7 +81,7 @@
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch - 1);
-    reporter.setRight(1);
+    reporter.setFence(1);
     reporter.next(Epoch + 7'000);
     reporter.onLogRead({}, 0, true, Epoch + 7'000);
     const auto action = reporter.next(Epoch + 100'000);
@@ -106,10 +106,10 @@
             UsageReporter &reporter = reporters[random() % reporters.size()];
             if (random() % 20 == 0) {
                 // Also without taking it from the one before, as a frozen one would still have it.
-                reporter.setRight(++fence);
+                reporter.setFence(++fence);
             }
             if (random() % 40 == 0) {
-                reporter.setRight(std::nullopt);
+                reporter.setFence(std::nullopt);
             }
             const auto late = [&](auto &calls, const auto &run) {
                 if (!calls.empty() && random() % 10 == 0) {
