--- a/libs/replication/include/almondridge/replication/distributiontree.h
+++ b/libs/replication/include/almondridge/replication/distributiontree.h
@@ -1,13 +1,13 @@
 /**
- * Which instances of a failure domain read the store for the others, and whom each of the others
- * asks. Pure.
+ * Determines which instances of a failure domain read the store for the others, and which instance
+ * each of the others polls. Does no I/O; the time is passed in.
  *
- * All instances work out the same order from the entries that they know: those with the widest
- * links first, as a large configuration has to be sent to every follower. The first ones read. The
- * others ask an instance that comes before them, in tiers: each bears as many followers as its link
- * allows, so what one of them sends does not grow with the failure domain, and news pass a number
- * of tiers that grows with its logarithm. An instance that got no use of another one lately passes
- * it over, and works the order out without it.
+ * All instances compute the same order from the instance entries that they know: those with the
+ * fastest links first, as a large configuration has to be sent to every follower. The first ones
+ * read the store. Each of the others polls an instance of the tier before its own. An instance
+ * serves as many followers as its link allows. So the data that one instance sends doesn't grow
+ * with the failure domain, and the number of tiers grows with the logarithm of its size. An
+ * instance excludes a peer that failed recently and computes the order without it.
  */
 #pragma once
 
@@ -21,20 +21,20 @@
 
 namespace almondridge::replication {
 
-/** An instance of a failure domain, and how much it can send. */
+/** An instance of a failure domain and the bandwidth of its link. */
 struct Member
 {
     InstanceId id_;
     double linkMbps_ = 0;
 };
 
-/** Why a peer was of no use to whoever asked it for news. */
+/** Why polling a peer gave no usable data. */
 enum class PeerFailure {
-    Timeout,     ///< No answer in the time that a live peer needs.
-    Disconnected, ///< No connection, or one that broke.
-    Malformed, ///< An answer that is no news.
-    Stale,        ///< What it knows is too old.
-    StoreLost,       ///< It says that the store turns it away and that it has no news from others yet.
+    Timeout,      ///< No response within the time that a live peer needs.
+    Disconnected, ///< The connection failed or broke.
+    Malformed,    ///< The response couldn't be decoded.
+    Stale,        ///< Its data is too old.
+    StoreLost, ///< It reports that the store fails for it and that it has no data from peers yet.
 };
 
 inline constexpr std::array<EnumName<PeerFailure>, 5> PeerFailureNames {{
@@ -50,42 +50,43 @@
 public:
     explicit DistributionTree(InstanceId self);
 
-    /** The instances of this failure domain, this one too. */
+    /** Sets the instances of this failure domain, including this one. */
     void setMembers(std::vector<Member> members);
-    /** With so few instances all of them read: asking each other would save next to nothing. */
+    /** Whether there are so few instances that all read; polling would save almost nothing. */
     bool allMembersRead() const noexcept;
-    /** The instances of the failure domain. */
+    /** Number of instances in the failure domain. */
     std::size_t size() const noexcept { return order_.size(); }
-    /** Whether this instance reads when none is passed over, or would if one more were. */
+    /** Whether this instance reads if none is excluded, or would if one reader were excluded. */
     bool isPreferredReader() const;
-    /** Asking that instance was of no use. */
+    /** Excludes a member for a time that depends on the cause and on repeated timeouts. */
     void onPeerFailed(const InstanceId &member, PeerFailure cause, TimePoint now);
+    /** Ends the member's exclusion. */
     void onPeerSucceeded(const InstanceId &member);
-    /** Peers that had lost the store may have it back. */
+    /** Readmits peers whose data was stale or that had lost the store: it may be back for them. */
     void onStoreRecovered();
     bool isExcluded(const InstanceId &member, TimePoint now) const;
     std::size_t excludedCount(TimePoint now) const;
-    /** Those that read, as far as is known here; without this one if it cannot. */
+    /** The instances that read the store, as far as known here; without this one if it can't. */
     std::vector<InstanceId> activeReaders(bool canRead, TimePoint now) const;
     /**
-     * Whose news to wait for when all are of no use: by turns one of those that read when none is
-     * passed over, and any other one, as one that is not among these may have the store back.
+     * The peer to wait for when all have failed. Alternates between the preferred readers and all
+     * members, as the store may be back for an instance that isn't among these readers.
      */
     InstanceId fallbackPeer(std::uint64_t attempt) const;
     /**
-     * The instance that this one asks: one of the tier before its own, by chance that follows their
-     * links and is the same each time. Empty: there is none before it.
+     * The instance that this one polls: a member of the tier before its own, chosen by a hash that
+     * is weighted by link capacity. Empty if there is none before it.
      */
     InstanceId parent(bool canRead, TimePoint now) const;
 
 private:
-    /** What is in use of the order, this instance too. */
+    /** The members that aren't excluded, in order, including this instance. */
     std::vector<const Member *> availableMembers(TimePoint now) const;
 
     struct Exclusion
     {
         TimePoint until_ {};
-        int timeouts_ = 0; ///< Since it was last of use.
+        int timeouts_ = 0; ///< Consecutive ones, since the last success.
     };
 
     InstanceId self_;
--- a/libs/replication/include/almondridge/replication/protocol.h
+++ b/libs/replication/include/almondridge/replication/protocol.h
@@ -1,7 +1,7 @@
 /**
- * Passing the store's news on between instances. In a failure domain with many instances a few of
- * them read the store, and the others ask these: calls to the store then do not grow with the
- * number of instances. Every instance answers for what it knows, and says how old that is.
+ * Replicates the store's topics between instances by long polling over HTTP. In a failure domain
+ * with many instances a few of them read the store and the others poll these, so the calls to the
+ * store don't grow with the number of instances. Every response states how old its data is.
  */
 #pragma once
 
@@ -9,61 +9,64 @@
 
 #include "almondridge/async/httpclient.h"
 #include "almondridge/async/httpserver.h"
-#include "almondridge/replication/valuecompression.h"
 #include "almondridge/replication/distributiontree.h"
+#include "almondridge/replication/valuecompression.h"
 
 #include <list>
 
 namespace almondridge::replication {
 
-/** How long a peer that has no news holds the question; its answer tells that it lives. */
+/** How long a peer without changes holds a request; its response then shows that it is alive. */
 inline constexpr Duration LongPollTimeout = millis(800);
-/** An answer that is later than this comes from a dead peer or over a silent connection. */
+/** Without a response for this long, the peer is down or the connection is silently broken. */
 inline constexpr Duration ResponseTimeout = LongPollTimeout + millis(400);
-/** An answer that trickles for longer comes over a link that cannot bear it. */
+/** A response that takes longer to arrive comes over a link that is too slow for it. */
 inline constexpr Duration MaxTransferTime = millis(5'000);
-/** Older news than this is no news: the peer has lost the store itself. */
+/** A peer whose data is older counts as failed: it has lost the store itself. */
 inline constexpr Duration MaxUsableAge = millis(1'600);
-/** Changes in one answer: a whole list leaves in parts that a narrow link bears. */
+/** A snapshot is split into parts of this many changes, which a slow link can carry. */
 inline constexpr std::size_t MaxChangesPerResponse = 1'000;
 
 /**
- * A change set as an answer's body: ages instead of points in time, as clocks differ. Of when a
- * topic was known to be the newest it says how long before the question's arrival that was.
- * packed: forms of large values for a peer that unpacks them; nullptr: it does not.
+ * Encodes a change set as a response body. Times are sent as ages, since clocks differ: the time of
+ * the last read relative to now, and TopicState::asOf_ relative to the arrival of the request.
+ * requestedAt: arrival of the request. compressed: the cache of compressed values if the peer
+ * accepts these, else nullptr.
  */
-std::string encodeChanges(const ChangeSet &set, std::uint64_t lifetime, bool storeLost, TimePoint now,
-                          TimePoint requestedAt, CompressedValueCache *compressed = nullptr);
+std::string encodeChanges(const ChangeSet &set, std::uint64_t lifetime, bool storeLost,
+                          TimePoint now, TimePoint requestedAt,
+                          CompressedValueCache *compressed = nullptr);
 
 struct ReceivedChanges
 {
     ChangeSet set_;
-    std::uint64_t lifetime_ = 0; ///< Of the sender: its numbers begin anew with each.
-    bool storeLost_ = false;          ///< The sender has lost the store and has no other news.
+    std::uint64_t lifetime_ = 0; ///< Of the sending process: sequence numbers restart with it.
+    bool storeLost_ = false;     ///< The sender has lost the store and has no data from peers.
 };
 
-/** requestedAt: when the question left. nullopt: it is no such body. */
+/** Decodes a response body; nullopt if it is malformed. requestedAt: when the request was sent. */
 std::optional<ReceivedChanges> decodeChanges(const std::string &body, TimePoint now,
                                              TimePoint requestedAt);
 
-/** Answers peers that ask for news. */
+/** Answers the polls of peers. */
 class ReplicationServer
 {
 public:
-    ReplicationServer(async::EventLoop &loop, const TopicReplica &board, std::uint64_t lifetime);
+    ReplicationServer(async::EventLoop &loop, const TopicReplica &replica, std::uint64_t lifetime);
 
-    /** Whether the path is one that is answered here; the answer may come later. */
+    /** Whether the request's path is served here. */
     bool takes(const async::ServerCall &call) const;
+    /** Responds at once, or when there are changes or LongPollTimeout has passed. */
     void answer(async::HttpServer &server, const async::ServerCall &call);
+    /** Drops a pending poll whose caller has gone. */
     void forget(const async::CallId &id);
-    /** There is news: whoever waits is answered. */
+    /** The replica changed: pending polls are answered. */
     void onChanged();
-    /** Whether this instance has lost the store: those who would not wait for it are told at once.
-     */
+    /** Sets whether this instance has lost the store; polls that don't wait for it are answered. */
     void setStoreLost(bool storeLost);
     /**
-     * What is known was confirmed: all who wait are told its age, so that whoever follows over
-     * several instances knows no older news than the first of them.
+     * The replica was confirmed to be current. Pending polls are answered with the new age, so that
+     * data doesn't grow older with each tier of followers.
      */
     void onConfirmed();
 
@@ -74,13 +77,13 @@
         Cursor cursor_;
         TopicEnds ends_ {};
         TimePoint requestedAt_ {};
-        bool acceptsCompressed_ = false; ///< Instances of earlier versions do not.
+        bool acceptsCompressed_ = false; ///< False for instances of earlier versions.
     };
     struct PendingPoll
     {
         PollRequest request_;
         TimePoint until_ {};
-        bool waitsForLostStore_ = false; ///< Waits also for one that has lost the store.
+        bool waitsForLostStore_ = false; ///< Waits even while this instance has lost the store.
     };
 
     PollRequest readPollRequest(const async::ServerCall &call) const;
@@ -88,47 +91,49 @@
     void respond(const PollRequest &pollRequest);
     void respondToExpired();
     bool isFresh(TimePoint now) const;
-    void respondWhere(const std::function<bool(const PendingPoll &)> &chosen);
+    void respondWhere(const std::function<bool(const PendingPoll &)> &predicate);
 
-    const TopicReplica &board_;
+    const TopicReplica &replica_;
     std::uint64_t lifetime_;
     async::HttpServer *server_ = nullptr;
     CompressedValueCache compressedValues_;
     std::list<PendingPoll> pending_;
     async::Timer timer_;
     async::EventLoop &loop_;
-    TimePoint lastConfirmedReadAt_ {}; ///< What those who waited were last told of.
+    TimePoint lastConfirmedReadAt_ {}; ///< Read time of the data that pending polls last got.
     bool notificationPosted_ = false;
     bool storeLost_ = false;
 };
 
-/** How far an answer has come. */
+/** How much of a response has arrived. */
 struct AnswerProgress
 {
-    std::size_t bytes_ = 0; ///< Of its body.
-    TimePoint began_ {};    ///< Its first part came; in the past while bytes_ is 0.
+    std::size_t bytes_ = 0; ///< Of the body.
+    TimePoint began_ {};    ///< Arrival of the first part; not set while bytes_ is 0.
 };
 
-/** Asks one peer for news, again and again. */
+/** Polls one peer repeatedly. */
 class ReplicationClient
 {
 public:
     struct Events
     {
-        /** What the peer knows beyond us; told before onPeerFailed_ when it is old. */
+        /** The peer's changes; also called, before onPeerFailed_, if its data is stale. */
         std::function<void(const ChangeSet &)> onChanges_;
+        /** Polling has stopped. */
         std::function<void(PeerFailure)> onPeerFailed_;
-        /** Up to which records all is known here. */
+        /** Offsets below which all records are known here. */
         std::function<TopicEnds()> ends_ {};
     };
 
     ReplicationClient(async::EventLoop &loop, Events events);
 
-    /** patient: it is asked until it has news, though it may have lost the store. */
+    /** Starts polling. waitsForLostStore: also while the peer reports that it lost the store. */
     void follow(const net::Address &peer, bool waitsForLostStore);
     void stop();
+    /** Whether a peer is being polled. */
     bool asks() const noexcept { return peer_.has_value(); }
-    /** How the last answer came, whole or not. */
+    /** Progress of the last response, complete or not. */
     const AnswerProgress &progress() const noexcept { return progress_; }
 
 private:
@@ -144,7 +149,7 @@
     async::ExchangeId exchange_ = 0;
     std::uint64_t lifetime_ = 0;
     Cursor cursor_;
-    TimePoint requestedAt_ {}; ///< When the question that waits for its answer left.
+    TimePoint requestedAt_ {}; ///< When the pending request was sent.
     AnswerProgress progress_;
     bool waitsForLostStore_ = false;
 };
--- a/libs/replication/include/almondridge/replication/topicreplica.h
+++ b/libs/replication/include/almondridge/replication/topicreplica.h
@@ -1,9 +1,9 @@
 /**
- * What this instance knows of the store's keyed topics, whoever told it: the value of each key,
- * and the order in which values changed, so that a peer can be told just the changes. Pure.
+ * A local replica of the store's keyed topics: the value of each key, and a sequence number for
+ * each change, so that a follower can be sent only what changed. Does no I/O and reads no clock.
  *
- * Peers know different parts of a topic's history. Each value carries the offset of its record in
- * the store's log, and only a later record replaces an earlier one, in whatever order they come.
+ * Changes may come from the store or from any peer, and in any order. Each value carries the offset
+ * of its record in the store's log, and a record replaces only records with lower offsets.
  */
 #pragma once
 
@@ -25,25 +25,29 @@
 
 inline constexpr std::size_t TopicCount = 4;
 
-/** A key that has a new value, or none any more. */
+/** A key's new value, or its removal. */
 struct Change
 {
     Topic topic_ = Topic::Config;
     std::string key_;
-    std::string value_;    ///< Empty: the key is gone.
-    LogOffset offset_ = 0; ///< Of the record that says so.
-    /** Each record since the one known was read: the same value was never another in between. */
+    std::string value_;    ///< Empty: the key was removed.
+    LogOffset offset_ = 0; ///< Offset of the record in the topic's log.
+    /**
+     * Every record between the last known one of this key and this one was read. An equal value
+     * thus means that the key had no other value in between.
+     */
     bool isContiguous_ = false;
 };
 
-/** How far a topic is known. */
+/** How much of a topic is known, and how recent that is. */
 struct TopicState
 {
-    std::optional<TimePoint> readAt_; ///< When it was known to be as the store has it; none: never.
-    LogOffset end_ = 0;               ///< All records before this offset are known.
+    std::optional<TimePoint> readAt_; ///< When it last matched the store; nullopt: never.
+    LogOffset end_ = 0;               ///< All records below this offset are known.
     /**
-     * All that the store had accepted by then is known. Counted from when a question left, never
-     * from its answer, which may have been on its way, or in a process that was frozen, for long.
+     * Every record that the store had accepted by this time is known. This is the time at which a
+     * request was sent, not the time of its response: a response may have been delayed on the
+     * network or in a suspended process.
      */
     std::optional<TimePoint> asOf_ {};
 };
@@ -51,28 +55,30 @@
 using TopicStates = std::array<TopicState, TopicCount>;
 
 /**
- * How old the configuration or the endpoints are, whichever is older; nullopt: one was never read.
- * These have bounds to meet; instances come and go slowly and are read rarely.
+ * Time since the configuration or the endpoints were read, whichever is longer; nullopt if one was
+ * never read. Only these two topics have staleness bounds; the instance list changes slowly and is
+ * read rarely.
  */
 std::optional<Duration> oldestReadAge(const TopicStates &topics, TimePoint now);
 
-/** Where a peer has got to in what a board tells. */
+/** A follower's position in the change sequence of a replica. */
 struct Cursor
 {
-    std::uint64_t nextSequence_ = 0; ///< The number of the first change that it has not been told.
-    std::uint64_t historyStart_ = 0; ///< The board's when it was told; another one: it is told everything.
-    bool inSnapshot_ = false;   ///< It is being told everything, in parts.
+    std::uint64_t nextSequence_ = 0; ///< First change that it has not received.
+    /** The replica's value at the last response; if it differs, the follower gets a snapshot. */
+    std::uint64_t historyStart_ = 0;
+    bool inSnapshot_ = false; ///< Some parts of a snapshot were received, and more follow.
 };
 
-/** Ends of topics up to which a peer knows all records; 0: nothing. */
+/** For each topic, the offset below which a peer knows all records; 0: it knows none. */
 using TopicEnds = std::array<LogOffset, TopicCount>;
 
-/** Changes in their order, or a part of everything there is. */
+/** Changes in sequence order, or one part of a snapshot. */
 struct ChangeSet
 {
-    bool isSnapshot_ = false; ///< Keys that are in none of the parts are gone.
-    bool isFirstPart_ = false; ///< Of the parts of everything.
-    bool more_ = false;  ///< Further parts follow; what is said of topics holds after the last one.
+    bool isSnapshot_ = false;  ///< Keys that are in none of the parts were removed.
+    bool isFirstPart_ = false; ///< First part of a snapshot.
+    bool more_ = false;        ///< More parts follow; topics_ holds only after the last one.
     std::uint64_t nextSequence_ = 0;
     std::uint64_t historyStart_ = 0;
     std::vector<Change> changes_;
@@ -88,42 +94,46 @@
 
     explicit TopicReplica(OnChange onChange);
 
-    /** Takes a value over; nothing happens when it is the same as before, or an older one. */
+    /** Stores a value; a value that is unchanged or superseded is ignored. */
     void put(const Change &change);
-    /** Removes the keys of a topic that are not in keys, which are all there were at that end. */
+    /** Removes all other keys of the topic. keys: all keys that existed at log offset end. */
     void retainOnly(Topic topic, const std::vector<std::string> &keys, LogOffset end);
     /**
-     * Records before end were skipped, and may have listed and removed a key that was never seen
-     * here. A peer that saw it listed would keep it for good with changes alone: it is told
-     * everything, unless it knows all records before that end itself.
+     * Records below end were not read. Among them a key may have been added and removed without
+     * ever being seen here. A follower that received its addition elsewhere would keep that key
+     * forever if it got changes only, so it is sent a snapshot unless it knows all records below
+     * end.
      */
     void onRecordsSkipped(Topic topic, LogOffset end);
-    /** The topic is as the store had it at that time, when its log ended there. */
+    /** The topic matched the store at readAt, when its log ended at offset end. */
     void onRead(Topic topic, TimePoint readAt, LogOffset end);
-    /** All that the store had accepted by then of the topic is known. */
+    /** All records of the topic that the store had accepted by asOf are known. */
     void onCompleteAsOf(Topic topic, TimePoint asOf);
     std::optional<TimePoint> readAt(Topic topic) const;
     const TopicStates &topics() const noexcept { return topics_; }
 
-    /** What changed from number `from` on; everything when that is not known any more. */
+    /** Changes from sequence number `from` on; a snapshot if these are no longer kept. */
     ChangeSet since(std::uint64_t from) const;
-    /** What follows a position, `most` changes at most: further changes, or everything in parts. */
-    ChangeSet after(const Cursor &cursor, std::size_t most) const;
+    /** The next changes after the cursor, at most `maxChanges`, or the next part of a snapshot. */
+    ChangeSet after(const Cursor &cursor, std::size_t maxChanges) const;
     /**
-     * For a peer that was told by others: what it lacks if it knows all records before those ends.
-     * nullopt: that cannot be told, or is more than `most` changes.
+     * For a peer that followed another replica until now: the changes that it lacks if it knows all
+     * records below `ends`. nullopt if that cannot be determined or takes more than `maxChanges`
+     * changes.
      */
-    std::optional<ChangeSet> changesBeyond(const TopicEnds &ends, std::size_t most) const;
-    /** Whether a peer at that position has been told all. */
+    std::optional<ChangeSet> changesBeyond(const TopicEnds &ends, std::size_t maxChanges) const;
+    /** Whether a follower at the cursor has received all changes. */
     bool isAtEnd(const Cursor &cursor) const noexcept
     {
-        return cursor.nextSequence_ == nextSequence_ && cursor.historyStart_ == historyStart_ && !cursor.inSnapshot_;
+        return cursor.nextSequence_ == nextSequence_ && cursor.historyStart_ == historyStart_
+               && !cursor.inSnapshot_;
     }
     TopicEnds ends() const;
-    /** All records of the topic before it are known; 0: none are. */
+    /** Offset below which all records of the topic are known; 0: none are. */
     LogOffset end(Topic topic) const { return topics_[static_cast<std::size_t>(topic)].end_; }
+    /** Sequence number that the next change gets. */
     std::uint64_t next() const noexcept { return nextSequence_; }
-    /** Takes a peer's changes over. */
+    /** Applies changes that a peer sent. */
     void apply(const ChangeSet &set);
     bool has(Topic topic, const std::string &key) const;
     std::vector<std::string> keys(Topic topic) const;
@@ -133,9 +143,10 @@
     {
         std::string value_;
         std::uint64_t sequence_ = 0;
-        LogOffset offset_ = 0;      ///< Of the newest record with this value.
-        LogOffset valueSince_ = 0; ///< It has had the value since this one, or longer.
-        bool arrivedOutOfOrder_ = false;       ///< Told after later records: a peer's end says nothing of it.
+        LogOffset offset_ = 0;     ///< Of the newest record with this value.
+        LogOffset valueSince_ = 0; ///< The key has had this value at least since this record.
+        /** Applied after later records, so a peer's end offset doesn't imply that it has this. */
+        bool arrivedOutOfOrder_ = false;
     };
     using Key = std::pair<Topic, std::string>;
     using Entries = std::map<Key, Entry>;
@@ -147,14 +158,14 @@
     void applySnapshotKeys(const ChangeSet &set);
 
     OnChange onChange_;
-    Entries entries_; ///< With an empty value: removed, kept for peers.
+    Entries entries_; ///< An empty value is a tombstone, kept for followers.
     std::map<std::uint64_t, Entries::const_iterator> bySequence_;
-    /** Keys of the parts that were taken, while a peer tells everything. */
+    /** Keys in the parts of the snapshot that is being received. */
     std::optional<std::array<std::vector<std::string>, TopicCount>> snapshotKeys_;
-    TopicEnds removalsUnknownBefore_ {}; ///< Removals before these offsets may not be known.
+    TopicEnds removalsUnknownBefore_ {}; ///< Removals below these offsets may be missing.
     TopicStates topics_ {};
     std::uint64_t nextSequence_ = 1;
-    std::uint64_t historyStart_ = 1; ///< All that changed from here on is known.
+    std::uint64_t historyStart_ = 1; ///< All changes from this sequence number on are kept.
     std::size_t tombstones_ = 0;
 };
 
--- a/libs/replication/include/almondridge/replication/upstreamselector.h
+++ b/libs/replication/include/almondridge/replication/upstreamselector.h
@@ -1,13 +1,13 @@
 /**
- * Where an instance has its news of the store from: a peer of its failure domain, or reads of its
- * own. Pure: events and the time go in.
+ * Chooses where an instance gets the store's topics from: a peer of its failure domain, or its own
+ * reads of the store. Does no I/O; events and the time are passed in.
  *
- * In a domain with many instances a few read the store and the others ask these. What makes calls
- * to the store grow with the instances is trouble: readers that the store turns away, or a store
- * that is away for all, and each instance would read for itself, again and again. So whoever gets
- * no news from a peer asks the next one in the order first; it reads itself only when waiting for
- * another peer could miss the bound for leaving endpoints, and once its reads have failed a single
- * call, made rarely, tells when the store is back for it.
+ * In a failure domain with many instances a few read the store and the others poll these. During
+ * faults (readers that the store rejects, or a store that is down for all) the load on the store
+ * must not grow with the number of instances, as it would if each fell back to its own reads and
+ * retried them. So an instance whose peer fails polls the next peer in the order first. It reads
+ * the store itself only when waiting for another peer could miss the bound for leaving endpoints.
+ * After its reads have failed it probes the store with single, infrequent calls until one succeeds.
  */
 #pragma once
 
@@ -21,15 +21,15 @@
 namespace almondridge::replication {
 
 enum class UpstreamKind {
-    StoreReads, ///< This instance reads the store.
-    Peer,     ///< It asks a peer.
-    WaitForPeer,   ///< No peer was of use lately, and the store does not answer: it waits for one's.
+    StoreReads,  ///< This instance reads the store.
+    Peer,        ///< It polls a peer.
+    WaitForPeer, ///< The store and all peers failed lately: it polls one until that has data.
 };
 
 struct Upstream
 {
     UpstreamKind kind_ = UpstreamKind::WaitForPeer;
-    InstanceId peer_; ///< Whom it asks, or whose news it waits for.
+    InstanceId peer_; ///< The peer that is polled; empty with StoreReads.
 
     friend bool operator==(const Upstream &, const Upstream &) = default;
 };
@@ -37,46 +37,46 @@
 class UpstreamSelector
 {
     enum class StoreState {
-        Unknown, ///< It was not called of late.
+        Unknown, ///< It was not called recently.
         Answers,
         Fails,
     };
 
 public:
-    /** leaveBound: until a leaving endpoint must get no more work. */
+    /** leaveBound: time after which an endpoint that has left must get no more requests. */
     UpstreamSelector(InstanceId self, Duration leaveBound);
 
-    /** The instances of this failure domain, this one too. */
+    /** Sets the instances of this failure domain, including this one. */
     void setMembers(std::vector<Member> members);
-    /** The peer that is asked had news of use, read from the store at that time. */
+    /** The polled peer sent usable data, which was read from the store at readAt. */
     void onPeerData(TimePoint readAt);
-    /** It had none. age: of what is known here; nullopt: something is not known at all. */
+    /** The polled peer failed. age: of the data known here; nullopt: a topic was never read. */
     void onPeerFailed(PeerFailure cause, std::optional<Duration> age, TimePoint now);
-    /** A read of this instance's own, or the call that tests the store, was answered. */
+    /** The store answered a read or a probe of this instance. */
     void onStoreAnswered(TimePoint now);
-    /** Reads of its own, or the call that tests the store, failed. */
+    /** Reads or a probe of the store failed. */
     void onStoreFailed(TimePoint now);
 
-    /** What to do from now on. */
+    /** The upstream to use from now on. */
     const Upstream &choose(TimePoint now);
     /**
-     * Whether the store is to be tested now by a single call; true once for each. It is tested
-     * after it failed us, and before this instance takes reading over from others in trouble:
-     * lists are read only from a store that answers.
+     * Whether the store is to be probed now with a single call; returns true once per probe. It is
+     * probed after a failure, and before this instance takes over reading from peers that failed:
+     * complete lists are read only from a store that answers.
      */
     bool takeProbe(TimePoint now);
-    /** Whether a test decides what comes next: until then nobody is asked anew. */
+    /** Whether the next choice depends on a probe; until its result the upstream isn't changed. */
     bool awaitsProbe() const noexcept { return probeRequired_; }
     /**
-     * Whether this instance is of no use to others: the store turns it away, and it has had no
-     * news from a peer since. Told at once, it spares them to find out by the age of its news.
+     * Whether this instance has no usable data for others: the store fails for it, and no peer has
+     * sent data since. Followers that are told so at once needn't wait until its data is stale.
      */
     bool hasLostStore() const noexcept { return store_ == StoreState::Fails && withoutPeerData_; }
 
 private:
     void markStoreFailed(std::int64_t pauseMillis, TimePoint now);
-    /** A pause that keeps all instances of the failure domain together at the same rate. */
-    std::int64_t scaledByDomain(std::int64_t least, std::int64_t millisOfOne) const;
+    /** A pause that grows with the failure domain, so that its total call rate stays constant. */
+    std::int64_t scaledByDomain(std::int64_t minMillis, std::int64_t millisPerMember) const;
     bool mayBeOutage(TimePoint now) const;
     Upstream preferredUpstream(TimePoint now);
 
@@ -84,20 +84,20 @@
     Duration leaveBound_;
     DistributionTree tree_;
     Upstream current_;
-    TimePoint upstreamKeptUntil_ {};  ///< Until then a peer that is of use is asked on.
-    TimePoint readsKeptUntil_ {}; ///< Until then reads that others need go on.
-    TimePoint peerRecoveryUntil_ {}; ///< Until then others may find that the store is back.
+    TimePoint upstreamKeptUntil_ {}; ///< Until then a peer that works is kept.
+    TimePoint readsKeptUntil_ {};    ///< Until then reads that other instances rely on continue.
+    TimePoint peerRecoveryUntil_ {}; ///< Until then peers may find that the store recovered.
     StoreState store_ = StoreState::Unknown;
-    TimePoint storeAnswerValidUntil_ {}; ///< So long its last answer counts.
-    bool readRequired_ = false;     ///< Waiting for another peer could miss the bound.
-    TimePoint storeLostAt_ {};       ///< When the store first failed us.
-    bool withoutPeerData_ = false;  ///< From anybody, since the store last failed us.
-    bool probeRequired_ = false;     ///< It is to read, and the store was not called of late.
-    bool probePending_ = false;      ///< A test's outcome is awaited.
-    TimePoint probeAt_ {};       ///< When the store is tested, if it failed us.
-    int failures_ = 0;          ///< Of reads and tests in a row.
-    std::uint64_t probes_ = 0;   ///< Spreads the pauses of instances that failed together.
-    std::uint64_t fallbackAttempts_ = 0;   ///< Peers that were waited for.
+    TimePoint storeAnswerValidUntil_ {}; ///< Until then the last answer counts.
+    bool readRequired_ = false;          ///< Waiting for another peer could miss the bound.
+    TimePoint storeLostAt_ {};           ///< When the store first failed.
+    bool withoutPeerData_ = false;       ///< No peer sent data since the store failed.
+    bool probeRequired_ = false;         ///< It is to read, but the store wasn't called recently.
+    bool probePending_ = false;          ///< A probe's result is awaited.
+    TimePoint probeAt_ {};               ///< When a failed store is probed next.
+    int failures_ = 0;                   ///< Consecutive failures of reads and probes.
+    std::uint64_t probes_ = 0;           ///< Seeds the jitter of the pauses between probes.
+    std::uint64_t fallbackAttempts_ = 0; ///< Peers that were waited for.
 };
 
 } // namespace almondridge::replication
--- a/libs/replication/include/almondridge/replication/valuecompression.h
+++ b/libs/replication/include/almondridge/replication/valuecompression.h
@@ -1,6 +1,6 @@
 /**
- * Large values in a short form for the way between instances: a configuration of thousands of
- * routes repeats itself, and a narrow link bears it to many followers only when it is short.
+ * Compresses large values for the transfer between instances. A configuration of thousands of
+ * routes is repetitive, and a slow link can carry it to many followers only when compressed.
  */
 #pragma once
 
@@ -13,17 +13,17 @@
 
 namespace almondridge::replication {
 
-/** The zlib form of a value. */
+/** Compresses a value with zlib. */
 std::string compressValue(std::string_view value);
 
-/** The value of `size` bytes that was packed; nullopt: it is no such form, or of another size. */
+/** Restores a value of `size` bytes; nullopt if the data is invalid or has another size. */
 std::optional<std::string> decompressValue(std::string_view compressed, std::size_t size);
 
-/** Packed forms of large values, each worked out once for all followers that are sent it. */
+/** Caches compressed values, so that each is compressed once for all followers. */
 class CompressedValueCache
 {
 public:
-    /** nullptr: the value is sent as it is. Valid until the next call. */
+    /** nullptr: the value is sent uncompressed. The result is valid until the next call. */
     const std::string *compressedFormOf(const Change &change);
 
 private:
--- a/libs/replication/src/distributiontree.cpp
+++ b/libs/replication/src/distributiontree.cpp
@@ -9,25 +9,25 @@
 namespace almondridge::replication {
 namespace {
 
-/** Several, so that the loss of one never matters. */
+/** More than one, so that the loss of one reader has no effect. */
 constexpr std::size_t ReadersPerDomain = 2;
 constexpr std::size_t MaxMembersAllReading = 3;
 /**
- * A peer that does not answer is asked again after this time, which doubles up to the longest: each
- * time costs whoever asks the length of a silence, and its news grow too old to wait for another.
+ * A peer that doesn't respond is polled again after this time, which doubles up to the maximum.
+ * Each attempt costs a response timeout, after which the data is too old to wait for another peer.
  */
 constexpr std::int64_t InitialExclusionMillis = 15'000;
 constexpr std::int64_t MaxExclusionMillis = 60'000;
 constexpr int MaxDoublings = 2;
-/** One that has lost the store says so at once, and may have it back any moment. */
+/** A peer that has lost the store responds at once, and may get it back at any moment. */
 constexpr Duration StoreLostExclusion = millis(2'000);
-/** Any fixed number: it gives the names of a domain one order. */
+/** Any fixed number; all instances must use the same one to compute the same order. */
 constexpr std::uint64_t OrderSeed = 1;
-/** An instance bears a follower for each so much of its link. */
+/** Bandwidth that an instance needs for each of its followers. */
 constexpr double MbpsPerFollower = 10;
-/** A tier has to be wider than the one before it, whatever the links. */
+/** Each tier must be larger than the one before it, whatever its links. */
 constexpr double MinFollowers = 4;
-/** A list leaves for each of them in turn: the last one waits for all others. */
+/** A snapshot is sent to the followers one after another: the last one waits for all others. */
 constexpr double MaxFollowers = 32;
 
 double followerCapacity(const Member &member)
@@ -36,8 +36,8 @@
 }
 
 /**
- * Each of them with a chance that follows how many followers it bears: weighted rendezvous hashing,
- * by which hardly any chooser changes when one of them comes or goes.
+ * Weighted rendezvous hashing: a member is chosen in proportion to its follower capacity, and few
+ * choices change when a member is added or removed.
  */
 InstanceId chooseByWeight(std::vector<const Member *>::const_iterator from,
                           std::vector<const Member *>::const_iterator until,
@@ -96,7 +96,8 @@
         exclusion = {now + StoreLostExclusion, 0};
         return;
     }
-    const std::int64_t doubled = InitialExclusionMillis << std::min(exclusion.timeouts_, MaxDoublings);
+    const std::int64_t doubled = InitialExclusionMillis
+                                 << std::min(exclusion.timeouts_, MaxDoublings);
     exclusion.until_ = now + millis(std::min(doubled, MaxExclusionMillis));
     ++exclusion.timeouts_;
 }
@@ -126,7 +127,8 @@
         return {};
     }
     const bool amongReaders = attempt % 2 == 0;
-    const std::size_t candidates = amongReaders ? std::min(others.size(), ReadersPerDomain) : others.size();
+    const std::size_t candidates =
+        amongReaders ? std::min(others.size(), ReadersPerDomain) : others.size();
     return others[gateway::rendezvousWeight(self_.value(), attempt / 2) % candidates];
 }
 
@@ -158,9 +160,9 @@
     std::vector<const Member *> members = availableMembers(now);
     const auto self = std::find_if(members.begin(), members.end(),
                                    [&](const Member *member) { return member->id_ == self_; });
-    const auto place = static_cast<std::size_t>(self - members.begin());
+    const auto selfIndex = static_cast<std::size_t>(self - members.begin());
     if (!canRead && self != members.end()) {
-        members.erase(self); // It asks those that read in its stead.
+        members.erase(self); // It polls the instances that read in its selfIndex.
     }
     std::size_t from = 0;
     std::size_t until = std::min(ReadersPerDomain, members.size());
@@ -170,7 +172,7 @@
             followers += followerCapacity(*members[index]);
         }
         const std::size_t next = until + static_cast<std::size_t>(followers);
-        if (place < next || next >= members.size()) {
+        if (selfIndex < next || next >= members.size()) {
             break;
         }
         from = std::exchange(until, next);
--- a/libs/replication/src/protocol.cpp
+++ b/libs/replication/src/protocol.cpp
@@ -14,10 +14,10 @@
 constexpr std::string_view RequestPath = "/news?";
 constexpr std::string_view WaitForLostStoreFlag = "&patient";
 constexpr std::string_view AcceptsCompressedFlag = "&unpacks";
-/** A change is topic, key, value, offset; and the value's size where it is packed. */
+/** Fields of a change: topic, key, value, offset, and, if compressed, the value's size. */
 constexpr std::size_t CompressedChangeFields = 5;
 constexpr std::int64_t ConnectTimeoutMillis = 250;
-/** News this much newer than what those who wait were told are told to them. */
+/** Pending polls are answered when the read time has advanced by this since their last data. */
 constexpr Duration MinConfirmationStep = millis(300);
 constexpr char EndsSeparator = '.';
 
@@ -37,7 +37,7 @@
     return fmt::format("{}", fmt::join(ends, "."));
 }
 
-/** Ends that are missing are 0. */
+/** Missing ends are 0. */
 TopicEnds endsParameter(std::string_view target, std::string_view name)
 {
     TopicEnds ends {};
@@ -55,7 +55,7 @@
     return ends;
 }
 
-/** nullopt: the peer has none, or is of a version that tells none. */
+/** nullopt: the peer doesn't know it, or its version doesn't send it. */
 std::optional<TimePoint> readAsOf(const Json &json, std::size_t index, TimePoint requestedAt)
 {
     const auto proofs = json.find("proofs");
@@ -68,7 +68,8 @@
 Json encodeChange(const Change &change, CompressedValueCache *compressed)
 {
     const auto topic = static_cast<int>(change.topic_);
-    const std::string *bytes = compressed != nullptr ? compressed->compressedFormOf(change) : nullptr;
+    const std::string *bytes =
+        compressed != nullptr ? compressed->compressedFormOf(change) : nullptr;
     if (bytes == nullptr) {
         return {topic, change.key_, change.value_, change.offset_};
     }
@@ -76,7 +77,7 @@
             change.value_.size()};
 }
 
-/** nullopt: it is of an unknown topic, or packed in another way. */
+/** nullopt: the topic is unknown, or the compressed value is invalid. */
 std::optional<Change> decodeChange(const Json &json)
 {
     const auto topic = json.at(0).get<std::size_t>();
@@ -91,7 +92,7 @@
     }
     const Json::binary_t &bytes = json.at(2).get_binary();
     auto value = decompressValue({reinterpret_cast<const char *>(bytes.data()), bytes.size()},
-                        json.at(4).get<std::size_t>());
+                                 json.at(4).get<std::size_t>());
     if (!value) {
         return std::nullopt;
     }
@@ -101,8 +102,8 @@
 
 } // namespace
 
-std::string encodeChanges(const ChangeSet &set, std::uint64_t lifetime, bool storeLost, TimePoint now,
-                          TimePoint requestedAt, CompressedValueCache *compressed)
+std::string encodeChanges(const ChangeSet &set, std::uint64_t lifetime, bool storeLost,
+                          TimePoint now, TimePoint requestedAt, CompressedValueCache *compressed)
 {
     Json changes = Json::array();
     for (const Change &change : set.changes_) {
@@ -114,12 +115,13 @@
     for (const TopicState &topic : set.topics_) {
         ages.push_back(topic.readAt_ ? Json(toMillis(now - *topic.readAt_)) : Json(nullptr));
         ends.push_back(topic.end_);
-        proofs.push_back(topic.asOf_ ? Json(toMillis(requestedAt - *topic.asOf_) + 1) : Json(nullptr));
+        proofs.push_back(topic.asOf_ ? Json(toMillis(requestedAt - *topic.asOf_) + 1)
+                                     : Json(nullptr));
     }
-    const Json json {{"lifetime", lifetime}, {"lost", storeLost},      {"whole", set.isSnapshot_},
-                     {"first", set.isFirstPart_},  {"more", set.more_}, {"next", set.nextSequence_},
-                     {"base", set.historyStart_},    {"ages", ages},      {"ends", ends},
-                     {"proofs", proofs},     {"changes", changes}};
+    const Json json {{"lifetime", lifetime},      {"lost", storeLost}, {"whole", set.isSnapshot_},
+                     {"first", set.isFirstPart_}, {"more", set.more_}, {"next", set.nextSequence_},
+                     {"base", set.historyStart_}, {"ages", ages},      {"ends", ends},
+                     {"proofs", proofs},          {"changes", changes}};
     std::string body;
     Json::to_cbor(json, body);
     return body;
@@ -155,12 +157,13 @@
         }
         return received;
     } catch (const Json::exception &) {
-        return std::nullopt; // The caller takes the peer for useless and says so.
+        return std::nullopt; // The caller reports the peer's response as malformed.
     }
 }
 
-ReplicationServer::ReplicationServer(async::EventLoop &loop, const TopicReplica &board, std::uint64_t lifetime)
-    : board_(board)
+ReplicationServer::ReplicationServer(async::EventLoop &loop, const TopicReplica &replica,
+                                     std::uint64_t lifetime)
+    : replica_(replica)
     , lifetime_(lifetime)
     , timer_(loop)
     , loop_(loop)
@@ -171,17 +174,18 @@
     return call.head_.target_.starts_with(RequestPath);
 }
 
-ReplicationServer::PollRequest ReplicationServer::readPollRequest(const async::ServerCall &call) const
+ReplicationServer::PollRequest
+ReplicationServer::readPollRequest(const async::ServerCall &call) const
 {
     const std::string &target = call.head_.target_;
     PollRequest pollRequest {call.id_,
-                       {},
-                       endsParameter(target, "ends="),
-                       call.startedAt_,
-                       target.find(AcceptsCompressedFlag) != std::string::npos};
+                             {},
+                             endsParameter(target, "ends="),
+                             call.startedAt_,
+                             target.find(AcceptsCompressedFlag) != std::string::npos};
     if (numberParameter(target, "lifetime=") == lifetime_) {
         pollRequest.cursor_ = {numberParameter(target, "from="), numberParameter(target, "base="),
-                              numberParameter(target, "listing=") != 0};
+                               numberParameter(target, "listing=") != 0};
     }
     return pollRequest;
 }
@@ -191,9 +195,9 @@
     server_ = &server;
     const PollRequest pollRequest = readPollRequest(call);
     const TimePoint now = BootClock::now();
-    // With old news the answer would be of no use: this instance may be about to have newer ones,
-    // as whoever asks it now was left by the same reader at the same moment.
-    if (!board_.isAtEnd(pollRequest.cursor_) && isFresh(now)) {
+    // A response with stale data would be useless. This instance may be about to get newer data: if
+    // its own upstream failed, the peer that polls it may have lost the same upstream just now.
+    if (!replica_.isAtEnd(pollRequest.cursor_) && isFresh(now)) {
         respond(pollRequest);
         return;
     }
@@ -210,27 +214,29 @@
 
 ChangeSet ReplicationServer::changesFor(const PollRequest &pollRequest) const
 {
-    const bool knowsAll = oldestReadAge(board_.topics(), BootClock::now()).has_value();
-    if (storeLost_ || !knowsAll) {
-        // Nothing of use, or not yet: whoever asked need not be sent what may be half a list.
-        ChangeSet none;
-        none.nextSequence_ = pollRequest.cursor_.nextSequence_;
-        none.historyStart_ = pollRequest.cursor_.historyStart_;
-        return none;
+    const bool hasAllTopics = oldestReadAge(replica_.topics(), BootClock::now()).has_value();
+    if (storeLost_ || !hasAllTopics) {
+        // No usable data, or not yet: an incomplete list isn't sent.
+        ChangeSet empty;
+        empty.nextSequence_ = pollRequest.cursor_.nextSequence_;
+        empty.historyStart_ = pollRequest.cursor_.historyStart_;
+        return empty;
     }
     const bool isNew = pollRequest.cursor_.historyStart_ == 0;
-    const auto missing =
-        isNew ? board_.changesBeyond(pollRequest.ends_, MaxChangesPerResponse) : std::optional<ChangeSet>();
-    return missing ? *missing : board_.after(pollRequest.cursor_, MaxChangesPerResponse);
+    const auto missing = isNew ? replica_.changesBeyond(pollRequest.ends_, MaxChangesPerResponse)
+                               : std::optional<ChangeSet>();
+    return missing ? *missing : replica_.after(pollRequest.cursor_, MaxChangesPerResponse);
 }
 
 void ReplicationServer::respond(const PollRequest &pollRequest)
 {
-    CompressedValueCache *const compressed = pollRequest.acceptsCompressed_ ? &compressedValues_ : nullptr;
-    server_->respond(pollRequest.id_, {200,
-                                    {},
-                                    encodeChanges(changesFor(pollRequest), lifetime_, storeLost_,
-                                                  BootClock::now(), pollRequest.requestedAt_, compressed)});
+    CompressedValueCache *const compressed =
+        pollRequest.acceptsCompressed_ ? &compressedValues_ : nullptr;
+    server_->respond(pollRequest.id_,
+                     {200,
+                      {},
+                      encodeChanges(changesFor(pollRequest), lifetime_, storeLost_,
+                                    BootClock::now(), pollRequest.requestedAt_, compressed)});
 }
 
 void ReplicationServer::respondToExpired()
@@ -247,7 +253,7 @@
 
 bool ReplicationServer::isFresh(TimePoint now) const
 {
-    const auto age = oldestReadAge(board_.topics(), now);
+    const auto age = oldestReadAge(replica_.topics(), now);
     return age && *age <= MaxUsableAge;
 }
 
@@ -258,22 +264,23 @@
     }
     storeLost_ = storeLost;
     if (storeLost) {
-        respondWhere([](const PendingPoll &one) { return !one.waitsForLostStore_; });
+        respondWhere(
+            [](const PendingPoll &pendingPoll) { return !pendingPoll.waitsForLostStore_; });
     }
 }
 
-void ReplicationServer::respondWhere(const std::function<bool(const PendingPoll &)> &chosen)
+void ReplicationServer::respondWhere(const std::function<bool(const PendingPoll &)> &predicate)
 {
     std::list<PendingPoll> answered;
     for (auto one = pending_.begin(); one != pending_.end();) {
         const auto next = std::next(one);
-        if (chosen(*one)) {
+        if (predicate(*one)) {
             answered.splice(answered.end(), pending_, one);
         }
         one = next;
     }
-    for (const PendingPoll &one : answered) {
-        respond(one.request_);
+    for (const PendingPoll &pendingPoll : answered) {
+        respond(pendingPoll.request_);
     }
 }
 
@@ -283,10 +290,11 @@
     if (!isFresh(now)) {
         return;
     }
-    const TimePoint readAt = now - *oldestReadAge(board_.topics(), now);
+    const TimePoint readAt = now - *oldestReadAge(replica_.topics(), now);
     if (readAt < lastConfirmedReadAt_ + MinConfirmationStep) {
-        respondWhere(
-            [this](const PendingPoll &one) { return !board_.isAtEnd(one.request_.cursor_); });
+        respondWhere([this](const PendingPoll &pendingPoll) {
+            return !replica_.isAtEnd(pendingPoll.request_.cursor_);
+        });
         return;
     }
     lastConfirmedReadAt_ = readAt;
@@ -295,7 +303,8 @@
 
 void ReplicationServer::forget(const async::CallId &id)
 {
-    pending_.remove_if([&](const PendingPoll &one) { return one.request_.id_ == id; });
+    pending_.remove_if(
+        [&](const PendingPoll &pendingPoll) { return pendingPoll.request_.id_ == id; });
 }
 
 void ReplicationServer::onChanged()
@@ -303,12 +312,12 @@
     if (pending_.empty() || notificationPosted_) {
         return;
     }
-    // Later, so that all changes of one read leave in one answer.
+    // Deferred, so that all changes of one read go into one response.
     notificationPosted_ = true;
     loop_.post([this] {
         notificationPosted_ = false;
-        for (const PendingPoll &one : std::exchange(pending_, {})) {
-            respond(one.request_);
+        for (const PendingPoll &pendingPoll : std::exchange(pending_, {})) {
+            respond(pendingPoll.request_);
         }
     });
 }
@@ -337,7 +346,7 @@
     exchange_ = 0;
 }
 
-/** A list that keeps arriving over a narrow link is waited for. */
+/** Each part that arrives restarts the timeout: a snapshot over a slow link takes longer. */
 void ReplicationClient::restartTimeout()
 {
     timer_.startAt(std::min(BootClock::now() + ResponseTimeout, requestedAt_ + MaxTransferTime),
@@ -386,9 +395,9 @@
     lifetime_ = received->lifetime_;
     cursor_ = received->set_.cursor();
     timer_.stop();
-    // Taken also when it is old: the peer may know a later configuration all the same.
+    // Stale data is applied as well: the peer may still have a later configuration.
     events_.onChanges_(received->set_);
-    // A peer that knows nothing yet is about to: it has not lost the store, and says so.
+    // No age: the peer has no data yet, but hasn't lost the store, so it is polled again.
     const auto age = oldestReadAge(received->set_.topics_, now);
     if (age && *age > MaxUsableAge && !received->set_.more_) {
         fail(PeerFailure::Stale);
--- a/libs/replication/src/topicreplica.cpp
+++ b/libs/replication/src/topicreplica.cpp
@@ -7,7 +7,7 @@
 namespace almondridge::replication {
 namespace {
 
-/** Removed keys that are remembered; a peer that missed more of them is sent everything. */
+/** Tombstones that are kept; a follower that missed more removals gets a snapshot. */
 constexpr std::size_t MaxTombstones = 1'000;
 
 std::size_t indexOf(Topic topic)
@@ -35,9 +35,9 @@
 { }
 
 /**
- * A reader that was cut off from the store and returned has an old list, and so has one that holds
- * removals back. Whoever asks it next would have endpoints back that it knew to be gone, and send
- * requests there. Offsets tell: they order all records of a topic, whoever passes them on.
+ * A reader that was disconnected from the store, or that delays removals, has an old list. Without
+ * this check a follower of it would take back endpoints that it knew to be removed, and send
+ * requests there. Offsets order all records of a topic, whichever peer they come from.
  */
 bool TopicReplica::isSuperseded(const Change &change) const
 {
@@ -46,8 +46,8 @@
         return true;
     }
     const bool listed = found != entries_.end() && !found->second.value_.empty();
-    // All records before the end are known, and by these there is no such key: it was removed,
-    // maybe listed and removed again since this instance was told of its removal.
+    // All records below the end are known, and the key doesn't exist by these: it was removed,
+    // possibly added and removed again since this instance received its removal.
     return !listed && change.offset_ < topics_[indexOf(change.topic_)].end_;
 }
 
@@ -56,19 +56,19 @@
     if (isSuperseded(change)) {
         return;
     }
-    const auto [place, added] = entries_.try_emplace({change.topic_, change.key_});
-    Entry &entry = place->second;
+    const auto [iterator, added] = entries_.try_emplace({change.topic_, change.key_});
+    Entry &entry = iterator->second;
     const bool isSame = entry.value_ == change.value_;
     const bool isRemoval = change.value_.empty();
     const bool isLater = added || change.offset_ > entry.offset_;
     entry.offset_ = change.offset_;
-    // A removal of a key that is not listed here is told on all the same: a peer may have seen it
-    // listed in between, and only this removal takes it off there.
+    // A later removal of a key that doesn't exist here is still passed on: a peer may have seen it
+    // added in between, and only this removal deletes it there.
     if (isSame && !(isRemoval && isLater)) {
-        // It may have been another in between, which whoever was told by others may still have.
+        // The value may have been different in between, and a peer may still have that value.
         if (isLater && !change.isContiguous_) {
             entry.valueSince_ = change.offset_;
-            assignSequence(place);
+            assignSequence(iterator);
         }
         return;
     }
@@ -76,7 +76,7 @@
     entry.value_ = change.value_;
     entry.valueSince_ = change.offset_;
     entry.arrivedOutOfOrder_ = change.offset_ < topics_[indexOf(change.topic_)].end_;
-    assignSequence(place);
+    assignSequence(iterator);
     tombstones_ += isRemoval ? 1 : 0;
     tombstones_ -= wasRemoved ? 1 : 0;
     if (!isSame) {
@@ -101,8 +101,8 @@
     for (auto entry = entries_.begin(); entry != entries_.end();) {
         const bool isRemoved = entry->second.value_.empty();
         if (isRemoved) {
-            LogOffset &skipped = removalsUnknownBefore_[indexOf(entry->first.first)];
-            skipped = std::max(skipped, entry->second.offset_ + 1);
+            LogOffset &unknownBefore = removalsUnknownBefore_[indexOf(entry->first.first)];
+            unknownBefore = std::max(unknownBefore, entry->second.offset_ + 1);
             bySequence_.erase(entry->second.sequence_);
         }
         entry = isRemoved ? entries_.erase(entry) : std::next(entry);
@@ -113,7 +113,7 @@
 void TopicReplica::retainOnly(Topic topic, const std::vector<std::string> &keys, LogOffset end)
 {
     if (end == 0) {
-        return; // Nothing was read of the topic, so nothing is known to be gone.
+        return; // Nothing was read of the topic, so no key is known to be removed.
     }
     const std::set<std::string> kept(keys.begin(), keys.end());
     for (const std::string &key : this->keys(topic)) {
@@ -129,8 +129,8 @@
 void TopicReplica::onRecordsSkipped(Topic topic, LogOffset end)
 {
     historyStart_ = ++nextSequence_;
-    LogOffset &skipped = removalsUnknownBefore_[indexOf(topic)];
-    skipped = std::max(skipped, end);
+    LogOffset &unknownBefore = removalsUnknownBefore_[indexOf(topic)];
+    unknownBefore = std::max(unknownBefore, end);
 }
 
 void TopicReplica::onRead(Topic topic, TimePoint readAt, LogOffset end)
@@ -166,22 +166,23 @@
     return after({from, isKnown ? historyStart_ : 0, false}, entries_.size());
 }
 
-ChangeSet TopicReplica::after(const Cursor &cursor, std::size_t most) const
+ChangeSet TopicReplica::after(const Cursor &cursor, std::size_t maxChanges) const
 {
-    const bool isIncremental = cursor.historyStart_ == historyStart_ && cursor.nextSequence_ <= nextSequence_;
+    const bool isIncremental =
+        cursor.historyStart_ == historyStart_ && cursor.nextSequence_ <= nextSequence_;
     ChangeSet set = emptySet();
     set.isFirstPart_ = !isIncremental;
     set.isSnapshot_ = !isIncremental || cursor.inSnapshot_;
     for (auto change = bySequence_.lower_bound(isIncremental ? cursor.nextSequence_ : 0);
          change != bySequence_.end(); ++change) {
         const auto &[key, entry] = *change->second;
-        // The last part tells of removals before the end: what is in no part is gone.
+        // Removals below the end are implied: a key that is in no part was removed.
         const bool isImpliedByEnd =
             entry.value_.empty() && entry.offset_ < topics_[indexOf(key.first)].end_;
         if (set.isFirstPart_ && isImpliedByEnd) {
             continue;
         }
-        if (set.changes_.size() >= most) {
+        if (set.changes_.size() >= maxChanges) {
             set.more_ = true;
             set.nextSequence_ = change->first;
             break;
@@ -191,7 +192,8 @@
     return set;
 }
 
-std::optional<ChangeSet> TopicReplica::changesBeyond(const TopicEnds &ends, std::size_t most) const
+std::optional<ChangeSet> TopicReplica::changesBeyond(const TopicEnds &ends,
+                                                     std::size_t maxChanges) const
 {
     for (std::size_t index = 0; index < TopicCount; ++index) {
         if (ends[index] < removalsUnknownBefore_[index]) {
@@ -199,12 +201,12 @@
         }
     }
     ChangeSet set = emptySet();
-    for (const auto &[number, place] : bySequence_) {
-        const auto &[key, entry] = *place;
+    for (const auto &[number, iterator] : bySequence_) {
+        const auto &[key, entry] = *iterator;
         if (!entry.arrivedOutOfOrder_ && entry.valueSince_ < ends[indexOf(key.first)]) {
             continue;
         }
-        if (set.changes_.size() >= most) {
+        if (set.changes_.size() >= maxChanges) {
             return std::nullopt;
         }
         set.changes_.push_back({key.first, key.second, entry.value_, entry.offset_});
@@ -220,7 +222,7 @@
     return ends;
 }
 
-/** Keys that are in no part are gone, which is known with the last part. */
+/** Removes the keys that are in no part of a snapshot, once its last part has arrived. */
 void TopicReplica::applySnapshotKeys(const ChangeSet &set)
 {
     if (!set.isSnapshot_) {
--- a/libs/replication/src/upstreamselector.cpp
+++ b/libs/replication/src/upstreamselector.cpp
@@ -8,39 +8,40 @@
 namespace almondridge::replication {
 namespace {
 
-/** A first read of ours: a call over a connection that is silent, and one over a new one. */
+/** A first read: one call that times out on a broken connection, and one on a new connection. */
 constexpr Duration StoreReadTime = millis(500);
 /**
- * So long a peer that is of use is asked on, although one that comes before it may be back: each
- * change of the peer is a whole list, and one that the store turns away looks back too early.
+ * How long a working peer is kept although a preferred one may be back. Each change of the peer
+ * transfers a snapshot, and a peer that the store rejects appears to have recovered too early.
  */
 constexpr Duration UpstreamAffinity = millis(10'000);
-/** Between two tests of a store that does not answer this instance; doubles up to the longest. */
+/** Pause between probes of a store that fails for this instance; doubles up to a maximum. */
 constexpr std::int64_t InitialProbeMillis = 500;
-/** Those that come first find out for all others when the store is back. */
+/** The preferred readers detect for all others when the store is back. */
 constexpr std::int64_t MaxProbeMillisOfReader = 1'000;
 /**
- * The others ask them, and look for themselves in case that these alone are turned away: more
- * rarely in a large failure domain, so that all of them together call as often.
+ * The others poll the preferred readers, and probe in case the store rejects only these. They probe
+ * less often in a large failure domain, so that the total call rate doesn't grow with it.
  */
 constexpr std::int64_t MaxProbeMillis = 6'000;
 constexpr std::int64_t MaxProbeMillisPerMember = 150;
-/** The first one of others, who have not called it themselves. */
+/** Pause before the first probe of an instance that inferred the outage from its peers. */
 constexpr std::int64_t InferredOutageProbeMillis = 2'000;
 constexpr std::int64_t InferredOutageProbeMillisPerMember = 50;
-/** After a test of theirs that failed. */
+/** Initial pause after a failed probe of an instance that isn't a preferred reader. */
 constexpr std::int64_t InitialProbeMillisPerMember = 20;
 constexpr int MaxDoublings = 8;
 /**
- * Where so many peers are of no use, the store is taken to be away for all: with a third of the
- * instances turned away that is hardly ever wrong. The others need not find out each for itself.
+ * With this many failed peers the store is assumed to be down for all, so that the other instances
+ * needn't each find out by a call. If the store rejects a third of the instances, this is almost
+ * never wrong.
  */
 constexpr std::size_t MaxExcludedPeers = 10;
-/** An answer of the store says for so long that it answers. */
+/** How long an answer of the store counts as evidence that it works. */
 constexpr Duration StoreAnswerValidity = millis(4'000);
-/** On their way news seem to grow younger by this much at most, as clocks are not compared. */
+/** Data sent as ages appears newer on arrival by at most this, the time of the transfer. */
 constexpr Duration EchoMargin = millis(200);
-/** Pauses differ by up to half, so that instances that failed together do not call together. */
+/** Pauses vary by up to half, so that instances that failed together don't retry together. */
 constexpr std::uint64_t JitterSteps = 64;
 
 } // namespace
@@ -59,7 +60,8 @@
 void UpstreamSelector::onPeerData(TimePoint readAt)
 {
     readRequired_ = false;
-    // Peers also tell what they had from us: only what was read after our loss is news.
+    // Peers may send back data that came from this instance: only data that was read after this
+    // instance lost the store is new.
     if (readAt > storeLostAt_ + EchoMargin) {
         withoutPeerData_ = false;
     }
@@ -67,7 +69,7 @@
         tree_.onPeerSucceeded(current_.peer_);
     }
     if (store_ == StoreState::Fails && !withoutPeerData_ && !tree_.isPreferredReader()) {
-        store_ = StoreState::Unknown; // Tested when this instance is to read, and not before.
+        store_ = StoreState::Unknown; // Probed only when this instance has to read.
     }
 }
 
@@ -77,11 +79,12 @@
         return;
     }
     tree_.onPeerFailed(current_.peer_, cause, now);
-    // Readers of a failure domain can fall silent together, and whoever waits for one after the
-    // other learns beyond the bound that an endpoint left: another one is asked only while its
-    // silence would still leave time for a read of our own.
-    // One that has lost the store says so at once, and costs no time. Whoever knows nothing yet
-    // sends nothing, and has no bound to keep: hundreds that start together would all read.
+    // The readers of a failure domain can fail together, and waiting for one after another could
+    // delay the information that an endpoint has left beyond the bound. So another peer is polled
+    // only while its timeout would still leave time for this instance's own read of the store. A
+    // peer that has lost the store responds at once, which costs no time. An instance without any
+    // data sends no requests to endpoints and has no bound to keep; if it read the store itself,
+    // hundreds of instances that start together would all read.
     const bool late = age && *age + ResponseTimeout + StoreReadTime > leaveBound_;
     readRequired_ = readRequired_ || (late && cause != PeerFailure::StoreLost);
 }
@@ -97,8 +100,8 @@
     failures_ = 0;
     readRequired_ = readRequired_ && current_.kind_ == UpstreamKind::Peer;
     if (wasFailing && current_.kind_ != UpstreamKind::StoreReads) {
-        // It may be back for the others as well: those that come first find out within a second
-        // and read for all. Else the peers are gone through once more, and then this one reads.
+        // It may be back for the others as well: the preferred readers find out within a second and
+        // read for all. Otherwise the peers are tried once more, and then this instance reads.
         tree_.onStoreRecovered();
         peerRecoveryUntil_ = tree_.isPreferredReader() ? now : now + millis(MaxProbeMillisOfReader);
     }
@@ -107,24 +110,26 @@
 void UpstreamSelector::onStoreFailed(TimePoint now)
 {
     if (readRequired_ && probeRequired_ && failures_ == 0) {
-        // A connection that was kept may be silent though the store is there. With the bound near,
-        // the next one is tried at once.
+        // A kept-alive connection may be broken although the store works. Near the bound, the next
+        // connection is tried at once.
         ++failures_;
         probePending_ = false;
         return;
     }
     const bool isFirst = tree_.isPreferredReader();
     const std::int64_t shortest =
-        isFirst ? InitialProbeMillis : scaledByDomain(InitialProbeMillis, InitialProbeMillisPerMember);
+        isFirst ? InitialProbeMillis
+                : scaledByDomain(InitialProbeMillis, InitialProbeMillisPerMember);
     const std::int64_t longest =
         isFirst ? MaxProbeMillisOfReader : scaledByDomain(MaxProbeMillis, MaxProbeMillisPerMember);
     markStoreFailed(std::min(longest, shortest << std::min(failures_, MaxDoublings)), now);
     ++failures_;
 }
 
-std::int64_t UpstreamSelector::scaledByDomain(std::int64_t least, std::int64_t millisOfOne) const
+std::int64_t UpstreamSelector::scaledByDomain(std::int64_t minMillis,
+                                              std::int64_t millisPerMember) const
 {
-    return std::max(least, static_cast<std::int64_t>(tree_.size()) * millisOfOne);
+    return std::max(minMillis, static_cast<std::int64_t>(tree_.size()) * millisPerMember);
 }
 
 void UpstreamSelector::markStoreFailed(std::int64_t pauseMillis, TimePoint now)
@@ -141,7 +146,7 @@
         now + millis(pauseMillis / 2 + pauseMillis * static_cast<std::int64_t>(part) / JitterSteps);
 }
 
-/** Whether others of those that read are of no use, so that the store may be the cause. */
+/** Whether peers have failed, so that the store may be the cause. */
 bool UpstreamSelector::mayBeOutage(TimePoint now) const
 {
     return readRequired_ || tree_.excludedCount(now) > 0;
@@ -155,8 +160,8 @@
     }
     Upstream preferredUpstream = this->preferredUpstream(now);
     const bool switches = preferredUpstream != current_;
-    if (switches && preferredUpstream.kind_ == UpstreamKind::StoreReads && store_ != StoreState::Answers
-        && mayBeOutage(now) && !tree_.allMembersRead()) {
+    if (switches && preferredUpstream.kind_ == UpstreamKind::StoreReads
+        && store_ != StoreState::Answers && mayBeOutage(now) && !tree_.allMembersRead()) {
         probeRequired_ = true;
         return current_;
     }
@@ -174,7 +179,8 @@
     const bool storeAway = tree_.excludedCount(now) >= MaxExcludedPeers;
     const bool reads = current_.kind_ == UpstreamKind::StoreReads;
     if (storeAway && store_ == StoreState::Unknown && !reads) {
-        markStoreFailed(scaledByDomain(InferredOutageProbeMillis, InferredOutageProbeMillisPerMember), now);
+        markStoreFailed(
+            scaledByDomain(InferredOutageProbeMillis, InferredOutageProbeMillisPerMember), now);
     }
     if (current_.kind_ == UpstreamKind::WaitForPeer && now < peerRecoveryUntil_) {
         return current_;
@@ -183,7 +189,8 @@
     const std::vector<InstanceId> readers = tree_.activeReaders(canRead, now);
     const bool isReader = std::find(readers.begin(), readers.end(), self_) != readers.end();
     if (isReader && !reads && mayBeOutage(now)) {
-        readsKeptUntil_ = now + UpstreamAffinity; // Whoever passed the same ones over asks this instance.
+        readsKeptUntil_ =
+            now + UpstreamAffinity; // Instances that excluded the same peers poll this one.
     }
     const bool keepsReading = reads && now < readsKeptUntil_;
     const bool noOtherReader = readers.empty() || (storeAway && store_ == StoreState::Answers);
@@ -199,7 +206,7 @@
         return {UpstreamKind::WaitForPeer, tree_.fallbackPeer(fallbackAttempts_++)};
     }
     const bool keepsPeer = current_.kind_ == UpstreamKind::Peer && now < upstreamKeptUntil_
-                        && !tree_.isExcluded(current_.peer_, now);
+                           && !tree_.isExcluded(current_.peer_, now);
     if (keepsPeer) {
         return current_;
     }
--- a/libs/replication/src/valuecompression.cpp
+++ b/libs/replication/src/valuecompression.cpp
@@ -5,11 +5,11 @@
 namespace almondridge::replication {
 namespace {
 
-/** A shorter value fits into a few packets as it is. */
+/** A shorter value fits into a few packets uncompressed. */
 constexpr std::size_t MinCompressedBytes = 4'096;
-/** More than any value of the store: a broken length asks for no more memory than that. */
+/** Larger than any value in the store; limits the memory that an invalid size can allocate. */
 constexpr std::size_t MaxDecompressedBytes = std::size_t {64} << 20U;
-/** Large values are few; beyond it those of keys that are gone are forgotten. */
+/** Few values are large; clearing the cache beyond this drops those of removed keys. */
 constexpr std::size_t MaxCachedValues = 16;
 
 const Bytef *bytesOf(std::string_view text)
@@ -28,7 +28,7 @@
 {
     uLongf size = compressBound(value.size());
     std::string compressed(size, '\0');
-    // It fails only where the room is too small, which that bound excludes.
+    // It fails only if the buffer is too small, which compressBound excludes.
     compress2(bytesOf(compressed), &size, bytesOf(value), value.size(), Z_BEST_SPEED);
     compressed.resize(size);
     compressed.shrink_to_fit();
--- a/libs/replication/tests/configurationstalenesstest.cpp
+++ b/libs/replication/tests/configurationstalenesstest.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::int64_t BoundMillis = 5'000;
-/** As the lease of what a key allows has it. */
+/** Term of the lease on a key's permissions. */
 constexpr std::int64_t TermMillis = 4'500;
 constexpr std::string_view Key = "config";
 
@@ -19,29 +19,29 @@
     return TimePoint {} + millis(1'000'000 + milliseconds);
 }
 
-/** Instances that read a store or ask each other; each has a clock of its own. */
+/** Instances that read a store or poll each other; each has its own clock. */
 struct History
 {
     struct Instance
     {
-        TopicReplica board_ {[](const Change &) {}};
-        std::int64_t clockMillis_ = 0; ///< Ahead of true time.
+        TopicReplica replica_ {[](const Change &) {}};
+        std::int64_t clockMillis_ = 0; ///< Offset from true time.
         std::int64_t frozenUntil_ = 0;
     };
     struct Message
     {
         std::size_t to_ = 0;
-        std::int64_t askedAt_ = 0;   ///< True time.
-        std::int64_t deliverAt_ = 0; ///< To whoever asked.
-        ChangeSet read_ {};          ///< An answer of the store.
-        std::string body_ {};        ///< Or of a peer; empty: none.
+        std::int64_t requestedAt_ = 0; ///< True time.
+        std::int64_t deliverAt_ = 0;   ///< To the instance that asked.
+        ChangeSet read_ {};            ///< A response of the store.
+        std::string body_ {};          ///< Or of a peer; empty if it is the store's.
     };
 
-    struct Question
+    struct PollRequest
     {
         std::size_t from_ = 0;
         std::size_t peer_ = 0;
-        std::int64_t askedAt_ = 0;
+        std::int64_t requestedAt_ = 0;
         std::int64_t arrivedAt_ = 0;
         std::int64_t answerAt_ = 0;
     };
@@ -64,7 +64,7 @@
         return static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(most));
     }
 
-    void askStore(std::size_t number, std::int64_t now)
+    void requestFromStore(std::size_t number, std::int64_t now)
     {
         const std::int64_t answeredAt = now + delay(1'200);
         Message message {number, now, answeredAt + delay(3'000), {}, {}};
@@ -72,26 +72,27 @@
         messages_.push_back(message);
     }
 
-    void askPeer(std::size_t number, std::size_t peer, std::int64_t now)
+    void requestFromPeer(std::size_t number, std::size_t peer, std::int64_t now)
     {
         const std::int64_t arrivedAt = now + delay(50);
         const std::int64_t answeredAt = arrivedAt + delay(900);
-        questions_.push_back({number, peer, now, arrivedAt, answeredAt});
+        pollRequests_.push_back({number, peer, now, arrivedAt, answeredAt});
     }
 
     void step(std::int64_t now)
     {
-        for (auto question = questions_.begin(); question != questions_.end();) {
-            if (question->answerAt_ > now) {
-                ++question;
+        for (auto pollRequest = pollRequests_.begin(); pollRequest != pollRequests_.end();) {
+            if (pollRequest->answerAt_ > now) {
+                ++pollRequest;
                 continue;
             }
-            const Instance &peer = instances_[question->peer_];
-            Message message {question->from_, question->askedAt_, now + delay(2'500), {}, {}};
-            message.body_ = encodeChanges(peer.board_.since(0), 1, false, clockOf(peer, now),
-                                          clockOf(peer, question->arrivedAt_));
+            const Instance &peer = instances_[pollRequest->peer_];
+            Message message {
+                pollRequest->from_, pollRequest->requestedAt_, now + delay(2'500), {}, {}};
+            message.body_ = encodeChanges(peer.replica_.since(0), 1, false, clockOf(peer, now),
+                                          clockOf(peer, pollRequest->arrivedAt_));
             messages_.push_back(message);
-            question = questions_.erase(question);
+            pollRequest = pollRequests_.erase(pollRequest);
         }
         for (auto message = messages_.begin(); message != messages_.end();) {
             Instance &receiver = instances_[message->to_];
@@ -108,36 +109,36 @@
 
     void deliver(Instance &receiver, const Message &message, std::int64_t now)
     {
-        const TimePoint askedAt = clockOf(receiver, message.askedAt_);
+        const TimePoint requestedAt = clockOf(receiver, message.requestedAt_);
         if (!message.body_.empty()) {
-            const auto received = decodeChanges(message.body_, clockOf(receiver, now), askedAt);
+            const auto received = decodeChanges(message.body_, clockOf(receiver, now), requestedAt);
             BOOST_REQUIRE(received.has_value());
-            receiver.board_.apply(received->set_);
+            receiver.replica_.apply(received->set_);
             return;
         }
         const Change &change = message.read_.changes_.front();
-        receiver.board_.put(change);
-        receiver.board_.onRead(Topic::Config, clockOf(receiver, now), change.offset_ + 1);
-        receiver.board_.onCompleteAsOf(Topic::Config, askedAt);
+        receiver.replica_.put(change);
+        receiver.replica_.onRead(Topic::Config, clockOf(receiver, now), change.offset_ + 1);
+        receiver.replica_.onCompleteAsOf(Topic::Config, requestedAt);
     }
 
-    /** Versions that the store had accepted by then; each takes a key away. */
+    /** Number of versions that the store had accepted by then; each revokes a key. */
     LogOffset versionAt(std::int64_t now) const
     {
         return static_cast<LogOffset>(std::count_if(
             accepted_.begin(), accepted_.end(), [&](std::int64_t when) { return when <= now; }));
     }
 
-    /** Nobody trusts a configuration for longer than the bound after a newer one was accepted. */
+    /** No instance relies on a configuration beyond the bound after a newer one was accepted. */
     void check(std::int64_t now) const
     {
         for (const Instance &one : instances_) {
-            const auto &asOf = one.board_.topics()[0].asOf_;
+            const auto &asOf = one.replica_.topics()[0].asOf_;
             const bool holds = asOf && clockOf(one, now) < *asOf + millis(TermMillis);
             if (!holds) {
                 continue;
             }
-            const ChangeSet known = one.board_.since(0);
+            const ChangeSet known = one.replica_.since(0);
             BOOST_REQUIRE(!known.changes_.empty());
             BOOST_REQUIRE(known.changes_.front().offset_ >= versionAt(now - BoundMillis));
         }
@@ -146,17 +147,17 @@
     std::mt19937_64 random_;
     std::vector<Instance> instances_;
     std::list<Message> messages_;
-    std::list<Question> questions_;
+    std::list<PollRequest> pollRequests_;
     std::vector<std::int64_t> accepted_;
 };
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ProofsOfNews)
+BOOST_AUTO_TEST_SUITE(ConfigurationStaleness)
 
-// Guards against a key that works for longer than the bound after it was taken away: messages are
-// lost and late, instances freeze with an answer on its way, and news pass over several of them.
-BOOST_AUTO_TEST_CASE(noOldConfigurationIsTakenForTheNewest)
+// Guards against a key that works beyond the bound after it was revoked: messages are lost and
+// late, instances are suspended while a response is in flight, and data passes several instances.
+BOOST_AUTO_TEST_CASE(noOldConfigurationIsTakenForTheCurrentOne)
 {
     constexpr std::size_t MostInstances = 90;
     for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -172,12 +173,12 @@
                     history.instances_[number].frozenUntil_ =
                         now + static_cast<std::int64_t>(random() % 7'000);
                 }
-                const bool asks =
+                const bool sendsRequest =
                     history.instances_[number].frozenUntil_ <= now && random() % 10 == 0;
-                if (asks && number < 2) {
-                    history.askStore(number, now);
-                } else if (asks) {
-                    history.askPeer(number, random() % count, now);
+                if (sendsRequest && number < 2) {
+                    history.requestFromStore(number, now);
+                } else if (sendsRequest) {
+                    history.requestFromPeer(number, random() % count, now);
                 }
             }
             history.step(now);
@@ -186,11 +187,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aProofIsPassedOnAndGrowsNoYounger)
+BOOST_AUTO_TEST_CASE(aForwardedAsOfTimeNeverBecomesLater)
 {
     TopicReplica reader([](const Change &) {});
     reader.onCompleteAsOf(Topic::Config, at(1'000));
-    // The question arrives before the reader's own proof, and is answered after it.
+    // The request arrives before the reader's as-of time, and is answered after it.
     const std::string body = encodeChanges(reader.since(0), 1, false, at(1'500), at(900));
     const auto received = decodeChanges(body, at(61'700), at(60'000));
     BOOST_REQUIRE(received.has_value());
--- a/libs/replication/tests/configurationtransfertest.cpp
+++ b/libs/replication/tests/configurationtransfertest.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** Until an accepted configuration is in force everywhere. */
+/** Time until an accepted configuration must be in force everywhere. */
 constexpr Duration ConfigBound = millis(3'000);
 constexpr double NarrowMbps = 10;
 constexpr double WideMbps = 1'000;
@@ -29,7 +29,7 @@
     return name;
 }
 
-/** About 240 bytes a route, of which names are random. */
+/** About 240 bytes per route; the names are random. */
 std::string configurationOf(int routes)
 {
     std::mt19937_64 random(4'711);
@@ -45,12 +45,12 @@
     return text + "]}";
 }
 
-/** A reader that answers a follower over a connection of this machine. */
+/** A reader that serves a follower over a loopback connection. */
 struct ReaderAndFollower
 {
     ReaderAndFollower() { BOOST_REQUIRE(server_.listen({"127.0.0.1", 0})); }
 
-    /** Bytes of the answer with which the follower takes the configuration. */
+    /** Returns the bytes of the response that carried the configuration. */
     std::size_t sendConfiguration(const std::string &text)
     {
         const TimePoint now = BootClock::now();
@@ -58,14 +58,14 @@
         source_.onRead(Topic::Config, now, 5);
         source_.onRead(Topic::Endpoints, now, 1);
         client_.follow({"127.0.0.1", server_.port()}, false);
-        runUntil(loop_, [&] { return told_.has(Topic::Config, "config"); });
+        runUntil(loop_, [&] { return follower_.has(Topic::Config, "config"); });
         return answerBytes_;
     }
 
     async::EventLoop loop_;
     TopicReplica source_ {[](const Change &) {}};
     std::string received_;
-    TopicReplica told_ {[this](const Change &change) { received_ = change.value_; }};
+    TopicReplica follower_ {[this](const Change &change) { received_ = change.value_; }};
     ReplicationServer relay_ {loop_, source_, 1};
     async::HttpServer server_ {
         loop_,
@@ -74,11 +74,11 @@
          {}}};
     std::size_t answerBytes_ = 0;
     ReplicationClient client_ {loop_,
-                         {[this](const ChangeSet &set) {
-                              answerBytes_ = client_.progress().bytes_;
-                              told_.apply(set);
-                          },
-                          [](PeerFailure) {}}};
+                               {[this](const ChangeSet &set) {
+                                    answerBytes_ = client_.progress().bytes_;
+                                    follower_.apply(set);
+                                },
+                                [](PeerFailure) {}}};
 };
 
 Duration timeToSend(std::size_t bytes, double linkMbps)
@@ -89,7 +89,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-/** A failure domain; the first instances have wide links. */
+/** The links of a failure domain; the first instances have fast ones. */
 struct DomainLinks
 {
     int count_ = 0;
@@ -109,8 +109,8 @@
 }
 
 /**
- * Until the last instance of a failure domain has what its readers read: each sends to all of its
- * followers at once, and only once it has everything itself.
+ * Time until the last instance of a failure domain has what its readers read. Each instance sends
+ * to all of its followers at once, after it has received everything itself.
  */
 Duration timeToAll(const std::vector<Member> &members, std::size_t readBytes,
                    std::size_t answerBytes)
@@ -126,15 +126,15 @@
     }
     Duration last {};
     for (const Member &member : members) {
-        Duration way {};
+        Duration transferTime {};
         InstanceId id = member.id_;
         for (auto at = parents.find(id); at != parents.end(); at = parents.find(id)) {
             const InstanceId &parent = at->second;
-            way += std::max(timeToSend(answerBytes * followers[parent], links[parent]),
-                            timeToSend(answerBytes, links[id]));
+            transferTime += std::max(timeToSend(answerBytes * followers[parent], links[parent]),
+                                     timeToSend(answerBytes, links[id]));
             id = parent;
         }
-        last = std::max(last, way + timeToSend(readBytes, links[id]));
+        last = std::max(last, transferTime + timeToSend(readBytes, links[id]));
     }
     return last;
 }
@@ -151,8 +151,8 @@
 
 BOOST_AUTO_TEST_SUITE(ConfigurationTransfers)
 
-// Guards against a configuration of thousands of routes that is late in a failure domain whose wide
-// links are away: each of its readers sends it whole to many followers over 10 Mbit/s.
+// Guards against a configuration of thousands of routes that arrives late in a failure domain
+// without fast links: each reader sends all of it to many followers over 10 Mbit/s.
 BOOST_AUTO_TEST_CASE(aLargeConfigurationReachesAllOverNarrowLinksWithinItsBound)
 {
     const std::string text = configurationOf(LargeRoutes);
@@ -164,8 +164,8 @@
     }
 }
 
-// Guards against a change that takes longer as the fleet grows: failure domains of 985 and of 2,000
-// instances, a twentieth of them with wide links.
+// Guards against a change that takes longer as the fleet grows: failure domains of fleets of 985
+// and of 2,000 instances, a twentieth of them with fast links.
 BOOST_AUTO_TEST_CASE(aLargeConfigurationReachesALargeDomainWithinItsBound)
 {
     constexpr double NarrowMbpsOfAFleet = 20;
--- a/libs/replication/tests/distributiontreetest.cpp
+++ b/libs/replication/tests/distributiontreetest.cpp
@@ -16,7 +16,7 @@
     return InstanceId("instance-" + std::to_string(number));
 }
 
-/** The first ones have wide links. */
+/** The first `wide` members have fast links. */
 std::vector<Member> membersOf(int count, int wide)
 {
     std::vector<Member> members;
@@ -39,11 +39,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(ReadersOfADomain)
+BOOST_AUTO_TEST_SUITE(DistributionTrees)
 
-// Two readers send every change, and to each newcomer the whole list, to all others of a failure
-// domain: at 300 instances one of them sent 75 MB a second, at 1,000 its link is full.
-BOOST_AUTO_TEST_CASE(whatAnInstanceSendsDoesNotGrowWithTheDomain)
+// Guards against readers that serve a whole failure domain. Two readers sent every change, and to
+// each new instance a snapshot, to all others: at 300 instances one of them sent 75 MB a second,
+// and at 1,000 its link is saturated.
+BOOST_AUTO_TEST_CASE(followersPerInstanceDoNotGrowWithTheDomain)
 {
     for (const int count : {20, 200, 400, 2'000}) {
         const std::vector<Member> members = membersOf(count, count / 20);
@@ -63,9 +64,10 @@
     }
 }
 
-// All of a domain's followers go to other parents because one instance died, each takes a list from
-// somebody who has just lost his own parent, and nobody has news.
-BOOST_AUTO_TEST_CASE(theLossOfOneMovesItsFollowersAlone)
+// Guards against a tree that is reshuffled when one instance fails: all followers then change their
+// parent, each gets a snapshot from an instance that has just lost its own parent, and no instance
+// has current data.
+BOOST_AUTO_TEST_CASE(losingAnInstanceMovesOnlyItsFollowers)
 {
     const std::vector<Member> members = membersOf(200, 10);
     const auto before = parentsOf(members);
--- a/libs/replication/tests/replicaconvergencetest.cpp
+++ b/libs/replication/tests/replicaconvergencetest.cpp
@@ -1,4 +1,4 @@
-/** Boards that tell each other a store's history in any order, by chance and by a seed. */
+/** Randomized test of replicas that exchange a store's history in any order, by seed. */
 #include "almondridge/replication/topicreplica.h"
 
 #include <boost/test/unit_test.hpp>
@@ -17,7 +17,7 @@
 constexpr int Seeds = 200;
 constexpr TimePoint AnyTime {millis(1)};
 
-/** The store's log of one topic. A value names the offset at which its key first had it. */
+/** The store's log of one topic. A value is the offset at which its key first got it. */
 class History
 {
 public:
@@ -26,7 +26,7 @@
         records_.push_back({Topic::Endpoints, key, value, records_.size()});
     }
     void list(const std::string &key) { write(key, std::to_string(records_.size())); }
-    /** The same value again, as endpoints write it with each heartbeat. */
+    /** Writes the current value again, as endpoints do with each heartbeat. */
     void repeat(const std::string &key) { write(key, valueAt(key, end())); }
 
     std::string valueAt(const std::string &key, LogOffset end) const
@@ -49,45 +49,47 @@
     return "e" + std::to_string(number);
 }
 
-/** A board, the values that it shows, and the latest record that it showed of each key. */
+/** A replica, its visible values, and the latest record that was visible of each key. */
 struct Instance
 {
-    TopicReplica board_ {[this](const Change &change) { onChange(change); }};
-    std::map<std::string, std::string> shown_;
+    TopicReplica replica_ {[this](const Change &change) { onChange(change); }};
+    std::map<std::string, std::string> visible_;
     std::map<std::string, LogOffset> newest_;
     bool wentBack_ = false;
-    LogOffset read_ = 0;       ///< Of a reader: where it goes on.
-    std::vector<Change> held_; ///< Of a reader: removals that it holds back.
+    LogOffset read_ = 0;                  ///< Of a reader: next offset to read.
+    std::vector<Change> delayedRemovals_; ///< Of a reader: delayed removals.
     Instance *source_ = nullptr;
-    Cursor cursor_; ///< Of a follower, in what its source tells.
+    Cursor cursor_; ///< Of a follower: its position in source_.
 
     void onChange(const Change &change)
     {
-        shown_[change.key_] = change.value_;
+        visible_[change.key_] = change.value_;
         const LogOffset since = change.value_.empty() ? change.offset_ : std::stoull(change.value_);
         LogOffset &newest = newest_[change.key_];
         wentBack_ = wentBack_ || since < newest;
         newest = since;
     }
 
-    void readUpTo(const History &history, LogOffset end, bool holds)
+    void readUpTo(const History &history, LogOffset end, bool delaysRemovals)
     {
         for (; read_ < end; ++read_) {
             const Change &record = history.at(read_);
-            if (holds && record.value_.empty()) {
-                held_.push_back(record);
+            if (delaysRemovals && record.value_.empty()) {
+                delayedRemovals_.push_back(record);
             } else {
                 Change change = record;
                 change.isContiguous_ =
-                    std::erase_if(held_, [&](const Change &one) { return one.key_ == record.key_; })
+                    std::erase_if(delayedRemovals_,
+                                  [&](const Change &one) { return one.key_ == record.key_; })
                     == 0;
-                board_.put(change);
+                replica_.put(change);
             }
         }
-        board_.onRead(Topic::Endpoints, AnyTime, held_.empty() ? read_ : held_.front().offset_);
+        replica_.onRead(Topic::Endpoints, AnyTime,
+                        delayedRemovals_.empty() ? read_ : delayedRemovals_.front().offset_);
     }
 
-    /** The newest record of each key, in place of the history. */
+    /** Reads the newest record of each key instead of the history. */
     void readSnapshot(const History &history)
     {
         std::map<std::string, Change> newest;
@@ -97,62 +99,63 @@
         std::vector<std::string> present;
         for (const auto &[key, record] : newest) {
             if (!record.value_.empty()) {
-                board_.put(record);
+                replica_.put(record);
                 present.push_back(key);
             }
         }
-        board_.retainOnly(Topic::Endpoints, present, history.end());
+        replica_.retainOnly(Topic::Endpoints, present, history.end());
         read_ = history.end();
-        board_.onRead(Topic::Endpoints, AnyTime, read_);
+        replica_.onRead(Topic::Endpoints, AnyTime, read_);
     }
 
     void release()
     {
-        for (const Change &removal : std::exchange(held_, {})) {
-            board_.put(removal);
+        for (const Change &removal : std::exchange(delayedRemovals_, {})) {
+            replica_.put(removal);
         }
     }
 
-    /** One answer of a source: further changes, what is missing, or a part of everything. */
-    void ask(Instance &source, std::size_t most)
+    /** Applies one response of a source: changes, missing changes, or a part of a snapshot. */
+    void poll(Instance &source, std::size_t maxChanges)
     {
         if (source_ != &source) {
             source_ = &source;
             cursor_ = {};
         }
-        const auto missing = cursor_.historyStart_ == 0 ? source.board_.changesBeyond(board_.ends(), most)
-                                                  : std::optional<ChangeSet>();
-        const ChangeSet set = missing ? *missing : source.board_.after(cursor_, most);
+        const auto missing = cursor_.historyStart_ == 0
+                                 ? source.replica_.changesBeyond(replica_.ends(), maxChanges)
+                                 : std::optional<ChangeSet>();
+        const ChangeSet set = missing ? *missing : source.replica_.after(cursor_, maxChanges);
         for (const Change &change : set.changes_) {
-            // A removal of what is not shown is known all the same.
+            // A removal of a key that isn't visible still counts as known.
             if (change.value_.empty() && value(change.key_).empty()) {
                 newest_[change.key_] = std::max(newest_[change.key_], change.offset_);
             }
         }
-        board_.apply(set);
+        replica_.apply(set);
         cursor_ = set.cursor();
     }
 
     void follow(Instance &source)
     {
         do {
-            ask(source, 2);
-        } while (!source.board_.isAtEnd(cursor_));
+            poll(source, 2);
+        } while (!source.replica_.isAtEnd(cursor_));
     }
 
     std::string value(const std::string &key) const
     {
-        const auto found = shown_.find(key);
-        return found != shown_.end() ? found->second : "";
+        const auto found = visible_.find(key);
+        return found != visible_.end() ? found->second : "";
     }
 };
 
 class Deployment
 {
 public:
-    Deployment(unsigned seed, bool holds)
+    Deployment(unsigned seed, bool delaysRemovals)
         : random_(seed)
-        , holds_(holds)
+        , delaysRemovals_(delaysRemovals)
     { }
 
     void step()
@@ -173,7 +176,7 @@
         case 3:
         case 4:
             reader.readUpTo(history_, reader.read_ + below(history_.end() - reader.read_ + 1),
-                            holds_ && below(2) == 0);
+                            delaysRemovals_ && below(2) == 0);
             break;
         case 5:
             if (below(8) == 0) {
@@ -187,14 +190,14 @@
             follower.follow(reader);
             break;
         case 8:
-            follower.ask(below(2) == 0 ? reader : followers_.at(below(Followers)), 2);
+            follower.poll(below(2) == 0 ? reader : followers_.at(below(Followers)), 2);
             break;
         default:
             follower.follow(followers_.at(below(Followers)));
         }
     }
 
-    /** Everybody is told everything. */
+    /** Brings all instances up to date. */
     void finish()
     {
         for (Instance &reader : readers_) {
@@ -225,28 +228,29 @@
     std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
 
     std::mt19937 random_;
-    bool holds_;
+    bool delaysRemovals_;
     History history_;
     std::array<Instance, Readers> readers_ {};
     std::array<Instance, Followers> followers_ {};
 };
 
-/** Whether what is shown of a key is as new as all records that the board says it knows. */
-bool knowsWhatItClaims(const Instance &instance, const History &history)
+/** Whether each visible value reflects all records below the end that the replica claims. */
+bool matchesClaimedEnd(const Instance &instance, const History &history)
 {
-    const LogOffset end = instance.board_.topics()[static_cast<std::size_t>(Topic::Endpoints)].end_;
+    const LogOffset end =
+        instance.replica_.topics()[static_cast<std::size_t>(Topic::Endpoints)].end_;
     for (int number = 0; number < Keys; ++number) {
         const std::string key = keyNamed(number);
         const std::string known = history.valueAt(key, end);
-        const std::string shown = instance.value(key);
-        if (shown == known) {
+        const std::string visible = instance.value(key);
+        if (visible == known) {
             continue;
         }
-        // Something newer than the end may be shown, but nothing older.
-        const bool newer = !shown.empty() && std::stoull(shown) >= end;
-        const auto gone = instance.newest_.find(key);
+        // A visible value may be newer than the end, but not older.
+        const bool newer = !visible.empty() && std::stoull(visible) >= end;
+        const auto removed = instance.newest_.find(key);
         const bool removedLater =
-            shown.empty() && gone != instance.newest_.end() && gone->second >= end;
+            visible.empty() && removed != instance.newest_.end() && removed->second >= end;
         if (!newer && !removedLater) {
             return false;
         }
@@ -256,12 +260,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(BoardOrders)
+BOOST_AUTO_TEST_SUITE(ReplicaConvergence)
 
-// An endpoint that an instance knew to be gone is listed again, or an older configuration is back.
-// Readers read at their own pace, hold removals back, and start over; followers ask any of them,
-// and each other, in any order. Whoever is told, what it shows of a key never goes back.
-BOOST_AUTO_TEST_CASE(whoeverTellsNothingGoesBack)
+// Guards against a removed endpoint that reappears, or an older configuration that replaces a newer
+// one. Readers read at different speeds, delay removals, and start over; followers poll readers and
+// each other in any order. The visible value of a key must never go back.
+BOOST_AUTO_TEST_CASE(valuesNeverGoBackInAnyOrderOfUpdates)
 {
     for (unsigned seed = 0; seed < Seeds; ++seed) {
         Deployment deployment(seed, true);
@@ -281,9 +285,10 @@
     }
 }
 
-// An instance says that it knows all records before an end, and lacks one of them: whoever asks it
-// is told a list with holes as new. Without removals that are held back nothing may be missing.
-BOOST_AUTO_TEST_CASE(aBoardKnowsAllThatItsEndSays)
+// Guards against a replica that claims to know all records below an end, but lacks one of them: its
+// followers would take an incomplete list for a current one. No removals are delayed here, so no
+// record may be missing.
+BOOST_AUTO_TEST_CASE(aReplicaKnowsAllRecordsBelowItsEnd)
 {
     for (unsigned seed = 0; seed < Seeds; ++seed) {
         Deployment deployment(seed, false);
@@ -291,7 +296,7 @@
         for (int step = 0; step < Steps && complete; ++step) {
             deployment.step();
             deployment.forAll([&](const Instance &instance) {
-                complete = complete && knowsWhatItClaims(instance, deployment.history());
+                complete = complete && matchesClaimedEnd(instance, deployment.history());
             });
         }
         BOOST_TEST(complete, "lacks a record before its end, seed " << seed);
--- a/libs/replication/tests/topicreplicatest.cpp
+++ b/libs/replication/tests/topicreplicatest.cpp
@@ -1,6 +1,6 @@
 #include "almondridge/replication/topicreplica.h"
-#include "almondridge/replication/upstreamselector.h"
 #include "almondridge/replication/protocol.h"
+#include "almondridge/replication/upstreamselector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,11 +16,11 @@
     return TimePoint {} + millis(1'000'000 + milliseconds);
 }
 
-/** A board that counts what it tells. */
-struct CountingBoard
+/** A replica that counts its change notifications. */
+struct CountingReplica
 {
-    int told_ = 0;
-    TopicReplica board_ {[this](const Change &) { ++told_; }};
+    int notifications_ = 0;
+    TopicReplica replica_ {[this](const Change &) { ++notifications_; }};
 };
 
 std::vector<Member> members(int count, double linkMbps = 10)
@@ -38,118 +38,120 @@
 {
     int readers = 0;
     for (const Member &self : members(count)) {
-        UpstreamSelector one(self.id_, LeaveBound);
-        one.setMembers(members(count));
-        readers += one.choose(at(0)).kind_ == UpstreamKind::StoreReads ? 1 : 0;
+        UpstreamSelector selector(self.id_, LeaveBound);
+        selector.setMembers(members(count));
+        readers += selector.choose(at(0)).kind_ == UpstreamKind::StoreReads ? 1 : 0;
     }
     return readers;
 }
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Boards)
+BOOST_AUTO_TEST_SUITE(TopicReplicas)
 
-BOOST_AUTO_TEST_CASE(theSameValueIsNoNews)
+BOOST_AUTO_TEST_CASE(anUnchangedValueCausesNoNotification)
 {
-    CountingBoard counting;
-    counting.board_.put({Topic::Endpoints, "e", "1"});
-    counting.board_.put({Topic::Endpoints, "e", "1"});
-    counting.board_.put({Topic::Endpoints, "gone", ""});
-    BOOST_TEST(counting.told_ == 1);
+    CountingReplica counting;
+    counting.replica_.put({Topic::Endpoints, "e", "1"});
+    counting.replica_.put({Topic::Endpoints, "e", "1"});
+    counting.replica_.put({Topic::Endpoints, "gone", ""});
+    BOOST_TEST(counting.notifications_ == 1);
 }
 
-BOOST_AUTO_TEST_CASE(aPeerIsToldWhatChangedSinceItsNumber)
+BOOST_AUTO_TEST_CASE(aFollowerGetsTheChangesSinceItsSequenceNumber)
 {
-    CountingBoard reader;
-    CountingBoard follower;
-    reader.board_.put({Topic::Endpoints, "a", "1"});
-    reader.board_.put({Topic::Endpoints, "b", "1"});
-    const ChangeSet first = reader.board_.since(0);
+    CountingReplica reader;
+    CountingReplica follower;
+    reader.replica_.put({Topic::Endpoints, "a", "1"});
+    reader.replica_.put({Topic::Endpoints, "b", "1"});
+    const ChangeSet first = reader.replica_.since(0);
     BOOST_TEST(first.isSnapshot_);
-    follower.board_.apply(first);
-    reader.board_.put({Topic::Endpoints, "a", ""});
-    reader.board_.put({Topic::Config, "config", "2"});
-    const ChangeSet second = reader.board_.since(first.nextSequence_);
+    follower.replica_.apply(first);
+    reader.replica_.put({Topic::Endpoints, "a", ""});
+    reader.replica_.put({Topic::Config, "config", "2"});
+    const ChangeSet second = reader.replica_.since(first.nextSequence_);
     BOOST_TEST(!second.isSnapshot_);
     BOOST_TEST(second.changes_.size() == 2U);
-    follower.board_.apply(second);
-    BOOST_TEST(!follower.board_.has(Topic::Endpoints, "a"));
-    BOOST_TEST(follower.board_.has(Topic::Endpoints, "b"));
-    BOOST_TEST(follower.board_.has(Topic::Config, "config"));
+    follower.replica_.apply(second);
+    BOOST_TEST(!follower.replica_.has(Topic::Endpoints, "a"));
+    BOOST_TEST(follower.replica_.has(Topic::Endpoints, "b"));
+    BOOST_TEST(follower.replica_.has(Topic::Config, "config"));
 }
 
 /**
- * A follower changes to another reader, whose numbers mean nothing to it. It is sent everything,
- * and what that reader does not have is gone, also what was removed long ago.
+ * Guards against keys that stay forever after a follower changes to another reader, whose sequence
+ * numbers differ. It gets a snapshot, and keys that aren't in it are removed, including those whose
+ * tombstones were discarded long ago.
  */
-BOOST_AUTO_TEST_CASE(everythingReplacesWhatWasKnown)
+BOOST_AUTO_TEST_CASE(aSnapshotReplacesWhatWasKnown)
 {
-    CountingBoard reader;
-    CountingBoard follower;
-    follower.board_.put({Topic::Endpoints, "old", "1", 7});
-    reader.board_.put({Topic::Endpoints, "new", "1", 8});
+    CountingReplica reader;
+    CountingReplica follower;
+    follower.replica_.put({Topic::Endpoints, "old", "1", 7});
+    reader.replica_.put({Topic::Endpoints, "new", "1", 8});
     LogOffset end = 9;
     for (int number = 0; number < 2'500; ++number) {
         const std::string key = std::to_string(number);
-        reader.board_.put({Topic::Endpoints, key, "1", end++});
-        reader.board_.put({Topic::Endpoints, key, "", end++});
+        reader.replica_.put({Topic::Endpoints, key, "1", end++});
+        reader.replica_.put({Topic::Endpoints, key, "", end++});
     }
-    reader.board_.onRead(Topic::Endpoints, at(0), end);
-    BOOST_TEST(reader.board_.since(2).isSnapshot_);
-    follower.board_.apply(reader.board_.since(2));
-    BOOST_TEST(follower.board_.keys(Topic::Endpoints).size() == 1U);
-    BOOST_TEST(follower.board_.has(Topic::Endpoints, "new"));
+    reader.replica_.onRead(Topic::Endpoints, at(0), end);
+    BOOST_TEST(reader.replica_.since(2).isSnapshot_);
+    follower.replica_.apply(reader.replica_.since(2));
+    BOOST_TEST(follower.replica_.keys(Topic::Endpoints).size() == 1U);
+    BOOST_TEST(follower.replica_.has(Topic::Endpoints, "new"));
 }
 
 /**
- * An instance asks a reader that is behind: it has a newer value, a newer endpoint, and an endpoint
- * that it knows to be gone. Nothing of it is undone, and the reader's later news are taken.
+ * Guards against a reader that lags behind its follower: the follower has a newer value, a newer
+ * endpoint, and the removal of an endpoint. The reader's older state undoes none of these, and its
+ * later changes are applied.
  */
-BOOST_AUTO_TEST_CASE(aReaderThatIsBehindUndoesNothing)
+BOOST_AUTO_TEST_CASE(aLaggingReaderUndoesNothing)
 {
-    CountingBoard behind;
-    CountingBoard ahead;
-    for (CountingBoard *counting : {&behind, &ahead}) {
-        counting->board_.put({Topic::Endpoints, "changes", "1", 0});
-        counting->board_.put({Topic::Endpoints, "leaves", "1", 1});
-        counting->board_.onRead(Topic::Endpoints, at(0), 2);
+    CountingReplica behind;
+    CountingReplica ahead;
+    for (CountingReplica *counting : {&behind, &ahead}) {
+        counting->replica_.put({Topic::Endpoints, "changes", "1", 0});
+        counting->replica_.put({Topic::Endpoints, "leaves", "1", 1});
+        counting->replica_.onRead(Topic::Endpoints, at(0), 2);
     }
-    ahead.board_.put({Topic::Endpoints, "changes", "2", 2});
-    ahead.board_.put({Topic::Endpoints, "leaves", "", 3});
-    ahead.board_.put({Topic::Endpoints, "new", "1", 4});
-    ahead.board_.onRead(Topic::Endpoints, at(1'000), 5);
-    const int told = ahead.told_;
-    ahead.board_.apply(behind.board_.since(0));
-    BOOST_TEST(ahead.told_ == told);
-    BOOST_TEST((ahead.board_.readAt(Topic::Endpoints) == at(1'000)));
-
-    behind.board_.put({Topic::Endpoints, "leaves", "1", 6});
-    ahead.board_.apply(behind.board_.since(1));
-    BOOST_TEST(ahead.told_ == told + 1);
-    BOOST_TEST(ahead.board_.has(Topic::Endpoints, "leaves"));
+    ahead.replica_.put({Topic::Endpoints, "changes", "2", 2});
+    ahead.replica_.put({Topic::Endpoints, "leaves", "", 3});
+    ahead.replica_.put({Topic::Endpoints, "new", "1", 4});
+    ahead.replica_.onRead(Topic::Endpoints, at(1'000), 5);
+    const int notified = ahead.notifications_;
+    ahead.replica_.apply(behind.replica_.since(0));
+    BOOST_TEST(ahead.notifications_ == notified);
+    BOOST_TEST((ahead.replica_.readAt(Topic::Endpoints) == at(1'000)));
+
+    behind.replica_.put({Topic::Endpoints, "leaves", "1", 6});
+    ahead.replica_.apply(behind.replica_.since(1));
+    BOOST_TEST(ahead.notifications_ == notified + 1);
+    BOOST_TEST(ahead.replica_.has(Topic::Endpoints, "leaves"));
 }
 
-/** A reader that holds a removal back says later that it was made, with a record long known. */
-BOOST_AUTO_TEST_CASE(aRemovalThatIsToldLateIsTaken)
+/** Guards against a removal that is ignored because a reader delayed it past later records. */
+BOOST_AUTO_TEST_CASE(aDelayedRemovalIsApplied)
 {
-    CountingBoard reader;
-    CountingBoard follower;
-    reader.board_.put({Topic::Endpoints, "leaves", "1", 4});
-    reader.board_.onRead(Topic::Endpoints, at(0), 9);
-    follower.board_.apply(reader.board_.since(0));
-    BOOST_TEST(follower.board_.has(Topic::Endpoints, "leaves"));
-    const std::uint64_t told = reader.board_.next();
-    reader.board_.put({Topic::Endpoints, "leaves", "", 5});
-    follower.board_.apply(reader.board_.since(told));
-    BOOST_TEST(!follower.board_.has(Topic::Endpoints, "leaves"));
+    CountingReplica reader;
+    CountingReplica follower;
+    reader.replica_.put({Topic::Endpoints, "leaves", "1", 4});
+    reader.replica_.onRead(Topic::Endpoints, at(0), 9);
+    follower.replica_.apply(reader.replica_.since(0));
+    BOOST_TEST(follower.replica_.has(Topic::Endpoints, "leaves"));
+    const std::uint64_t sequence = reader.replica_.next();
+    reader.replica_.put({Topic::Endpoints, "leaves", "", 5});
+    follower.replica_.apply(reader.replica_.since(sequence));
+    BOOST_TEST(!follower.replica_.has(Topic::Endpoints, "leaves"));
 }
 
-BOOST_AUTO_TEST_CASE(changesSurviveTheWayWithTheirAges)
+BOOST_AUTO_TEST_CASE(changesAndAgesAreEncodedAndDecoded)
 {
-    CountingBoard reader;
-    reader.board_.put({Topic::Instances, "i", "{}", 3});
-    reader.board_.onRead(Topic::Config, at(0), 12);
-    const std::string body = encodeChanges(reader.board_.since(1), 7, false, at(250), at(250));
+    CountingReplica reader;
+    reader.replica_.put({Topic::Instances, "i", "{}", 3});
+    reader.replica_.onRead(Topic::Config, at(0), 12);
+    const std::string body = encodeChanges(reader.replica_.since(1), 7, false, at(250), at(250));
     const auto received = decodeChanges(body, at(10'000), at(10'000));
     BOOST_REQUIRE(received.has_value());
     BOOST_TEST(received->lifetime_ == 7U);
@@ -162,7 +164,7 @@
     BOOST_TEST(!decodeChanges(body.substr(0, body.size() / 2), at(0), at(0)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(aFewInstancesAllReadAndOfManyOnlyTwo)
+BOOST_AUTO_TEST_CASE(aFewInstancesAllReadAndOfManyOnlyTwoDo)
 {
     BOOST_TEST(countReaders(3) == 3);
     BOOST_TEST(countReaders(4) == 2);
@@ -170,8 +172,9 @@
 }
 
 /**
- * A configuration of 2,000 routes is 400 KB. Over a link of 10 Mbit/s a reader needs four seconds
- * to send it to 13 followers, and they miss every endpoint that leaves meanwhile.
+ * Guards against readers with slow links. A configuration of 2,000 routes is 400 KB: over a link of
+ * 10 Mbit/s a reader takes four seconds to send it to 13 followers, which meanwhile don't learn of
+ * endpoints that leave.
  */
 BOOST_AUTO_TEST_CASE(theInstancesWithTheWidestLinksRead)
 {
@@ -179,9 +182,9 @@
     mixed[7].linkMbps_ = 200;
     mixed[13].linkMbps_ = 200;
     for (const Member &self : mixed) {
-        UpstreamSelector source(self.id_, LeaveBound);
-        source.setMembers(mixed);
-        const Upstream chosen = source.choose(at(0));
+        UpstreamSelector selector(self.id_, LeaveBound);
+        selector.setMembers(mixed);
+        const Upstream chosen = selector.choose(at(0));
         BOOST_TEST((chosen.kind_ == UpstreamKind::Peer) == (self.linkMbps_ < 200));
         if (chosen.kind_ == UpstreamKind::Peer) {
             BOOST_TEST((chosen.peer_ == mixed[7].id_ || chosen.peer_ == mixed[13].id_));
--- a/libs/replication/tests/treesupport.h
+++ b/libs/replication/tests/treesupport.h
@@ -1,4 +1,4 @@
-/** The tree in which news pass a failure domain, for tests. */
+/** Computes a failure domain's distribution tree, for tests. */
 #pragma once
 
 #include "almondridge/replication/distributiontree.h"
@@ -10,7 +10,7 @@
 
 namespace almondridge::replication::testing {
 
-/** Whom each of them asks; those that read ask nobody. */
+/** The instance that each member polls; members that read the store aren't in the map. */
 inline std::map<InstanceId, InstanceId> parentsOf(const std::vector<Member> &members,
                                                   const std::set<InstanceId> &excluded = {})
 {
@@ -25,7 +25,8 @@
             }
         }
         const std::vector<InstanceId> activeReaders = readers.activeReaders(true, Now);
-        if (std::find(activeReaders.begin(), activeReaders.end(), member.id_) == activeReaders.end()) {
+        if (std::find(activeReaders.begin(), activeReaders.end(), member.id_)
+            == activeReaders.end()) {
             parents[member.id_] = readers.parent(true, Now);
         }
     }
--- a/libs/replication/tests/valuecompressiontest.cpp
+++ b/libs/replication/tests/valuecompressiontest.cpp
@@ -30,9 +30,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(PackedNews)
+BOOST_AUTO_TEST_SUITE(ValueCompression)
 
-BOOST_AUTO_TEST_CASE(aLargeValueSurvivesTheWayInAShortForm)
+BOOST_AUTO_TEST_CASE(aLargeValueIsCompressedAndRestored)
 {
     CompressedValueCache compressed;
     const Change change {Topic::Config, "config", largeValue('a'), 4};
@@ -45,8 +45,8 @@
     BOOST_TEST(received->set_.changes_[0].offset_ == 4U);
 }
 
-// Guards against followers that are sent the configuration before the one that is in force.
-BOOST_AUTO_TEST_CASE(aLaterValueOfAKeyIsPackedAnew)
+// Guards against a stale cache entry: followers would get the previous configuration.
+BOOST_AUTO_TEST_CASE(aLaterValueOfAKeyIsCompressedAgain)
 {
     CompressedValueCache compressed;
     encoded({Topic::Config, "config", largeValue('a'), 4}, &compressed);
@@ -56,7 +56,7 @@
     BOOST_TEST((received->set_.changes_[0].value_ == largeValue('b')));
 }
 
-BOOST_AUTO_TEST_CASE(smallValuesAndPeersThatDoNotUnpackGetThemAsTheyAre)
+BOOST_AUTO_TEST_CASE(smallValuesAndThoseForPeersWithoutSupportAreSentUncompressed)
 {
     CompressedValueCache compressed;
     BOOST_TEST((compressed.compressedFormOf({Topic::Endpoints, "e", "1", 2}) == nullptr));
@@ -65,8 +65,8 @@
     BOOST_TEST((decodeChanges(body, Now, Now)->set_.changes_[0].value_ == largeValue('a')));
 }
 
-// Guards against a process that ends, or takes all memory, for what a broken peer sent.
-BOOST_AUTO_TEST_CASE(aBrokenFormIsNoNews)
+// Guards against invalid data of a faulty peer that crashes the process or exhausts its memory.
+BOOST_AUTO_TEST_CASE(invalidCompressedDataIsRejected)
 {
     const std::string value = largeValue('a');
     const std::string compressed = compressValue(value);
@@ -74,7 +74,8 @@
     BOOST_TEST(!decompressValue(compressed, value.size() - 1).has_value());
     BOOST_TEST(!decompressValue(compressed, value.size() + 1).has_value());
     BOOST_TEST(!decompressValue(compressed, std::size_t {1} << 40U).has_value());
-    BOOST_TEST(!decompressValue(compressed.substr(0, compressed.size() / 2), value.size()).has_value());
+    BOOST_TEST(
+        !decompressValue(compressed.substr(0, compressed.size() / 2), value.size()).has_value());
     BOOST_TEST(!decompressValue("", value.size()).has_value());
 }
 
--- a/libs/usage/include/almondridge/usage/fleetclock.h
+++ b/libs/usage/include/almondridge/usage/fleetclock.h
@@ -1,6 +1,7 @@
 /**
- * The time since the Unix epoch, from a wall clock that may jump: it is read once and counted on by
- * the boot clock, and then follows the median of the fleet's wall clocks. Pure.
+ * Unix time that is robust against jumps of the wall clock: the wall clock is read once, the boot
+ * clock advances the time from there, and it is then adjusted to the median of the fleet's wall
+ * clocks. Reads no clock itself.
  */
 #pragma once
 
@@ -16,28 +17,29 @@
 class FleetClock
 {
 public:
-    /** wallMillis: the wall clock's word at that moment. */
+    /** wallMillis: the wall clock's Unix time at now. */
     FleetClock(std::int64_t wallMillis, TimePoint now);
 
     std::int64_t unixMillisAt(TimePoint moment) const noexcept;
     TimePoint timePointAt(std::int64_t unixMillis) const noexcept;
 
-    /** An instance's wall clock showed this a moment ago; this instance's own counts as well. */
+    /** Records what an instance's wall clock showed at about now; includes this instance's own. */
     void addSample(const InstanceId &instance, std::int64_t wallMillis, TimePoint now);
-    /** Goes to the median of the clocks that were heard of lately. */
+    /** Sets the time to the median of the recent samples, unless it is close to that already. */
     void adjustToMedian(TimePoint now);
-    /** What a peer's time has to be moved by; nullopt: it is right, as far as can be told. */
+    /** Milliseconds to add to a peer's time; nullopt if the difference is within tolerance. */
     std::optional<std::int64_t> correctionFor(std::int64_t peerMillis, TimePoint now) const;
     void adjustBy(std::int64_t offsetMillis) noexcept { epochMillis_ += offsetMillis; }
 
 private:
     struct Sample
     {
-        std::int64_t epochMillis_ = 0; ///< By this clock, as below.
+        std::int64_t epochMillis_ =
+            0; ///< By this instance's wall clock, as FleetClock::epochMillis_.
         TimePoint receivedAt_ {};
     };
 
-    std::int64_t epochMillis_; ///< The Unix time at the boot clock's zero.
+    std::int64_t epochMillis_; ///< Unix time at the boot clock's zero.
     std::map<InstanceId, Sample> samples_;
 };
 
--- a/libs/usage/include/almondridge/usage/usageledger.h
+++ b/libs/usage/include/almondridge/usage/usageledger.h
@@ -1,5 +1,6 @@
 /**
- * Requests counted by window, instance and account: an instance's own, and what others told. Pure.
+ * Counts of requests by window, instance and account: an instance's own counts, and those received
+ * from others. Does no I/O and reads no clock.
  */
 #pragma once
 
@@ -10,14 +11,17 @@
 
 namespace almondridge::usage {
 
-/** What one lifetime of an instance has counted. */
+/** The requests that this instance has counted since its process started. */
 class LocalCounts
 {
 public:
     void onBegan(const AccountId &account, Window window);
-    /** What has changed since the last call. Windows before open are closed, each told once. */
+    /**
+     * Counts that changed since the last call. Windows before `open` are closed; each is returned
+     * once with all of its counts.
+     */
     std::vector<WindowCounts> takeChanges(Window open);
-    /** All counts of the windows from one on. */
+    /** All counts of the windows from `from` on; windows before `open` are marked closed. */
     std::vector<WindowCounts> since(Window from, Window open) const;
     void forgetBefore(Window window);
 
@@ -34,19 +38,19 @@
     Window closedBefore_ = 0; ///< Windows before it are closed.
 };
 
-/** What all instances have counted, as far as it is known here. */
+/** The requests that all instances have counted, as far as known here. */
 class UsageLedger
 {
 public:
-    /** Parts of windows before the first that is kept are dropped. */
+    /** Merges an update; counts of windows that are no longer kept are dropped. */
     void add(const UsageUpdate &update);
-    /** The requests of all instances and lifetimes. */
+    /** Sums over all instances and their lifetimes. */
     AccountCounts counts(Window window) const;
-    /** Whether the newest lifetime of the instance has told all that it will. */
+    /** Whether all counts of the instance's newest lifetime have arrived, and no more will. */
     bool isComplete(const InstanceId &instance, Window window) const;
-    /** The oldest lifetime that has told anything; nullopt: none has. */
+    /** The oldest lifetime with counts, as its start in Unix milliseconds; nullopt: none. */
     std::optional<std::uint64_t> oldestLifetime() const;
-    /** All that is known of an instance from a window on, a note for each of its lifetimes. */
+    /** All counts from a window on, as one update for each lifetime of each instance. */
     std::vector<UsageUpdate> updatesSince(Window from) const;
     void forgetBefore(Window window);
 
--- a/libs/usage/include/almondridge/usage/usagemesh.h
+++ b/libs/usage/include/almondridge/usage/usagemesh.h
@@ -1,10 +1,10 @@
 /**
- * Who tells whom of the requests that were counted. Pure: datagrams and the time go in, datagrams
- * come out.
+ * Exchanges request counts between instances. Does no I/O: datagrams and the time are passed in,
+ * datagrams are returned.
  *
- * Each instance tells its counts to a few collectors, in all failure domains, as they grow. So what
- * an instance has counted outlives it but for the last moments, and whichever collector reports the
- * usage has all counts already. A reporter that is no collector asks for them.
+ * Each instance sends its counts, as they grow, to a few collectors in all failure domains. So the
+ * counts of an instance that ends survive except for the last moments, and any collector that
+ * becomes the reporter has all counts already. A reporter that isn't a collector queries them.
  */
 #pragma once
 
@@ -17,29 +17,29 @@
 class UsageMesh
 {
 public:
-    /** lifetime: rises with each restart of this instance. */
+    /** lifetime: start of this process in Unix milliseconds; increases with each restart. */
     UsageMesh(InstanceId self, std::uint64_t lifetime, std::int64_t windowMillis, FleetClock time);
 
-    /** All instances of the fleet, and those that collect. */
+    /** Sets all instances of the fleet, and the collectors among them. */
     void setMembers(std::set<InstanceId> members, std::set<InstanceId> collectors);
-    /** A request of the account began to run then. */
+    /** Counts a request of the account that began to run at `began`. */
     void onBegan(const AccountId &account, TimePoint began);
-    /** What is to be sent now; to be called some times a second. */
+    /** Returns the datagrams to send; to be called several times a second. */
     std::vector<gateway::MeshDatagram> tick(std::int64_t wallMillis, TimePoint now);
-    /** The same, whenever it was called last. */
+    /** Like tick(), but without waiting for the update interval. */
     std::vector<gateway::MeshDatagram> tickNow(std::int64_t wallMillis, TimePoint now);
-    /** What is to be sent in answer goes to out. */
+    /** Handles a datagram; appends those to send in reply to out. */
     gateway::Reception onDatagram(std::string_view datagram, TimePoint now,
                                   std::vector<gateway::MeshDatagram> &out);
 
-    /** Asks for all that is known of the windows from one on: this instance reports from now on. */
+    /** Queries all counts from a window on; for an instance that becomes the reporter. */
     std::vector<gateway::MeshDatagram> queryAll(Window from) const;
-    /** Asks those instances that have not told all of a window. */
+    /** Queries the instances whose counts of a window are incomplete. */
     std::vector<gateway::MeshDatagram> queryIncomplete(Window window) const;
-    /** Instances that have not told all of a window. */
+    /** Instances whose counts of a window are incomplete. */
     std::vector<InstanceId> incompleteMembers(Window window) const;
     AccountCounts counts(Window window) const { return ledger_.counts(window); }
-    /** When the oldest lifetime began whose counts are known here, since the Unix epoch. */
+    /** Start of the oldest lifetime whose counts are known here, in Unix milliseconds. */
     std::int64_t knownSince() const;
     const FleetClock &time() const noexcept { return time_; }
     std::int64_t windowMillis() const noexcept { return windowMillis_; }
@@ -49,23 +49,24 @@
     UsageUpdate makeUpdate(std::vector<WindowCounts> parts, TimePoint now);
     void onCorrection(const ClockCorrection &correction);
     Window openWindow(TimePoint now) const;
-    void onUpdate(const UsageUpdate &update, TimePoint now, std::vector<gateway::MeshDatagram> &out);
-    void onQuery(const UsageQuery &query, TimePoint now,
-                    std::vector<gateway::MeshDatagram> &out);
+    void onUpdate(const UsageUpdate &update, TimePoint now,
+                  std::vector<gateway::MeshDatagram> &out);
+    void onQuery(const UsageQuery &query, TimePoint now, std::vector<gateway::MeshDatagram> &out);
 
     InstanceId self_;
     std::uint64_t lifetime_;
     std::int64_t windowMillis_;
     FleetClock time_;
-    std::int64_t wallMillis_ = 0;  ///< As this instance's wall clock last showed.
-    std::set<InstanceId> members_; ///< The others.
+    std::int64_t wallMillis_ = 0;  ///< Last reading of this instance's wall clock.
+    std::set<InstanceId> members_; ///< The other instances.
     std::set<InstanceId> collectors_;
-    std::map<InstanceId, TimePoint> subscribers_; ///< They are told as well until then.
+    std::map<InstanceId, TimePoint>
+        subscribers_; ///< Reporters that get updates too, until this time.
     LocalCounts localCounts_;
     UsageLedger ledger_;
     TimePoint nextUpdateAt_ {};
     std::uint64_t updateNumber_ = 0;
-    std::uint64_t correctedUpTo_ = 0; ///< Notes up to this one told a time that was mended since.
+    std::uint64_t correctedUpTo_ = 0; ///< Updates up to this number had an uncorrected time.
 };
 
 } // namespace almondridge::usage
--- a/libs/usage/include/almondridge/usage/usagereporter.h
+++ b/libs/usage/include/almondridge/usage/usagereporter.h
@@ -1,10 +1,10 @@
 /**
- * Reports the usage of each window once. Pure: what the store and the billing API answered and the
- * time go in, steps come out.
+ * Reports the usage of each window once. Does no I/O: the answers of the store and
+ * of the billing API and the time are passed in, steps are returned.
  *
- * Reporters change, and a call that got no answer may be carried out later. Two reports of a window
- * with different counts are impossible all the same: what is to be sent is appended to a log first,
- * and the first record of a window there is the one that every reporter sends.
+ * The reporter may change, and a call that got no answer may still be executed later. Even so a
+ * window is never reported with two different sets of counts: a report is appended to a log before
+ * it is sent, and every reporter sends the first record of the window in that log.
  */
 #pragma once
 
@@ -23,24 +23,25 @@
 struct ReporterSettings
 {
     std::int64_t windowMillis_ = 5'000;
-    std::int64_t reportDeadlineMillis_ = 10'000; ///< After a window's end its report is of no use any more.
+    std::int64_t reportDeadlineMillis_ =
+        10'000; ///< After a window's end; later reports aren't sent.
 };
 
 enum class ReportStep {
-    ReadLog, ///< From an offset to the end.
-    Append,  ///< The report of a window, if its counts are taken for final.
-    Send,
+    ReadLog, ///< Read the log from from_ to its end.
+    Append,  ///< Append the report of window_ to the log, if its counts are complete.
+    Send,    ///< Send counts_ as the report of window_.
 };
 
 struct ReportAction
 {
     ReportStep step_ = ReportStep::ReadLog;
-    LogOffset from_ = 0; ///< Where to read.
+    LogOffset from_ = 0; ///< For ReadLog.
     Window window_ = 0;
-    AccountCounts counts_ {}; ///< To send.
+    AccountCounts counts_ {}; ///< For Send.
 };
 
-/** A record of the reports' log. */
+/** A record in the log of reports. */
 struct ReportRecord
 {
     Window window_ = 0;
@@ -53,26 +54,27 @@
 public:
     explicit UsageReporter(ReporterSettings settings);
 
-    /** This instance has the right to report, with that fencing number; nullopt: it has not. */
+    /** Sets the fencing token of this instance's lease for reporting; nullopt: it has no lease. */
     void setFence(std::optional<Fence> fence);
-    /** Since when counts are known: earlier ones may have been lost with all that had them. */
+    /** Sets since when counts are known: earlier ones may be lost with their instances. */
     void setKnownSince(std::int64_t unixMillis);
-    /** What to do now; at most one step is on its way. All times are since the Unix epoch. */
+    /** The next step, if any; at most one is in progress. All times are Unix milliseconds. */
     std::optional<ReportAction> next(std::int64_t nowMillis);
-    /** Windows whose counts should be whole by now and have not been reported, oldest first. */
+    /** Windows whose counts should be complete by now and that aren't in the log, oldest first. */
     std::vector<Window> open(std::int64_t nowMillis) const;
 
-    /** isLast: the log ended there. */
+    /** isLast: the log ended at `end`. */
     void onLogRead(const std::vector<ReportRecord> &records, LogOffset end, bool isLast,
                    std::int64_t nowMillis);
-    /** Appended at that offset. */
+    /** The report of the window was appended at that offset. */
     void onAppended(Window window, const AccountCounts &counts, LogOffset offset);
     /** The report was accepted. */
     void onSent(Window window);
-    /** The step got no answer, or a refusal that another try may mend. */
+    /** The step got no answer, or an error that a retry may resolve. */
     void onFailed(ReportStep step, std::int64_t nowMillis);
-    /** The counts of the window are not whole yet: it is looked at again. */
+    /** The counts of the window aren't complete yet: it is tried again with the next call. */
     void onCountsIncomplete() { busy_ = false; }
+    /** Consecutive failed steps. */
     int failures() const noexcept { return failures_; }
 
 private:
@@ -81,13 +83,13 @@
 
     ReporterSettings settings_;
     std::optional<Fence> fence_;
-    bool logRead_ = false; ///< Read to its end since the right was gained.
+    bool logRead_ = false; ///< Read to its end since the lease was gained.
     bool busy_ = false;
-    LogOffset next_ = 0; ///< All records before it are known.
+    LogOffset next_ = 0; ///< All records below this offset are known.
     std::int64_t knownSince_ = 0;
-    std::map<Window, AccountCounts> reports_; ///< As the log has them.
+    std::map<Window, AccountCounts> reports_; ///< First record of each window in the log.
     std::set<Window> sent_;
-    int failures_ = 0; ///< In a row.
+    int failures_ = 0; ///< Consecutive.
     std::int64_t retryAt_ = 0;
 };
 
--- a/libs/usage/include/almondridge/usage/window.h
+++ b/libs/usage/include/almondridge/usage/window.h
@@ -10,18 +10,19 @@
 
 namespace almondridge::usage {
 
-/** Window k begins k times the windows' length after the Unix epoch. */
+/** Index of a window: window k begins k window lengths after the Unix epoch. */
 using Window = std::int64_t;
 
+/** Number of requests by client account. */
 using AccountCounts = std::map<AccountId, std::uint64_t>;
 
-/** The window that a moment lies in. unixMillis: since the Unix epoch. */
+/** The window that contains a time. unixMillis: milliseconds since the Unix epoch. */
 constexpr Window windowAt(std::int64_t unixMillis, std::int64_t windowMillis) noexcept
 {
     return unixMillis / windowMillis;
 }
 
-/** The first moment after the window, in milliseconds since the Unix epoch. */
+/** The end of the window (exclusive), in milliseconds since the Unix epoch. */
 constexpr std::int64_t windowEndMillis(Window window, std::int64_t windowMillis) noexcept
 {
     return (window + 1) * windowMillis;
--- a/libs/usage/src/fleetclock.cpp
+++ b/libs/usage/src/fleetclock.cpp
@@ -7,11 +7,11 @@
 namespace almondridge::usage {
 namespace {
 
-/** Smaller differences come from the way of a message. */
+/** Smaller differences may come from network latency. */
 constexpr std::int64_t MinAdjustmentMillis = 50;
-/** Two instances that tell the same one its time may differ by the drift of both. */
+/** Two collectors that correct the same instance may each deviate by MinAdjustmentMillis. */
 constexpr std::int64_t MinCorrectionMillis = 2 * MinAdjustmentMillis + 50;
-/** A clock that was not heard of for so long tells nothing of now. */
+/** Older samples are dropped. */
 constexpr Duration SampleValidity = millis(10'000);
 
 std::int64_t bootMillis(TimePoint moment)
@@ -42,8 +42,9 @@
 
 void FleetClock::adjustToMedian(TimePoint now)
 {
-    std::erase_if(samples_,
-                  [&](const auto &entry) { return entry.second.receivedAt_ + SampleValidity < now; });
+    std::erase_if(samples_, [&](const auto &entry) {
+        return entry.second.receivedAt_ + SampleValidity < now;
+    });
     std::vector<std::int64_t> epochs;
     epochs.reserve(samples_.size());
     for (const auto &[instance, sample] : samples_) {
--- a/libs/usage/src/usageledger.cpp
+++ b/libs/usage/src/usageledger.cpp
@@ -16,7 +16,7 @@
 
 std::vector<WindowCounts> LocalCounts::takeChanges(Window open)
 {
-    // A window without a request is closed as well, so that nobody waits for what does not come.
+    // A window without requests is closed as well, so that reporters don't wait for its counts.
     for (Window window = std::max(closedBefore_, open - 1); window < open; ++window) {
         windows_.try_emplace(window);
     }
@@ -45,8 +45,8 @@
 std::vector<WindowCounts> LocalCounts::since(Window from, Window open) const
 {
     std::vector<WindowCounts> parts;
-    for (auto place = windows_.lower_bound(from); place != windows_.end(); ++place) {
-        const auto &[window, state] = *place;
+    for (auto iterator = windows_.lower_bound(from); iterator != windows_.end(); ++iterator) {
+        const auto &[window, state] = *iterator;
         parts.push_back({window, window < open, state.total_, state.counts_});
     }
     return parts;
@@ -85,9 +85,9 @@
 AccountCounts UsageLedger::counts(Window window) const
 {
     AccountCounts sums;
-    for (auto place = entries_.lower_bound({window, {}, 0});
-         place != entries_.end() && place->first.window_ == window; ++place) {
-        for (const auto &[account, count] : place->second.counts_) {
+    for (auto iterator = entries_.lower_bound({window, {}, 0});
+         iterator != entries_.end() && iterator->first.window_ == window; ++iterator) {
+        for (const auto &[account, count] : iterator->second.counts_) {
             sums[account] += count;
         }
     }
@@ -96,13 +96,13 @@
 
 bool UsageLedger::isComplete(const InstanceId &instance, Window window) const
 {
-    auto place =
+    auto iterator =
         entries_.upper_bound({window, instance, std::numeric_limits<std::uint64_t>::max()});
-    if (place == entries_.begin()) {
+    if (iterator == entries_.begin()) {
         return false;
     }
-    --place;
-    const auto &[key, entry] = *place;
+    --iterator;
+    const auto &[key, entry] = *iterator;
     return key.window_ == window && key.instance_ == instance && entry.closed_
            && entry.sum() >= entry.total_;
 }
@@ -119,8 +119,9 @@
 std::vector<UsageUpdate> UsageLedger::updatesSince(Window from) const
 {
     std::map<std::pair<InstanceId, std::uint64_t>, UsageUpdate> updates;
-    for (auto place = entries_.lower_bound({from, {}, 0}); place != entries_.end(); ++place) {
-        const auto &[key, entry] = *place;
+    for (auto iterator = entries_.lower_bound({from, {}, 0}); iterator != entries_.end();
+         ++iterator) {
+        const auto &[key, entry] = *iterator;
         UsageUpdate &update = updates[{key.instance_, key.lifetime_}];
         update.sender_ = key.instance_;
         update.lifetime_ = key.lifetime_;
--- a/libs/usage/src/usagemesh.cpp
+++ b/libs/usage/src/usagemesh.cpp
@@ -8,15 +8,15 @@
 using gateway::MeshDatagram;
 using gateway::Reception;
 
-/** What an instance that is killed has counted since it last told is lost. */
+/** An instance that is killed loses the counts since its last update. */
 constexpr Duration UpdateInterval = millis(400);
-/** After a window's end, for answers that tell of requests that began in it. */
+/** Time after a window's end in which requests that began in it may still be counted. */
 constexpr Duration CloseMargin = millis(300);
-/** Windows that are remembered: more than may be reported late. */
+/** Number of windows that are kept; longer than a report may be late. */
 constexpr Window RetainedWindows = 8;
-/** A reporter that is no collector asks more often than this. */
+/** A reporter that isn't a collector repeats its queries within this time. */
 constexpr Duration SubscriptionTime = millis(15'000);
-/** Of the collectors so many are asked for what others told them. */
+/** Number of collectors that are queried for the counts that they got from others. */
 constexpr std::size_t CollectorsQueriedInFull = 2;
 
 void addAll(const InstanceId &to, const std::vector<std::string> &bytes,
@@ -57,7 +57,8 @@
 
 UsageUpdate UsageMesh::makeUpdate(std::vector<WindowCounts> parts, TimePoint now)
 {
-    return {self_, lifetime_, ++updateNumber_, time_.unixMillisAt(now), wallMillis_, std::move(parts)};
+    return {self_,       lifetime_,       ++updateNumber_, time_.unixMillisAt(now),
+            wallMillis_, std::move(parts)};
 }
 
 std::set<InstanceId> UsageMesh::receivers(TimePoint now) const
@@ -113,7 +114,7 @@
         return Reception::Unreadable;
     }
     if (message->update_) {
-        // What a collector tells of others may be of instances that are gone.
+        // Accepted from unknown senders: a collector also forwards counts of removed instances.
         onUpdate(*message->update_, now, out);
         return Reception::Taken;
     }
@@ -131,10 +132,10 @@
     return Reception::Taken;
 }
 
-/** Several collectors correct the same note, and only the first of them counts. */
+/** Several collectors may correct the same update; only the first correction is applied. */
 void UsageMesh::onCorrection(const ClockCorrection &correction)
 {
-    if (correction.update_ > correctedUpTo_) {
+    if (correction.updateNumber_ > correctedUpTo_) {
         correctedUpTo_ = updateNumber_;
         time_.adjustBy(correction.offsetMillis_);
     }
@@ -154,12 +155,11 @@
     }
 }
 
-void UsageMesh::onQuery(const UsageQuery &query, TimePoint now,
-                           std::vector<MeshDatagram> &out)
+void UsageMesh::onQuery(const UsageQuery &query, TimePoint now, std::vector<MeshDatagram> &out)
 {
     subscribers_[query.sender_] = now + SubscriptionTime;
-    addAll(query.sender_, encodeUpdate(makeUpdate(localCounts_.since(query.from_, openWindow(now)), now)),
-           out);
+    addAll(query.sender_,
+           encodeUpdate(makeUpdate(localCounts_.since(query.from_, openWindow(now)), now)), out);
     if (query.includesOthers_) {
         for (const UsageUpdate &update : ledger_.updatesSince(query.from_)) {
             addAll(query.sender_, encodeUpdate(update), out);
@@ -172,7 +172,8 @@
     std::vector<MeshDatagram> datagrams;
     std::size_t fullQueries = 0;
     for (const InstanceId &member : members_) {
-        const bool includesOthers = collectors_.contains(member) && fullQueries < CollectorsQueriedInFull;
+        const bool includesOthers =
+            collectors_.contains(member) && fullQueries < CollectorsQueriedInFull;
         fullQueries += includesOthers ? 1 : 0;
         datagrams.push_back({member, encodeQuery({self_, from, includesOthers})});
     }
--- a/libs/usage/src/usagemessage.cpp
+++ b/libs/usage/src/usagemessage.cpp
@@ -9,9 +9,9 @@
 
 using Json = nlohmann::json;
 
-/** Of the names and numbers in one datagram, so that it fits into one packet. */
+/** Limit for the names and counts in one datagram, so that it fits into one packet. */
 constexpr std::size_t MaxPayloadBytes = 1'000;
-/** A name's and a number's own bytes in CBOR, at most. */
+/** Upper bound of the bytes of a count and of the CBOR headers of a name and a count. */
 constexpr std::size_t EntryOverheadBytes = 12;
 constexpr std::size_t MaxNameBytes = 128;
 constexpr std::uint64_t MaxCount = 1'000'000'000;
@@ -134,8 +134,8 @@
 
 std::string encodeCorrection(const ClockCorrection &correction)
 {
-    return encode(
-        Json::array({"time", correction.sender_.value(), correction.offsetMillis_, correction.update_}));
+    return encode(Json::array(
+        {"time", correction.sender_.value(), correction.offsetMillis_, correction.updateNumber_}));
 }
 
 std::optional<UsageMessage> decodeUsageMessage(std::string_view datagram)
--- a/libs/usage/src/usagereporter.cpp
+++ b/libs/usage/src/usagereporter.cpp
@@ -5,7 +5,7 @@
 namespace almondridge::usage {
 namespace {
 
-/** After a window's end its counts have come from almost all instances. */
+/** Time after a window's end by which the counts of almost all instances have arrived. */
 constexpr std::int64_t CompletionDelayMillis = 1'200;
 constexpr std::int64_t InitialRetryMillis = 250;
 constexpr std::int64_t MaxRetryMillis = 1'000;
@@ -23,7 +23,7 @@
         return;
     }
     fence_ = fence;
-    // Others may have reported in between.
+    // Other instances may have reported in between.
     logRead_ = false;
     busy_ = false;
     failures_ = 0;
@@ -35,7 +35,7 @@
     knownSince_ = unixMillis;
 }
 
-/** The first window that is still of use to report. */
+/** The first window that began after knownSince_ and whose deadline hasn't passed. */
 Window UsageReporter::firstReportable(std::int64_t nowMillis) const
 {
     return std::max(windowAt(knownSince_, settings_.windowMillis_) + 1,
@@ -105,7 +105,8 @@
     busy_ = false;
     failures_ = 0;
     if (offset != next_) {
-        // Somebody else, or an earlier call of ours, wrote before: its record may come first.
+        // Another reporter, or an earlier call of this one, appended before: its record of the same
+        // window may come first.
         logRead_ = false;
         return;
     }
@@ -123,11 +124,10 @@
 void UsageReporter::onFailed(ReportStep step, std::int64_t nowMillis)
 {
     busy_ = false;
-    // A record may have been appended all the same, and is found in the log then.
+    // The record may have been appended nevertheless; reading the log finds it.
     logRead_ = logRead_ && step != ReportStep::Append;
-    retryAt_ =
-        nowMillis
-        + std::min(InitialRetryMillis << std::min(failures_, MaxDoublings), MaxRetryMillis);
+    retryAt_ = nowMillis
+               + std::min(InitialRetryMillis << std::min(failures_, MaxDoublings), MaxRetryMillis);
     ++failures_;
 }
 
--- a/libs/usage/tests/usagemeshtest.cpp
+++ b/libs/usage/tests/usagemeshtest.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t WindowMillis = 5'000;
 constexpr std::int64_t EpochMillis = 1'764'750'000'000;
 constexpr std::int64_t TickMillis = 200;
-/** Between two ticks, so that no request begins within a message's way of a window's end. */
+/** Between two ticks, so that no request starts within a message's latency of a window's end. */
 constexpr std::int64_t BeganBeforeMillis = 100;
 
 TimePoint at(std::int64_t millisSinceStart)
@@ -25,7 +25,7 @@
     return "i-" + std::to_string(number);
 }
 
-/** Instances whose datagrams may be lost, late and doubled. */
+/** Instances whose datagrams may be lost, delayed and duplicated. */
 struct Fleet
 {
     explicit Fleet(int count, int collectors, std::uint64_t seed)
@@ -59,16 +59,16 @@
             const int copies = random_() % 100 < lossPercent_ ? 0 : random_() % 10 == 0 ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy) {
                 const auto delay = static_cast<std::int64_t>(random_() % 20);
-                onTheWay_.emplace(now + delay, datagram);
+                inFlight_.emplace(now + delay, datagram);
             }
         }
     }
 
     void deliver(std::int64_t now)
     {
-        while (!onTheWay_.empty() && onTheWay_.begin()->first <= now) {
-            const gateway::MeshDatagram datagram = onTheWay_.begin()->second;
-            onTheWay_.erase(onTheWay_.begin());
+        while (!inFlight_.empty() && inFlight_.begin()->first <= now) {
+            const gateway::MeshDatagram datagram = inFlight_.begin()->second;
+            inFlight_.erase(inFlight_.begin());
             const auto receiver = meshes_.find(datagram.to_);
             if (receiver == meshes_.end()) {
                 continue;
@@ -80,16 +80,16 @@
         }
     }
 
-    /** A tick of all, with so many requests of any account. */
+    /** Ticks all instances after `requests` requests of random accounts. */
     void tick(std::int64_t now, int requests)
     {
         for (int number = 0; number < requests; ++number) {
-            auto place = meshes_.begin();
-            std::advance(place, static_cast<std::ptrdiff_t>(random_() % meshes_.size()));
+            auto iterator = meshes_.begin();
+            std::advance(iterator, static_cast<std::ptrdiff_t>(random_() % meshes_.size()));
             const AccountId account("account-" + std::to_string(random_() % 7));
             const std::int64_t began = now - BeganBeforeMillis;
-            place->second.onBegan(account, at(began));
-            ++truth_[windowAt(EpochMillis + began, WindowMillis)][account];
+            iterator->second.onBegan(account, at(began));
+            ++expected_[windowAt(EpochMillis + began, WindowMillis)][account];
         }
         for (auto &[id, mesh] : meshes_) {
             send(mesh.tick(EpochMillis + now + aheadMillis_[id], at(now)), now);
@@ -112,10 +112,10 @@
     unsigned lossPercent_ = 0;
     std::set<InstanceId> members_;
     std::set<InstanceId> collectors_;
-    std::map<InstanceId, std::int64_t> aheadMillis_; ///< Of the wall clocks.
+    std::map<InstanceId, std::int64_t> aheadMillis_; ///< Offsets of the wall clocks.
     std::map<InstanceId, UsageMesh> meshes_;
-    std::multimap<std::int64_t, gateway::MeshDatagram> onTheWay_;
-    std::map<Window, AccountCounts> truth_;
+    std::multimap<std::int64_t, gateway::MeshDatagram> inFlight_;
+    std::map<Window, AccountCounts> expected_;
 };
 
 constexpr Window FirstWindow = EpochMillis / WindowMillis;
@@ -124,19 +124,19 @@
 
 BOOST_AUTO_TEST_SUITE(UsageMeshes)
 
-BOOST_AUTO_TEST_CASE(collectorsKnowAllThatWasCounted)
+BOOST_AUTO_TEST_CASE(collectorsHaveAllCounts)
 {
     Fleet fleet(40, 4, 1);
     fleet.run(0, 11'200, 30);
     for (int collector = 0; collector < 4; ++collector) {
         BOOST_TEST(fleet.mesh(collector).incompleteMembers(FirstWindow + 1).empty());
         BOOST_TEST(
-            (fleet.mesh(collector).counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
+            (fleet.mesh(collector).counts(FirstWindow + 1) == fleet.expected_.at(FirstWindow + 1)));
     }
 }
 
-// Guards against counts that are lost, or counted twice, with datagrams that are.
-BOOST_AUTO_TEST_CASE(whatIsLostIsAskedFor)
+// Guards against counts that are lost, or counted twice, because their datagrams are.
+BOOST_AUTO_TEST_CASE(lostCountsAreQueried)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Fleet fleet(20, 4, seed);
@@ -148,36 +148,36 @@
             fleet.run(now, now + 200, 0);
         }
         BOOST_TEST(reporter.incompleteMembers(FirstWindow + 1).empty());
-        BOOST_TEST((reporter.counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
+        BOOST_TEST((reporter.counts(FirstWindow + 1) == fleet.expected_.at(FirstWindow + 1)));
     }
 }
 
-// Guards against the counts of an instance that ends together with it.
-BOOST_AUTO_TEST_CASE(whatAKilledInstanceCountedIsKnownButForTheLastMoment)
+// Guards against losing the counts of an instance that is killed.
+BOOST_AUTO_TEST_CASE(countsOfAKilledInstanceSurviveExceptTheLastMoment)
 {
     Fleet fleet(20, 4, 3);
     fleet.run(0, 8'000, 20);
     fleet.run(8'000, 8'500, 0);
     fleet.meshes_.erase(InstanceId(nameOf(7)));
     fleet.run(8'500, 11'000, 0);
-    BOOST_TEST((fleet.mesh(1).counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
+    BOOST_TEST((fleet.mesh(1).counts(FirstWindow + 1) == fleet.expected_.at(FirstWindow + 1)));
 }
 
-// Guards against a report of a reporter that has just taken over and knows nothing.
-BOOST_AUTO_TEST_CASE(aReporterThatDoesNotCollectAsksForAll)
+// Guards against an incomplete report of a reporter that has just taken over without any counts.
+BOOST_AUTO_TEST_CASE(aReporterThatIsNotACollectorQueriesAllCounts)
 {
     Fleet fleet(20, 4, 4);
     fleet.run(0, 11'000, 20);
     fleet.meshes_.erase(InstanceId(nameOf(9)));
     fleet.send(fleet.mesh(15).queryAll(FirstWindow), 11'000);
     fleet.run(11'000, 11'300, 0);
-    BOOST_TEST((fleet.mesh(15).counts(FirstWindow) == fleet.truth_.at(FirstWindow)));
-    BOOST_TEST((fleet.mesh(15).counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
+    BOOST_TEST((fleet.mesh(15).counts(FirstWindow) == fleet.expected_.at(FirstWindow)));
+    BOOST_TEST((fleet.mesh(15).counts(FirstWindow + 1) == fleet.expected_.at(FirstWindow + 1)));
     BOOST_TEST(fleet.mesh(15).knownSince() == EpochMillis);
 }
 
-// Guards against requests that are counted in another window while a wall clock is wrong.
-BOOST_AUTO_TEST_CASE(aClockThatIsWrongMovesNoRequest)
+// Guards against requests that are counted in the wrong window because a wall clock is wrong.
+BOOST_AUTO_TEST_CASE(aWrongWallClockMovesNoRequestToAnotherWindow)
 {
     Fleet fleet(20, 4, 5);
     fleet.aheadMillis_[InstanceId(nameOf(2))] = 2'000;
@@ -187,7 +187,7 @@
     fleet.run(0, 4'800, 0);
     fleet.aheadMillis_[InstanceId(nameOf(3))] = 3'000;
     fleet.run(4'800, 11'600, 20);
-    BOOST_TEST((fleet.mesh(1).counts(FirstWindow + 1) == fleet.truth_.at(FirstWindow + 1)));
+    BOOST_TEST((fleet.mesh(1).counts(FirstWindow + 1) == fleet.expected_.at(FirstWindow + 1)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/usage/tests/usagemessagetest.cpp
+++ b/libs/usage/tests/usagemessagetest.cpp
@@ -22,9 +22,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(UsageNotes)
+BOOST_AUTO_TEST_SUITE(UsageMessages)
 
-BOOST_AUTO_TEST_CASE(aNoteComesThroughWhole)
+BOOST_AUTO_TEST_CASE(anUpdateIsEncodedAndDecoded)
 {
     for (const std::size_t accounts : {0U, 1U, 20U}) {
         const UsageUpdate sent = updateWith(accounts);
@@ -46,8 +46,8 @@
     }
 }
 
-// Guards against a note of a busy instance that is cut into pieces on its way and lost whole.
-BOOST_AUTO_TEST_CASE(aLongNoteGoesInSeveralPackets)
+// Guards against an update of a busy instance that is fragmented by the network and then lost.
+BOOST_AUTO_TEST_CASE(aLongUpdateIsSplitIntoSeveralDatagrams)
 {
     constexpr std::size_t PacketBytes = 1'400;
     const UsageUpdate sent = updateWith(400);
@@ -64,10 +64,9 @@
     BOOST_TEST((got == sent.parts_[0].counts_));
 }
 
-BOOST_AUTO_TEST_CASE(questionsAndCorrectionsComeThrough)
+BOOST_AUTO_TEST_CASE(queriesAndCorrectionsAreEncodedAndDecoded)
 {
-    const auto query =
-        decodeUsageMessage(encodeQuery({InstanceId("a-1"), 352'950'000, true}));
+    const auto query = decodeUsageMessage(encodeQuery({InstanceId("a-1"), 352'950'000, true}));
     BOOST_REQUIRE(query.has_value());
     BOOST_REQUIRE(query->query_.has_value());
     BOOST_TEST(query->query_->from_ == 352'950'000);
@@ -76,12 +75,12 @@
         const auto correction = decodeUsageMessage(encodeCorrection({InstanceId("a-1"), 3, by}));
         BOOST_REQUIRE(correction.has_value());
         BOOST_TEST(correction->correction_->offsetMillis_ == by);
-        BOOST_TEST(correction->correction_->update_ == 3U);
+        BOOST_TEST(correction->correction_->updateNumber_ == 3U);
     }
 }
 
-// Guards against datagrams of anybody that end the process or tell impossible counts.
-BOOST_AUTO_TEST_CASE(changedDatagramsAreRefusedOrHarmless)
+// Guards against arbitrary datagrams that crash the process or contain impossible counts.
+BOOST_AUTO_TEST_CASE(corruptedDatagramsAreRejectedOrHarmless)
 {
     std::mt19937 random(11);
     const std::string sound = encodeUpdate(updateWith(20)).front();
--- a/libs/usage/tests/usagereportertest.cpp
+++ b/libs/usage/tests/usagereportertest.cpp
@@ -18,8 +18,8 @@
     return {{AccountId("acme"), count}};
 }
 
-/** What the billing API and the log have seen of all reporters. */
-struct World
+/** The log of reports, and the reports that the billing API accepted, from all reporters. */
+struct Backends
 {
     std::vector<ReportRecord> log_;
     std::map<Window, std::set<std::uint64_t>> accepted_;
@@ -35,7 +35,7 @@
 
 BOOST_AUTO_TEST_SUITE(UsageReports)
 
-BOOST_AUTO_TEST_CASE(aWindowIsWrittenDownThenSent)
+BOOST_AUTO_TEST_CASE(aWindowIsLoggedThenSent)
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch - 1);
@@ -55,15 +55,15 @@
     BOOST_TEST(!reporter.next(Epoch + 7'000).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(withoutTheRightNothingIsDone)
+BOOST_AUTO_TEST_CASE(withoutALeaseNothingIsDone)
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch - 1);
     BOOST_TEST(!reporter.next(Epoch + 7'000).has_value());
 }
 
-// Guards against a report that says nothing happened where all that knew of it are gone.
-BOOST_AUTO_TEST_CASE(aWindowThatBeganBeforeAnythingIsKnownIsNotReported)
+// Guards against a report without requests when all instances that had their counts are gone.
+BOOST_AUTO_TEST_CASE(aWindowThatBeganBeforeCountsAreKnownIsNotReported)
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch + 1'000);
@@ -76,8 +76,8 @@
     BOOST_TEST(action->window_ == First + 1);
 }
 
-// Guards against old windows that keep a reporter from those that are still of use.
-BOOST_AUTO_TEST_CASE(windowsThatAreNoMoreDueAreLeft)
+// Guards against old windows that delay the reports of windows whose deadline hasn't passed.
+BOOST_AUTO_TEST_CASE(windowsPastTheirDeadlineAreSkipped)
 {
     UsageReporter reporter(Settings);
     reporter.setKnownSince(Epoch - 1);
@@ -89,12 +89,12 @@
     BOOST_TEST(action->window_ == First + 18);
 }
 
-/** Reporters that come and go, whose calls are lost, late, and carried out after all. */
+/** Guards against differing reports: reporters change, and calls are lost, late or run anyway. */
 BOOST_AUTO_TEST_CASE(noTwoReportsOfAWindowDiffer)
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         std::mt19937_64 random(seed);
-        World world;
+        Backends backends;
         std::vector<UsageReporter> reporters(3, UsageReporter(Settings));
         std::vector<std::pair<Window, std::uint64_t>> lateAppends;
         std::vector<std::pair<Window, std::uint64_t>> lateSends;
@@ -105,7 +105,7 @@
         for (std::int64_t now = Epoch; now < Epoch + 60'000; now += 100) {
             UsageReporter &reporter = reporters[random() % reporters.size()];
             if (random() % 20 == 0) {
-                // Also without taking it from the one before, as a frozen one would still have it.
+                // The previous holder keeps its lease, as a suspended process would.
                 reporter.setFence(++fence);
             }
             if (random() % 40 == 0) {
@@ -117,9 +117,9 @@
                     calls.erase(calls.begin());
                 }
             };
-            late(lateAppends, [&](const auto &call) { world.append(call.first, call.second); });
+            late(lateAppends, [&](const auto &call) { backends.append(call.first, call.second); });
             late(lateSends,
-                 [&](const auto &call) { world.accepted_[call.first].insert(call.second); });
+                 [&](const auto &call) { backends.accepted_[call.first].insert(call.second); });
             const auto action = reporter.next(now);
             if (!action) {
                 continue;
@@ -127,19 +127,19 @@
             const auto fate = random() % 4;
             if (action->step_ == ReportStep::ReadLog) {
                 const std::vector<ReportRecord> records(
-                    world.log_.begin() + static_cast<std::ptrdiff_t>(action->from_),
-                    world.log_.end());
-                reporter.onLogRead(records, world.log_.size(), true, now);
+                    backends.log_.begin() + static_cast<std::ptrdiff_t>(action->from_),
+                    backends.log_.end());
+                reporter.onLogRead(records, backends.log_.size(), true, now);
             } else if (action->step_ == ReportStep::Append) {
                 const std::uint64_t count = random() % 1'000;
                 if (fate == 0) {
                     lateAppends.emplace_back(action->window_, count);
                     reporter.onFailed(action->step_, now);
                 } else if (fate == 1) {
-                    world.append(action->window_, count);
+                    backends.append(action->window_, count);
                     reporter.onFailed(action->step_, now);
                 } else {
-                    const LogOffset offset = world.append(action->window_, count);
+                    const LogOffset offset = backends.append(action->window_, count);
                     reporter.onAppended(action->window_, counted(count), offset);
                 }
             } else {
@@ -148,15 +148,15 @@
                     lateSends.emplace_back(action->window_, count);
                     reporter.onFailed(action->step_, now);
                 } else {
-                    world.accepted_[action->window_].insert(count);
+                    backends.accepted_[action->window_].insert(count);
                     reporter.onSent(action->window_);
                 }
             }
         }
-        for (const auto &[window, counts] : world.accepted_) {
+        for (const auto &[window, counts] : backends.accepted_) {
             BOOST_TEST(counts.size() == 1U, "seed " << seed << ", window " << window);
         }
-        BOOST_TEST(!world.accepted_.empty());
+        BOOST_TEST(!backends.accepted_.empty());
     }
 }
 
