--- a/libs/relay/src/callreader.cpp
+++ b/libs/relay/src/calldispatcher.cpp
@@ -1,4 +1,4 @@
-#include "callreader.h"
+#include "calldispatcher.h"
 
 #include "digest.h"
 
--- a/libs/relay/src/callreader.h
+++ b/libs/relay/src/calldispatcher.h
@@ -5,7 +5,7 @@
 #pragma once
 
 #include "modelcall.h"
-#include "relayparts.h"
+#include "relaycontext.h"
 #include "servicecall.h"
 
 namespace almondridge::relay {
--- a/libs/relay/src/calldriver.h
+++ b/libs/relay/src/calldriver.h
@@ -4,9 +4,9 @@
  */
 #pragma once
 
-#include "callerkey.h"
+#include "idempotencykey.h"
 #include "refusal.h"
-#include "relayparts.h"
+#include "relaycontext.h"
 
 #include "almondridge/net/httpexchange.h"
 #include "almondridge/net/httpserver.h"
--- a/libs/relay/src/mixcounter.cpp
+++ b/libs/relay/src/demandcounter.cpp
@@ -1,4 +1,4 @@
-#include "mixcounter.h"
+#include "demandcounter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/libs/relay/src/callerkey.cpp
+++ b/libs/relay/src/idempotencykey.cpp
@@ -1,4 +1,4 @@
-#include "callerkey.h"
+#include "idempotencykey.h"
 
 #include <algorithm>
 #include <array>
--- a/libs/relay/src/keyedcall.h
+++ b/libs/relay/src/keyedcall.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-#include "callerkey.h"
+#include "idempotencykey.h"
 #include "refusal.h"
 
 #include "almondridge/base/time.h"
--- a/libs/relay/src/modelcall.h
+++ b/libs/relay/src/modelcall.h
@@ -5,7 +5,7 @@
 
 #include "calldriver.h"
 #include "keyedcall.h"
-#include "modelanswer.h"
+#include "modelresponse.h"
 #include "modelrequest.h"
 #include "resumetoken.h"
 #include "ssereader.h"
--- a/libs/relay/src/modelanswer.cpp
+++ b/libs/relay/src/modelresponse.cpp
@@ -1,4 +1,4 @@
-#include "modelanswer.h"
+#include "modelresponse.h"
 
 #include <array>
 #include <utility>
--- a/libs/relay/src/relay.cpp
+++ b/libs/relay/src/relay.cpp
@@ -1,8 +1,8 @@
 #include "almondridge/relay/relay.h"
 
-#include "callreader.h"
+#include "calldispatcher.h"
 #include "modelcall.h"
-#include "relayparts.h"
+#include "relaycontext.h"
 #include "servicecall.h"
 
 #include <atomic>
--- a/libs/relay/src/relayparts.cpp
+++ b/libs/relay/src/relaycontext.cpp
@@ -1,4 +1,4 @@
-#include "relayparts.h"
+#include "relaycontext.h"
 
 #include <cctype>
 #include <random>
--- a/libs/relay/src/relayparts.h
+++ b/libs/relay/src/relaycontext.h
@@ -5,8 +5,8 @@
 
 #include "canceller.h"
 #include "fleetview.h"
-#include "gates.h"
-#include "mixcounter.h"
+#include "synchronized.h"
+#include "demandcounter.h"
 
 #include "almondridge/fleet/settings.h"
 #include "almondridge/observe/metrics.h"
--- a/libs/relay/src/gates.cpp
+++ b/libs/relay/src/synchronized.cpp
@@ -1,4 +1,4 @@
-#include "gates.h"
+#include "synchronized.h"
 
 #include <algorithm>
 #include <chrono>
--- a/libs/relay/tests/servicetest.cpp
+++ b/libs/relay/tests/servicetest.cpp
@@ -1,4 +1,4 @@
-#include "callerkey.h"
+#include "idempotencykey.h"
 #include "fakes.h"
 
 #include <atomic>
--- a/libs/relay/tests/gatestest.cpp
+++ b/libs/relay/tests/synchronizedtest.cpp
@@ -1,6 +1,6 @@
-#include "gates.h"
+#include "synchronized.h"
 #include "fakes.h"
-#include "mixcounter.h"
+#include "demandcounter.h"
 
 #include <atomic>
 #include <boost/test/unit_test.hpp>
