--- a/libs/app/src/instance.cpp
+++ b/libs/app/src/instance.cpp
@@ -36,7 +36,7 @@
     case control::KeyClaimStatus::LogOut:
         break;
     }
-    return relay::ClaimStatus::LogOut;
+    return relay::ClaimStatus::LogUnavailable;
 }
 
 relay::ClaimAnswer toRelay(const control::KeyClaimAnswer &answer)
@@ -194,7 +194,7 @@
         std::make_unique<Periodic>(millis(FollowListMillis), [this] { followInstanceList(); });
     catchUp_ = std::make_unique<Periodic>(millis(CatchUpMillis), [this] { catchUpFromPeers(); });
     planTimer_ = std::make_unique<Periodic>(millis(PlanMillis), [this] {
-        ledger_.addLocal(relay_->takeMix());
+        ledger_.addLocal(relay_->takeDemand());
         planLoop_->round();
     });
     timeline_.add(EventKind::Instance, "instance.started", settings_.instance_.value());
@@ -383,7 +383,7 @@
             {"appends", log_->appends()},
             {"fence", reconciler_->heldFence().value_or(0)},
             {"role_changes", planLoop_->roleChanges()},
-            {"in_work", relay_->inWork()},
+            {"in_work", relay_->activeRequests()},
             {"members", std::move(members)},
             {"withheld", std::move(withheld)},
             {"engines", std::move(progress)}};
--- a/libs/app/src/mixledger.cpp
+++ b/libs/app/src/mixledger.cpp
@@ -11,10 +11,10 @@
 
 } // namespace
 
-void MixLedger::addLocal(const std::vector<relay::MixSample> &samples)
+void MixLedger::addLocal(const std::vector<relay::ModelDemand> &samples)
 {
     const std::lock_guard lock(mutex_);
-    for (const relay::MixSample &sample : samples) {
+    for (const relay::ModelDemand &sample : samples) {
         for (Totals *totals : {&local_[sample.model_], &pending_[sample.model_]}) {
             totals->prefillTokens_ += sample.prefillTokens_;
             totals->decodeTokens_ += sample.decodeTokens_;
--- a/libs/app/src/mixledger.h
+++ b/libs/app/src/mixledger.h
@@ -21,7 +21,7 @@
 {
 public:
     /** Adds what was asked of this instance. */
-    void addLocal(const std::vector<relay::MixSample> &samples);
+    void addLocal(const std::vector<relay::ModelDemand> &samples);
     /** This instance's totals, for its heartbeats. */
     nlohmann::json localTotals() const;
     /** Takes over another instance's totals; malformed ones are ignored. */
--- a/libs/relay/include/almondridge/relay/relay.h
+++ b/libs/relay/include/almondridge/relay/relay.h
@@ -22,12 +22,12 @@
     Claimed,  ///< This request is the first: run it.
     Finished, ///< Ran before; status_ and body_ are its stored outcome.
     Unknown,  ///< Claimed before, outcome not known: never run it again.
-    LogOut,   ///< Neither could be found out: nothing was claimed by this call.
+    LogUnavailable,   ///< Neither could be found out: nothing was claimed by this call.
 };
 
 struct ClaimAnswer
 {
-    ClaimStatus status_ = ClaimStatus::LogOut;
+    ClaimStatus status_ = ClaimStatus::LogUnavailable;
     int httpStatus_ = 0;
     std::string body_;
 };
@@ -49,7 +49,7 @@
 using FleetSource = std::function<std::shared_ptr<const fleet::Fleet>()>;
 
 /** What was asked of a model, for the planner. */
-struct MixSample
+struct ModelDemand
 {
     ModelId model_;
     double prefillTokens_ = 0;
@@ -81,12 +81,12 @@
     bool waitSent(const EndpointId &endpoint, TimePoint deadline);
     void onFleet(std::shared_ptr<const fleet::Fleet> fleet);
     /** Tokens asked for since the last call, per model. */
-    std::vector<MixSample> takeMix();
+    std::vector<ModelDemand> takeDemand();
 
     /** New requests are refused as not run from now on; those in work go on. */
     void stopAccepting();
     /** Requests in work. */
-    int inWork() const noexcept;
+    int activeRequests() const noexcept;
     /** Waits until no request is in work. False at deadline. */
     bool waitIdle(TimePoint deadline);
 
--- a/libs/relay/src/demandcounter.cpp
+++ b/libs/relay/src/demandcounter.cpp
@@ -44,14 +44,14 @@
     models_[model].prefillTokens_ -= static_cast<double>(tokens);
 }
 
-std::vector<MixSample> MixCounter::take()
+std::vector<ModelDemand> MixCounter::take()
 {
     const std::lock_guard lock(mutex_);
-    std::vector<MixSample> samples;
+    std::vector<ModelDemand> samples;
     for (auto &[id, model] : models_) {
         // A correction may come after its expectation was taken; it is carried to the next call
         // instead of being reported as less than nothing.
-        MixSample sample {id, std::max(model.prefillTokens_, 0.0),
+        ModelDemand sample {id, std::max(model.prefillTokens_, 0.0),
                           std::max(model.decodeTokens_, 0.0)};
         model.prefillTokens_ = std::min(model.prefillTokens_, 0.0);
         model.decodeTokens_ = std::min(model.decodeTokens_, 0.0);
--- a/libs/relay/src/demandcounter.h
+++ b/libs/relay/src/demandcounter.h
@@ -24,7 +24,7 @@
     /** Tokens that an engine had in its cache and did not prefill. */
     void cached(const ModelId &model, std::int64_t tokens);
 
-    std::vector<MixSample> take();
+    std::vector<ModelDemand> take();
 
 private:
     struct Model
--- a/libs/relay/src/relay.cpp
+++ b/libs/relay/src/relay.cpp
@@ -94,7 +94,7 @@
     state_->parts_.setFleet(std::move(fleet));
 }
 
-std::vector<MixSample> Relay::takeMix()
+std::vector<ModelDemand> Relay::takeDemand()
 {
     return state_->parts_.mix_.take();
 }
@@ -105,7 +105,7 @@
     state_->accepting_ = false;
 }
 
-int Relay::inWork() const noexcept
+int Relay::activeRequests() const noexcept
 {
     const std::lock_guard lock(state_->mutex_);
     return state_->inWork_;
--- a/libs/relay/tests/fakes.cpp
+++ b/libs/relay/tests/fakes.cpp
@@ -160,14 +160,14 @@
     if (found != claims_.end()) {
         return found->second;
     }
-    return {out_ ? ClaimStatus::LogOut : ClaimStatus::Unknown, 0, {}};
+    return {out_ ? ClaimStatus::LogUnavailable : ClaimStatus::Unknown, 0, {}};
 }
 
 ClaimAnswer FakeClaims::claim(const std::string &key, const RequestId &, TimePoint)
 {
     const std::lock_guard lock(mutex_);
     if (out_) {
-        return {ClaimStatus::LogOut, 0, {}};
+        return {ClaimStatus::LogUnavailable, 0, {}};
     }
     const bool isNew = claims_.try_emplace(key, ClaimAnswer {ClaimStatus::Unknown, 0, {}}).second;
     return isNew ? ClaimAnswer {ClaimStatus::Claimed, 0, {}} : claims_[key];
--- a/libs/relay/tests/synchronizedtest.cpp
+++ b/libs/relay/tests/synchronizedtest.cpp
@@ -59,7 +59,7 @@
     mix.asked(model, 50, 100);
     mix.answered(model, 100, 20, 100);
     mix.cached(model, 30);
-    const std::vector<MixSample> taken = mix.take();
+    const std::vector<ModelDemand> taken = mix.take();
     BOOST_REQUIRE(taken.size() == 1U);
     BOOST_TEST(taken[0].prefillTokens_ == 20);
     BOOST_TEST(taken[0].decodeTokens_ == 20);
