--- a/libs/relay/include/almondridge/relay/machine.h
+++ b/libs/relay/include/almondridge/relay/machine.h
@@ -51,40 +51,42 @@
 }};
 
 enum class RefusalCause {
-    Admission,       ///< Shares, queue or deadline, as admission said.
-    NoEndpoint,      ///< Nothing can take the request.
-    NoRetryLeft,     ///< The instance's retry budget is spent.
-    AttemptsSpent,   ///< This request's own limit of attempts is reached.
-    DeadlinePassed,  ///< The answer would be worth nothing now.
-    ConnectionLost,  ///< After a byte of a call that must not be sent twice.
-    AnswerBroken,    ///< The endpoint failed while its answer was being passed on.
-    StreamForgotten, ///< The engine does not have the stream, and there is no prompt to go on from.
+    Admission,            ///< Shares, queue or deadline, as admission said.
+    NoEndpoint,           ///< Nothing can take the request.
+    RetryBudgetExhausted, ///< The instance's retry budget is spent.
+    AttemptLimitReached,  ///< This request's own limit of attempts is reached.
+    DeadlinePassed,       ///< The answer would be worth nothing now.
+    ConnectionLost,       ///< After a byte of a call that must not be sent twice.
+    ResponseInterrupted,  ///< The endpoint failed while its answer was being passed on.
+    StreamGone, ///< The engine does not have the stream, and there is no prompt to go on from.
 };
 
 inline constexpr std::array<EnumName<RefusalCause>, 8> RefusalCauseNames {{
     {RefusalCause::Admission, "admission"},
     {RefusalCause::NoEndpoint, "no-endpoint"},
-    {RefusalCause::NoRetryLeft, "no-retry-left"},
-    {RefusalCause::AttemptsSpent, "attempts-spent"},
+    {RefusalCause::RetryBudgetExhausted, "no-retry-left"},
+    {RefusalCause::AttemptLimitReached, "attempts-spent"},
     {RefusalCause::DeadlinePassed, "deadline-passed"},
     {RefusalCause::ConnectionLost, "connection-lost"},
-    {RefusalCause::AnswerBroken, "answer-broken"},
-    {RefusalCause::StreamForgotten, "stream-forgotten"},
+    {RefusalCause::ResponseInterrupted, "answer-broken"},
+    {RefusalCause::StreamGone, "stream-forgotten"},
 }};
 
 /** Spans that the machine turns into deadlines, and counts. */
 struct MachineLimits
 {
-    Duration silence_ = millis(1'000);       ///< Between two tokens, before the stream is probed.
-    Duration endpointWait_ = millis(15'000); ///< For an endpoint to continue a begun stream on.
-    Duration endpointPause_ = millis(100);   ///< Between two searches for one.
-    Duration retryAt_ = millis(1'000);      ///< What a refusal says when nothing better is known.
+    Duration inactivityTimeout_ =
+        millis(1'000); ///< Between two tokens, before the stream is probed.
+    Duration endpointSearchTimeout_ =
+        millis(15'000); ///< For an endpoint to continue a begun stream on.
+    Duration endpointSearchInterval_ = millis(100); ///< Between two searches for one.
+    Duration retryAt_ = millis(1'000); ///< What a refusal says when nothing better is known.
     int maxAttempts_ = 6;
-    int maxFruitlessProbes_ = 5; ///< Resumes in a row that brought no token.
+    int maxProbesWithoutToken_ = 5; ///< Resumes in a row that brought no token.
 };
 
 /** A stream that an engine has already. */
-struct StreamPlace
+struct StreamLocation
 {
     EndpointId endpoint_;
     AttemptId attempt_;
@@ -97,10 +99,10 @@
     Recovery recovery_ = Recovery::Once;
     TimePoint deadline_ {};
     /** Set when the caller named no deadline: each token moves the deadline on by this. */
-    std::optional<Duration> moveDeadlineBy_ {};
+    std::optional<Duration> deadlineExtension_ {};
     std::int64_t maxTokens_ = 0; ///< Of the whole answer. Streams only.
     std::int64_t delivered_ = 0; ///< Tokens that the caller has already.
-    std::optional<StreamPlace> resumeAt_ {};
+    std::optional<StreamLocation> resumeAt_ {};
 };
 
 // Events ---------------------------------------------------------------------------------------
@@ -121,7 +123,7 @@
 {
     TimePoint retryAt_ {};
 };
-struct NoRetryLeft
+struct RetryBudgetExhausted
 {
     TimePoint retryAt_ {};
 };
@@ -139,11 +141,11 @@
 
 /** What an endpoint's status line and headers mean. */
 enum class HeadKind {
-    Accepted,  ///< The answer follows.
-    NotRun,    ///< It did not start the request, and says so.
-    Forgotten, ///< It does not have the stream that was to be resumed.
-    Failed,    ///< It failed; it may have run something.
-    Final,     ///< An answer that another endpoint would give too, such as a 400.
+    Accepted,       ///< The answer follows.
+    NotRun,         ///< It did not start the request, and says so.
+    StreamNotFound, ///< It does not have the stream that was to be resumed.
+    Failed,         ///< It failed; it may have run something.
+    Final,          ///< An answer that another endpoint would give too, such as a 400.
 };
 struct HeadReceived
 {
@@ -169,12 +171,12 @@
 };
 
 /** The first bytes of an endpoint's plain answer went to the caller. */
-struct AnswerPassedOn
+struct ResponseForwarded
 {
     ConnectionNumber connection_ = 0;
 };
 /** The endpoint's answer is whole. */
-struct AnswerEnded
+struct ResponseEnded
 {
     ConnectionNumber connection_ = 0;
 };
@@ -190,19 +192,20 @@
      * The path to the caller is silent, but the caller did not hang up: it may already go on with
      * the stream through another instance, so the stream is not cancelled.
      */
-    bool mayComeBack_ = false;
+    bool mayReconnect_ = false;
 };
 /** wakeAt() is reached. */
 struct TimePassed
 { };
 
-using Event = std::variant<Admitted, AdmissionRefused, EndpointChosen, NoEndpoint, NoRetryLeft,
-                           PrefillFinished, HeadReceived, EngineChecked, TokensReceived,
-                           AnswerPassedOn, AnswerEnded, ConnectionLost, CallerGone, TimePassed>;
+using Event =
+    std::variant<Admitted, AdmissionRefused, EndpointChosen, NoEndpoint, RetryBudgetExhausted,
+                 PrefillFinished, HeadReceived, EngineChecked, TokensReceived, ResponseForwarded,
+                 ResponseEnded, ConnectionLost, CallerGone, TimePassed>;
 
 // Actions --------------------------------------------------------------------------------------
 
-/** Answer with EndpointChosen, NoEndpoint or, when budgeted_, NoRetryLeft. */
+/** Answer with EndpointChosen, NoEndpoint or, when budgeted_, RetryBudgetExhausted. */
 struct ChooseEndpoint
 {
     AttemptId attempt_;
@@ -250,7 +253,7 @@
     std::int64_t count_ = 1;
 };
 /** Pass the endpoint's answer on as it is. */
-struct PassOn
+struct ForwardResponse
 {
     ConnectionNumber connection_ = 0;
 };
@@ -261,7 +264,7 @@
     EndpointId endpoint_;
 };
 /** The attempt is over for the router. */
-struct AttemptOver
+struct AttemptEnded
 {
     AttemptId attempt_;
     bool succeeded_ = false; ///< False: the endpoint failed.
@@ -280,8 +283,9 @@
 struct Abandon
 { };
 
-using Action = std::variant<ChooseEndpoint, Prefill, SendRequest, ResumeStream, CheckEngine,
-                            Deliver, PassOn, Cancel, AttemptOver, Finish, Refuse, Abandon>;
+using Action =
+    std::variant<ChooseEndpoint, Prefill, SendRequest, ResumeStream, CheckEngine, Deliver,
+                 ForwardResponse, Cancel, AttemptEnded, Finish, Refuse, Abandon>;
 using Actions = std::vector<Action>;
 
 /** One request. Every run of events ends in exactly one final action. */
@@ -298,13 +302,13 @@
     TimePoint wakeAt() const noexcept;
     bool finished() const noexcept { return phase_ == Phase::Over; }
     /** Tokens of the whole answer that were delivered. */
-    std::int64_t delivered() const noexcept { return next_; }
+    std::int64_t delivered() const noexcept { return nextOffset_; }
     /** Whether the endpoint may have begun the request, or any earlier one did. */
-    bool mayHaveRun() const noexcept { return oldAttemptMayRun_ || attemptMayRun_; }
+    bool mayHaveRun() const noexcept { return earlierAttemptMayRun_ || attemptMayRun_; }
     /** Events that were dropped because they came from an old connection or too late. */
     std::uint64_t staleEvents() const noexcept { return staleEvents_; }
     /** Where the current stream is, for a resume token. */
-    StreamPlace place() const;
+    StreamLocation streamLocation() const;
     int attempts() const noexcept { return attempts_; }
     int resumes() const noexcept { return resumes_; }
 
@@ -320,7 +324,7 @@
         Over,
     };
     /** Where a rule of recovery goes on. */
-    using LossRule = void (RequestMachine::*)(TimePoint now, Actions &out);
+    using RecoveryRule = void (RequestMachine::*)(TimePoint now, Actions &out);
 
     explicit RequestMachine(RequestSpec spec, MachineLimits limits);
 
@@ -328,13 +332,13 @@
     void handle(const AdmissionRefused &event, TimePoint now, Actions &out);
     void handle(const EndpointChosen &event, TimePoint now, Actions &out);
     void handle(const NoEndpoint &event, TimePoint now, Actions &out);
-    void handle(const NoRetryLeft &event, TimePoint now, Actions &out);
+    void handle(const RetryBudgetExhausted &event, TimePoint now, Actions &out);
     void handle(const PrefillFinished &event, TimePoint now, Actions &out);
     void handle(const HeadReceived &event, TimePoint now, Actions &out);
     void handle(const EngineChecked &event, TimePoint now, Actions &out);
     void handle(const TokensReceived &event, TimePoint now, Actions &out);
-    void handle(const AnswerPassedOn &event, TimePoint now, Actions &out);
-    void handle(const AnswerEnded &event, TimePoint now, Actions &out);
+    void handle(const ResponseForwarded &event, TimePoint now, Actions &out);
+    void handle(const ResponseEnded &event, TimePoint now, Actions &out);
     void handle(const ConnectionLost &event, TimePoint now, Actions &out);
     void handle(const CallerGone &event, TimePoint now, Actions &out);
     void handle(const TimePassed &event, TimePoint now, Actions &out);
@@ -345,29 +349,29 @@
     void sendWithoutPrefill(TimePoint now, Actions &out);
     void onAccepted(TimePoint now, Actions &out);
     void onNotRun(TimePoint now, Actions &out);
-    void onForgotten(TimePoint now, Actions &out);
+    void onStreamNotFound(TimePoint now, Actions &out);
     void onFinal(TimePoint now, Actions &out);
-    void moveToAnother(TimePoint now, Actions &out);
-    void lose(TimePoint now, Actions &out);
-    void lostOnce(TimePoint now, Actions &out);
-    void lostRepeatable(TimePoint now, Actions &out);
-    void lostStream(TimePoint now, Actions &out);
-    void lostResumeOnly(TimePoint now, Actions &out);
+    void tryAnotherEndpoint(TimePoint now, Actions &out);
+    void recover(TimePoint now, Actions &out);
+    void recoverOnce(TimePoint now, Actions &out);
+    void recoverRepeatable(TimePoint now, Actions &out);
+    void recoverStream(TimePoint now, Actions &out);
+    void recoverResumeOnly(TimePoint now, Actions &out);
     void closeAttempt(bool succeeded, Actions &out);
     void cancelAttempt(Actions &out);
     void finish(Actions &out);
-    void refuse(RefusalCause cause, TimePoint comeBack, Actions &out);
+    void refuse(RefusalCause cause, TimePoint retryAt, Actions &out);
 
     bool isStale(ConnectionNumber connection);
     bool streams() const noexcept;
-    bool begun() const noexcept;
-    bool probesAreSpent() noexcept;
+    bool hasDeliveredTokens() const noexcept;
+    bool probeLimitReached() noexcept;
     void checkEngine(TimePoint now, Actions &out);
-    void leaveEngine(TimePoint now, Actions &out);
+    void abandonEngine(TimePoint now, Actions &out);
     AttemptId prefillAttempt() const;
     TimePoint firstTokenDeadline(TimePoint now) const noexcept;
 
-    static const std::array<LossRule, 4> LossRules;
+    static const std::array<RecoveryRule, 4> RecoveryRules;
 
     RequestSpec spec_;
     MachineLimits limits_;
@@ -379,23 +383,23 @@
     std::vector<EndpointId> excluded_;
     ConnectionNumber connection_ = 0;
     TimePoint deadline_ {};
-    TimePoint silenceDeadline_ = TimePoint::max();
-    TimePoint endpointDeadline_ = TimePoint::max(); ///< Give up the search for an endpoint.
-    TimePoint chooseAt_ = TimePoint::max();         ///< The next search.
-    TimePoint firstToken_ {};                       ///< Estimate for the current attempt.
-    TimePoint notRunUntil_ {}; ///< When the last endpoint that refused says to come back.
-    std::int64_t base_ = 0;    ///< Offset in the whole answer of the attempt's token 0.
-    std::int64_t next_ = 0;    ///< Offset in the whole answer of the token wanted next.
+    TimePoint inactivityDeadline_ = TimePoint::max();
+    TimePoint endpointSearchDeadline_ = TimePoint::max(); ///< Give up the search for an endpoint.
+    TimePoint nextSearchAt_ = TimePoint::max();           ///< The next search.
+    TimePoint firstToken_ {};                             ///< Estimate for the current attempt.
+    TimePoint notRunUntil_ {};    ///< When the last endpoint that refused says to come back.
+    std::int64_t base_ = 0;       ///< Offset in the whole answer of the attempt's token 0.
+    std::int64_t nextOffset_ = 0; ///< Offset in the whole answer of the token wanted next.
     int attempts_ = 0;
     int resumes_ = 0;
-    int fruitlessProbes_ = 0;
-    int freeMoves_ = 0;
-    bool attemptOpen_ = false; ///< The router waits for AttemptOver.
+    int probesWithoutToken_ = 0;
+    int freeRetries_ = 0;
+    bool attemptOpen_ = false; ///< The router waits for AttemptEnded.
     bool attemptMayRun_ = false;
-    bool oldAttemptMayRun_ = false;
-    bool probing_ = false; ///< The current connection resumes a stream.
-    bool heard_ = false;   ///< The engine accepted the request on the current connection.
-    bool passedOn_ = false;
+    bool earlierAttemptMayRun_ = false;
+    bool probing_ = false;  ///< The current connection resumes a stream.
+    bool accepted_ = false; ///< The engine accepted the request on the current connection.
+    bool responseForwarded_ = false;
     std::uint64_t staleEvents_ = 0;
 };
 
--- a/libs/relay/include/almondridge/relay/relay.h
+++ b/libs/relay/include/almondridge/relay/relay.h
@@ -19,10 +19,10 @@
 
 /** What a claim of an idempotency key came to. */
 enum class ClaimStatus {
-    Claimed,  ///< This request is the first: run it.
-    Finished, ///< Ran before; status_ and body_ are its stored outcome.
-    Unknown,  ///< Claimed before, outcome not known: never run it again.
-    LogUnavailable,   ///< Neither could be found out: nothing was claimed by this call.
+    Claimed,        ///< This request is the first: run it.
+    Finished,       ///< Ran before; status_ and body_ are its stored outcome.
+    Unknown,        ///< Claimed before, outcome not known: never run it again.
+    LogUnavailable, ///< Neither could be found out: nothing was claimed by this call.
 };
 
 struct ClaimAnswer
@@ -78,7 +78,7 @@
      * none follows: only then may another instance be told that it gets no new work from here.
      * False at deadline.
      */
-    bool waitSent(const EndpointId &endpoint, TimePoint deadline);
+    bool waitForSends(const EndpointId &endpoint, TimePoint deadline);
     void onFleet(std::shared_ptr<const fleet::Fleet> fleet);
     /** Tokens asked for since the last call, per model. */
     std::vector<ModelDemand> takeDemand();
--- a/libs/relay/src/calldispatcher.cpp
+++ b/libs/relay/src/calldispatcher.cpp
@@ -21,61 +21,62 @@
 constexpr std::string_view ModelScope = "models";
 constexpr std::size_t MaxRequestIdBytes = 128;
 /** A later deadline is taken for this one: it must not overflow the clock's numbers. */
-constexpr std::int64_t FarthestDeadlineMillis = 7 * 86'400'000LL;
-constexpr Duration ComeBackAfter = millis(1'000);
+constexpr std::int64_t MaxDeadlineMillis = 7 * 86'400'000LL;
+constexpr Duration DefaultRetryDelay = millis(1'000);
 
 /** The caller's name for its request where it may stand in a header, else our own. */
-std::string answerIdFor(std::string_view given, const RequestId &own)
+std::string responseIdFor(std::string_view given, const RequestId &generated)
 {
-    const bool plain = std::all_of(given.begin(), given.end(), [](unsigned char letter) {
-        return std::isalnum(letter) != 0 || letter == '-' || letter == '_' || letter == '.'
-               || letter == ':';
+    const bool isAllowed = std::all_of(given.begin(), given.end(), [](unsigned char character) {
+        return std::isalnum(character) != 0 || character == '-' || character == '_'
+               || character == '.' || character == ':';
     });
-    const bool usable = plain && !given.empty() && given.size() <= MaxRequestIdBytes;
-    return usable ? std::string(given) : own.value();
+    const bool usable = isAllowed && !given.empty() && given.size() <= MaxRequestIdBytes;
+    return usable ? std::string(given) : generated.value();
 }
 
-Result<std::int64_t> readNumber(std::string_view name, std::string_view text, std::int64_t most)
+Result<std::int64_t> parseNumber(std::string_view name, std::string_view text, std::int64_t maximum)
 {
     std::int64_t number = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (error != std::errc() || end != text.data() + text.size() || number < 0 || number > most) {
+    if (error != std::errc() || end != text.data() + text.size() || number < 0
+        || number > maximum) {
         return fail(ErrorKind::InvalidInput, std::string(name) + " is no number in its range",
-                    "write a whole number from 0 to " + std::to_string(most));
+                    "write a whole number from 0 to " + std::to_string(maximum));
     }
     return number;
 }
 
 } // namespace
 
-const std::array<CallReader::Row, 4> CallReader::Rows {{
-    {"/v1/completions", "POST", &CallReader::serveCompletions},
-    {"/v1/chat/completions", "POST", &CallReader::serveChat},
-    {"/v1/models", "GET", &CallReader::serveModels},
-    {StreamPrefix, "GET", &CallReader::serveStream},
+const std::array<CallDispatcher::Route, 4> CallDispatcher::Routes {{
+    {"/v1/completions", "POST", &CallDispatcher::serveCompletions},
+    {"/v1/chat/completions", "POST", &CallDispatcher::serveChat},
+    {"/v1/models", "GET", &CallDispatcher::serveModels},
+    {StreamPrefix, "GET", &CallDispatcher::serveStream},
 }};
 
-CallReader::CallReader(RelayParts &parts, net::ServerExchange &exchange)
-    : parts_(parts)
+CallDispatcher::CallDispatcher(RelayContext &context, net::ServerExchange &exchange)
+    : context_(context)
     , exchange_(exchange)
-    , view_(parts.view())
-    , id_(parts.ids_.next())
-    , answerId_(answerIdFor(exchange.header("X-Request-Id"), id_))
+    , view_(context.view())
+    , id_(context.ids_.next())
+    , responseId_(responseIdFor(exchange.header("X-Request-Id"), id_))
     , started_(BootClock::now())
 { }
 
-bool CallReader::isOurs() const
+bool CallDispatcher::handlesPath() const
 {
     const std::string_view path = exchange_.path();
     return path.starts_with(ApiPrefix)
            || (view_ && fleet::findService(view_->fleet(), path) != nullptr);
 }
 
-void CallReader::serve()
+void CallDispatcher::serve()
 {
     if (!view_) {
-        refuse(refusalFor(
-            Refuse {Outcome::NotRun, RefusalCause::NoEndpoint, BootClock::now() + ComeBackAfter}));
+        refuse(refusalFor(Refuse {Outcome::NotRun, RefusalCause::NoEndpoint,
+                                  BootClock::now() + DefaultRetryDelay}));
         return;
     }
     const auto served = capture([this] { return dispatch(); });
@@ -85,7 +86,7 @@
     }
 }
 
-void CallReader::refuse(const Refusal &refusal)
+void CallDispatcher::refuse(const Refusal &refusal)
 {
     if (!bodyRead_ && exchange_.method() != "GET" && exchange_.method() != "HEAD") {
         // What is left of the body would be read as the caller's next request.
@@ -93,15 +94,15 @@
     }
     const TimePoint now = BootClock::now();
     net::Headers headers = refusalHeaders(refusal, now);
-    headers.push_back({"X-Request-Id", answerId_});
+    headers.push_back({"X-Request-Id", responseId_});
     exchange_.respond(refusal.status_, "application/json", errorBody(refusal, now), headers);
     const char *outcome = refusal.status_ < 500 ? "invalid" : "not-run";
-    parts_.metrics_.count("requests_total", "outcome=\"" + std::string(outcome) + "\"");
-    parts_.timeline_.add(observe::EventKind::Request, "request.refused", id_.value(),
-                         "outcome=not-run why=" + refusal.code_);
+    context_.metrics_.count("requests_total", "outcome=\"" + std::string(outcome) + "\"");
+    context_.timeline_.add(observe::EventKind::Request, "request.refused", id_.value(),
+                           "outcome=not-run why=" + refusal.code_);
 }
 
-void CallReader::refuseMethod(std::string_view allowed)
+void CallDispatcher::refuseMethod(std::string_view allowed)
 {
     Refusal refusal;
     refusal.status_ = 405;
@@ -111,7 +112,7 @@
     refuse(refusal);
 }
 
-void CallReader::refuseModel(const ModelId &model)
+void CallDispatcher::refuseModel(const ModelId &model)
 {
     Refusal refusal;
     refusal.status_ = 404;
@@ -121,7 +122,7 @@
     refuse(refusal);
 }
 
-bool CallReader::refuseExpired(const CallInfo &info)
+bool CallDispatcher::refuseExpired(const CallInfo &info)
 {
     if (info.deadline_ > BootClock::now()) {
         return false;
@@ -132,21 +133,21 @@
     return true;
 }
 
-Result<void> CallReader::dispatch()
+Result<void> CallDispatcher::dispatch()
 {
     const std::string_view path = exchange_.path();
     if (!path.starts_with(ApiPrefix)) {
         return serveService(*fleet::findService(view_->fleet(), path));
     }
-    for (const Row &row : Rows) {
+    for (const Route &route : Routes) {
         const bool found =
-            row.path_.ends_with('/') ? path.starts_with(row.path_) : path == row.path_;
-        if (found && exchange_.method() != row.method_) {
-            refuseMethod(row.method_);
+            route.path_.ends_with('/') ? path.starts_with(route.path_) : path == route.path_;
+        if (found && exchange_.method() != route.method_) {
+            refuseMethod(route.method_);
             return {};
         }
         if (found) {
-            return (this->*row.handler_)();
+            return (this->*route.handler_)();
         }
     }
     return fail(ErrorKind::NotFound, "there is no " + std::string(path),
@@ -155,44 +156,44 @@
 
 // What all calls share --------------------------------------------------------------------------
 
-Result<CallInfo> CallReader::readInfo()
+Result<CallInfo> CallDispatcher::parseCallInfo()
 {
     CallInfo info;
     info.id_ = id_;
-    info.answerId_ = answerId_;
+    info.responseId_ = responseId_;
     info.started_ = started_;
     info.view_ = view_;
     BOOST_LEAF_ASSIGN(info.account_, view_->accountOf(exchange_.header("Authorization")));
-    BOOST_LEAF_CHECK(readDeadline(info));
+    BOOST_LEAF_CHECK(parseDeadline(info));
     return info;
 }
 
-Result<void> CallReader::readDeadline(CallInfo &info) const
+Result<void> CallDispatcher::parseDeadline(CallInfo &info) const
 {
-    info.deadline_ = started_ + millis(parts_.settings_.requestDeadlineMillis_);
+    info.deadline_ = started_ + millis(context_.settings_.requestDeadlineMillis_);
     const std::string_view text = exchange_.header("X-Request-Deadline-Ms");
     if (text.empty()) {
         return {};
     }
     BOOST_LEAF_AUTO(
-        wall, readNumber("X-Request-Deadline-Ms", text, std::numeric_limits<std::int64_t>::max()));
-    const std::int64_t left = std::min(wall - wallMillis(), FarthestDeadlineMillis);
+        wall, parseNumber("X-Request-Deadline-Ms", text, std::numeric_limits<std::int64_t>::max()));
+    const std::int64_t left = std::min(wall - wallMillis(), MaxDeadlineMillis);
     info.deadline_ = started_ + millis(std::max<std::int64_t>(left, 0));
     info.deadlineNamed_ = true;
     return {};
 }
 
-Result<std::optional<CallerKey>> CallReader::readKey(const CallInfo &info,
-                                                     std::string_view scope) const
+Result<std::optional<IdempotencyKey>> CallDispatcher::parseKey(const CallInfo &info,
+                                                               std::string_view scope) const
 {
     const KeyHeaders headers {exchange_.header("Idempotency-Key"), exchange_.header("X-Attempt")};
-    return readCallerKey(headers, info.account_.id_, scope);
+    return parseIdempotencyKey(headers, info.account_.id_, scope);
 }
 
-Result<std::string> CallReader::readBody()
+Result<std::string> CallDispatcher::readBody()
 {
-    const auto limit = static_cast<std::size_t>(parts_.settings_.maxBodyBytes_);
-    const TimePoint until = started_ + millis(parts_.settings_.callerTimeoutMillis_);
+    const auto limit = static_cast<std::size_t>(context_.settings_.maxBodyBytes_);
+    const TimePoint until = started_ + millis(context_.settings_.callerTimeoutMillis_);
     BOOST_LEAF_AUTO(body, exchange_.readBody(limit, until));
     bodyRead_ = true;
     return body;
@@ -200,21 +201,21 @@
 
 // Models ----------------------------------------------------------------------------------------
 
-Result<void> CallReader::serveCompletions()
+Result<void> CallDispatcher::serveCompletions()
 {
     return serveModel(Api::Completions);
 }
 
-Result<void> CallReader::serveChat()
+Result<void> CallDispatcher::serveChat()
 {
     return serveModel(Api::Chat);
 }
 
-Result<void> CallReader::serveModel(Api api)
+Result<void> CallDispatcher::serveModel(Api api)
 {
-    BOOST_LEAF_AUTO(info, readInfo());
+    BOOST_LEAF_AUTO(info, parseCallInfo());
     ModelTask task;
-    BOOST_LEAF_ASSIGN(task.key_, readKey(info, ModelScope));
+    BOOST_LEAF_ASSIGN(task.key_, parseKey(info, ModelScope));
     BOOST_LEAF_AUTO(body, readBody());
     BOOST_LEAF_ASSIGN(task.request_, parseModelRequest(api, body));
     const auto routed = view_->modelNamed(task.request_.model_.value());
@@ -223,16 +224,16 @@
         return {};
     }
     task.routed_ = *routed;
-    BOOST_LEAF_CHECK(readResume(info, task));
+    BOOST_LEAF_CHECK(parseResume(info, task));
     if (!refuseExpired(info)) {
-        ModelCall(parts_, exchange_, info, std::move(task)).serve();
+        ModelCall(context_, exchange_, info, std::move(task)).serve();
     }
     return {};
 }
 
-Result<ResumeToken> CallReader::readToken(const CallInfo &info, std::string_view text) const
+Result<ResumeToken> CallDispatcher::verifyToken(const CallInfo &info, std::string_view text) const
 {
-    BOOST_LEAF_AUTO(token, readResumeToken(text, parts_.settings_.peerKey_));
+    BOOST_LEAF_AUTO(token, parseResumeToken(text, context_.settings_.peerKey_));
     if (token.account_ != info.account_.id_) {
         return fail(ErrorKind::Unauthorized, "the resume token is of another account",
                     "send it with the key that the request was sent with");
@@ -240,7 +241,7 @@
     return token;
 }
 
-Result<void> CallReader::readResume(const CallInfo &info, ModelTask &task) const
+Result<void> CallDispatcher::parseResume(const CallInfo &info, ModelTask &task) const
 {
     const ModelRequest &request = task.request_;
     const std::string_view text = exchange_.header("X-Resume-Token");
@@ -253,30 +254,30 @@
         return {};
     }
     BOOST_LEAF_ASSIGN(task.resumeOffset_,
-                      readNumber("X-Resume-Offset", offset, request.maxTokens_));
-    BOOST_LEAF_AUTO(token, readToken(info, text));
-    const bool same = token.api_ == request.api_ && token.model_ == request.model_
-                      && token.requestHash_ == sha256Hex(request.promptText_);
-    if (!same || request.resumeText_.empty() != (task.resumeOffset_ == 0)) {
+                      parseNumber("X-Resume-Offset", offset, request.maxTokens_));
+    BOOST_LEAF_AUTO(token, verifyToken(info, text));
+    const bool matches = token.api_ == request.api_ && token.model_ == request.model_
+                         && token.requestHash_ == sha256Hex(request.promptText_);
+    if (!matches || request.resumeText_.empty() != (task.resumeOffset_ == 0)) {
         return fail(ErrorKind::InvalidInput, "the resume token is of another request",
                     "send the same body as before, with the text so far in resume_text");
     }
-    task.atEngine_ = task.resumeOffset_ >= token.place_.base_;
+    task.resumeAtEngine_ = task.resumeOffset_ >= token.location_.base_;
     task.resume_ = std::move(token);
     return {};
 }
 
-Result<void> CallReader::serveStream()
+Result<void> CallDispatcher::serveStream()
 {
-    BOOST_LEAF_AUTO(info, readInfo());
-    BOOST_LEAF_AUTO(token, readToken(info, exchange_.path().substr(StreamPrefix.size())));
+    BOOST_LEAF_AUTO(info, parseCallInfo());
+    BOOST_LEAF_AUTO(token, verifyToken(info, exchange_.path().substr(StreamPrefix.size())));
     const std::string offset = exchange_.queryValue("offset");
     ModelTask task;
     BOOST_LEAF_ASSIGN(task.resumeOffset_,
-                      readNumber("offset", offset.empty() ? "0" : offset, token.maxTokens_));
-    if (task.resumeOffset_ < token.place_.base_) {
-        refuse(refusalFor(Refuse {Outcome::Unknown, RefusalCause::StreamForgotten,
-                                  BootClock::now() + ComeBackAfter}));
+                      parseNumber("offset", offset.empty() ? "0" : offset, token.maxTokens_));
+    if (task.resumeOffset_ < token.location_.base_) {
+        refuse(refusalFor(Refuse {Outcome::Unknown, RefusalCause::StreamGone,
+                                  BootClock::now() + DefaultRetryDelay}));
         return {};
     }
     task.request_.api_ = token.api_;
@@ -286,17 +287,17 @@
     task.request_.stream_ = true;
     task.routed_ = view_->modelNamed(token.model_.value()).value_or(token.model_);
     task.recovery_ = Recovery::ResumeOnly;
-    task.atEngine_ = true;
+    task.resumeAtEngine_ = true;
     task.resume_ = std::move(token);
     if (!refuseExpired(info)) {
-        ModelCall(parts_, exchange_, info, std::move(task)).serve();
+        ModelCall(context_, exchange_, info, std::move(task)).serve();
     }
     return {};
 }
 
-Result<void> CallReader::serveModels()
+Result<void> CallDispatcher::serveModels()
 {
-    BOOST_LEAF_CHECK(readInfo());
+    BOOST_LEAF_CHECK(parseCallInfo());
     json list = {{"object", "list"}, {"data", json::array()}};
     for (const std::string &name : view_->modelNames()) {
         list["data"].push_back({{"id", name},
@@ -304,35 +305,35 @@
                                 {"created", 0},
                                 {"owned_by", view_->fleet().name_}});
     }
-    exchange_.respond(200, "application/json", list.dump(), {{"X-Request-Id", answerId_}});
+    exchange_.respond(200, "application/json", list.dump(), {{"X-Request-Id", responseId_}});
     return {};
 }
 
 // Services --------------------------------------------------------------------------------------
 
-Result<void> CallReader::serveService(const fleet::Service &service)
+Result<void> CallDispatcher::serveService(const fleet::Service &service)
 {
-    BOOST_LEAF_AUTO(info, readInfo());
+    BOOST_LEAF_AUTO(info, parseCallInfo());
     ServiceTask task;
-    BOOST_LEAF_ASSIGN(task.key_, readKey(info, "service/" + service.id_.value()));
+    BOOST_LEAF_ASSIGN(task.key_, parseKey(info, "service/" + service.id_.value()));
     BOOST_LEAF_ASSIGN(task.body_, readBody());
     const std::string_view path = exchange_.path();
-    std::string inService(path.substr(std::min(service.pathPrefix_.size(), path.size())));
-    if (!inService.starts_with('/')) {
-        inService.insert(0, "/");
+    std::string servicePath(path.substr(std::min(service.pathPrefix_.size(), path.size())));
+    if (!servicePath.starts_with('/')) {
+        servicePath.insert(0, "/");
     }
     task.service_ = service.id_;
     task.method_ = exchange_.method();
-    const auto repeatability = fleet::repeatabilityOf(service, task.method_, inService);
+    const auto repeatability = fleet::repeatabilityOf(service, task.method_, servicePath);
     task.recovery_ =
         repeatability == fleet::Repeatability::Idempotent ? Recovery::Repeat : Recovery::Once;
-    task.path_ = inService;
+    task.path_ = servicePath;
     if (!exchange_.query().empty()) {
         task.path_ += "?" + std::string(exchange_.query());
     }
     task.headers_ = exchange_.headers();
     if (!refuseExpired(info)) {
-        ServiceCall(parts_, exchange_, info, std::move(task)).serve();
+        ServiceCall(context_, exchange_, info, std::move(task)).serve();
     }
     return {};
 }
--- a/libs/relay/src/calldriver.cpp
+++ b/libs/relay/src/calldriver.cpp
@@ -21,20 +21,20 @@
 MachineLimits limitsFrom(const fleet::Settings &settings)
 {
     MachineLimits limits;
-    limits.silence_ = millis(settings.interTokenTimeoutMillis_);
+    limits.inactivityTimeout_ = millis(settings.interTokenTimeoutMillis_);
     return limits;
 }
 
 } // namespace
 
-CallDriver::CallDriver(RelayParts &parts, net::ServerExchange &caller, CallInfo info,
+CallDriver::CallDriver(RelayContext &context, net::ServerExchange &caller, CallInfo info,
                        RequestSpec spec)
-    : parts_(parts)
+    : context_(context)
     , caller_(caller)
     , info_(std::move(info))
     , machine_(RequestMachine::Builder()
                    .spec(std::move(spec))
-                   .limits(limitsFrom(parts.settings_))
+                   .limits(limitsFrom(context.settings_))
                    .build())
 { }
 
@@ -46,9 +46,9 @@
     while (!machine_.finished()) {
         step();
     }
-    link_.reset();
+    endpointExchange_.reset();
     closePrefill(true);
-    parts_.metrics_.count("stale_events_total", {}, machine_.staleEvents());
+    context_.metrics_.count("stale_events_total", {}, machine_.staleEvents());
 }
 
 void CallDriver::feed(const Event &event)
@@ -64,8 +64,8 @@
         const Event event = std::move(events_.front());
         events_.pop_front();
         feed(event);
-    } else if (!link_) {
-        waitWithoutLink();
+    } else if (!endpointExchange_) {
+        waitWithoutConnection();
     } else if (!headRead_) {
         awaitHead();
     } else {
@@ -77,32 +77,32 @@
 
 void CallDriver::perform(const ChooseEndpoint &action)
 {
-    link_.reset();
+    endpointExchange_.reset();
     const TimePoint now = BootClock::now();
-    if (action.budgeted_ && !parts_.admission_.takeRetry()) {
-        push(NoRetryLeft {now + MachineLimits().retryAt_});
+    if (action.budgeted_ && !context_.admission_.takeRetry()) {
+        push(RetryBudgetExhausted {now + MachineLimits().retryAt_});
         return;
     }
     routing::RouteQuery wanted = query();
     wanted.excluded_ = action.excluded_;
     wanted.random_ = randomNumber();
-    const auto choice = parts_.router_.dispatch(action.attempt_, wanted);
+    const auto choice = context_.router_.dispatch(action.attempt_, wanted);
     if (!choice) {
         push(NoEndpoint {now + MachineLimits().retryAt_});
         return;
     }
-    parts_.metrics_.count("attempts_total");
-    record("request.attempt", "attempt=" + action.attempt_.value() + " endpoint="
-                                  + choice->endpoint_.value() + " " + choice->reason_);
+    context_.metrics_.count("attempts_total");
+    recordEvent("request.attempt", "attempt=" + action.attempt_.value() + " endpoint="
+                                       + choice->endpoint_.value() + " " + choice->reason_);
     push(EndpointChosen {choice->endpoint_, choice->prefill_, choice->firstToken_});
 }
 
 void CallDriver::perform(const Prefill &action)
 {
-    use_ = LinkUse::Prefill;
+    connectionUse_ = ConnectionUse::Prefill;
     prefillAttempt_ = action.attempt_;
     const routing::RouteQuery wanted = query();
-    parts_.router_.with([&](routing::Router &router) {
+    context_.router_.with([&](routing::Router &router) {
         router.onDispatched(action.attempt_, action.endpoint_, wanted, BootClock::now());
     });
     open(action.connection_, action.endpoint_, prefillRequestFor(action));
@@ -111,27 +111,27 @@
 void CallDriver::perform(const SendRequest &action)
 {
     closePrefill(action.afterPrefill_);
-    use_ = LinkUse::Request;
+    connectionUse_ = ConnectionUse::Request;
     if (action.base_ > 0) {
-        parts_.metrics_.count("continued_total");
-        record("request.continued", "endpoint=" + action.endpoint_.value()
-                                        + " after_tokens=" + std::to_string(action.base_));
+        context_.metrics_.count("continued_total");
+        recordEvent("request.continued", "endpoint=" + action.endpoint_.value()
+                                             + " after_tokens=" + std::to_string(action.base_));
     }
     open(action.connection_, action.endpoint_, requestFor(action));
 }
 
 void CallDriver::perform(const ResumeStream &action)
 {
-    use_ = LinkUse::Resume;
-    parts_.metrics_.count("resumed_total");
-    record("request.resumed",
-           "endpoint=" + action.endpoint_.value() + " offset=" + std::to_string(action.offset_));
+    connectionUse_ = ConnectionUse::Resume;
+    context_.metrics_.count("resumed_total");
+    recordEvent("request.resumed", "endpoint=" + action.endpoint_.value()
+                                       + " offset=" + std::to_string(action.offset_));
     open(action.connection_, action.endpoint_, resumeRequestFor(action));
 }
 
 void CallDriver::perform(const CheckEngine &action)
 {
-    use_ = LinkUse::Check;
+    connectionUse_ = ConnectionUse::Check;
     net::Request request;
     request.path_ = "/engine/load";
     open(action.connection_, action.endpoint_, request);
@@ -142,21 +142,21 @@
     deliver(action);
 }
 
-void CallDriver::perform(const PassOn & /*action*/)
+void CallDriver::perform(const ForwardResponse & /*action*/)
 {
-    passOn();
+    forwardResponse();
 }
 
 void CallDriver::perform(const Cancel &action)
 {
     if (const auto address = addressOf(action.endpoint_)) {
-        parts_.canceller_.cancel(*address, action.attempt_);
+        context_.canceller_.cancel(*address, action.attempt_);
     }
 }
 
-void CallDriver::perform(const AttemptOver &action)
+void CallDriver::perform(const AttemptEnded &action)
 {
-    parts_.router_.finished(action.attempt_, action.succeeded_);
+    context_.router_.finished(action.attempt_, action.succeeded_);
 }
 
 void CallDriver::perform(const Finish & /*action*/)
@@ -166,20 +166,20 @@
 
 void CallDriver::perform(const Refuse &action)
 {
-    link_.reset();
+    endpointExchange_.reset();
     refuse(refusalFor(action));
 }
 
 void CallDriver::perform(const Abandon & /*action*/)
 {
-    link_.reset();
+    endpointExchange_.reset();
     abandon();
 }
 
 void CallDriver::open(ConnectionNumber connection, const EndpointId &endpoint,
                       const net::Request &request)
 {
-    link_.reset();
+    endpointExchange_.reset();
     headRead_ = false;
     connection_ = connection;
     const std::optional<net::Address> address = addressOf(endpoint);
@@ -188,44 +188,46 @@
         return;
     }
     const TimePoint until = std::min(
-        machine_.wakeAt(), BootClock::now() + millis(parts_.settings_.connectTimeoutMillis_));
+        machine_.wakeAt(), BootClock::now() + millis(context_.settings_.connectTimeoutMillis_));
     auto connected = capture([&] { return net::HttpExchange::connect(*address, until); });
     if (connected.index() != 0) {
         onLost(false);
         return;
     }
-    link_.emplace(std::move(std::get<0>(connected)));
-    if (!sendGuarded(endpoint, request)) {
-        onLost(link_->anythingSent());
-        link_.reset();
+    endpointExchange_.emplace(std::move(std::get<0>(connected)));
+    if (!sendIfAvailable(endpoint, request)) {
+        onLost(endpointExchange_->anythingSent());
+        endpointExchange_.reset();
     }
 }
 
-bool CallDriver::sendGuarded(const EndpointId &endpoint, const net::Request &request)
+bool CallDriver::sendIfAvailable(const EndpointId &endpoint, const net::Request &request)
 {
     const auto send = [&] {
-        return capture([&] { return link_->send(request, machine_.wakeAt()); }).index() == 0;
+        return capture([&] { return endpointExchange_->send(request, machine_.wakeAt()); }).index()
+               == 0;
     };
-    const bool newWork = use_ == LinkUse::Request || use_ == LinkUse::Prefill;
+    const bool newWork =
+        connectionUse_ == ConnectionUse::Request || connectionUse_ == ConnectionUse::Prefill;
     if (!newWork) {
         return send();
     }
     // Between the choice and here the endpoint may have been announced as draining, and this
     // instance may have confirmed that it sends nothing more: the engine would then be changed
     // under this request. So the view is looked at again, and who confirms waits for what has
-    // passed here (Relay::waitSent).
-    if (!parts_.router_.beginSend(endpoint)) {
+    // passed here (Relay::waitForSends).
+    if (!context_.router_.beginSend(endpoint)) {
         return false;
     }
     const bool sent = send();
-    parts_.router_.endSend(endpoint);
+    context_.router_.endSend(endpoint);
     return sent;
 }
 
 void CallDriver::closePrefill(bool succeeded)
 {
     if (prefillAttempt_) {
-        parts_.router_.finished(*std::exchange(prefillAttempt_, std::nullopt), succeeded);
+        context_.router_.finished(*std::exchange(prefillAttempt_, std::nullopt), succeeded);
     }
 }
 
@@ -250,7 +252,7 @@
 
 // Help for the kinds of calls -------------------------------------------------------------------
 
-void CallDriver::callerLost()
+void CallDriver::onCallerLost()
 {
     if (!std::exchange(callerKnownGone_, true)) {
         push(CallerGone {!caller_.callerGone()});
@@ -259,8 +261,8 @@
 
 std::string CallDriver::readShortBody()
 {
-    const TimePoint until = BootClock::now() + millis(parts_.settings_.connectTimeoutMillis_);
-    auto body = capture([&] { return link_->readRest(until, ShortBodyBytes); });
+    const TimePoint until = BootClock::now() + millis(context_.settings_.connectTimeoutMillis_);
+    auto body = capture([&] { return endpointExchange_->readRest(until, ShortBodyBytes); });
     return body.index() == 0 ? std::move(std::get<0>(body)) : std::string();
 }
 
@@ -268,49 +270,50 @@
 {
     const TimePoint now = BootClock::now();
     net::Headers headers = refusalHeaders(refusal, now);
-    headers.push_back({"X-Request-Id", info_.answerId_});
+    headers.push_back({"X-Request-Id", info_.responseId_});
     caller_.respond(refusal.status_, "application/json", errorBody(refusal, now), headers);
 }
 
-net::Headers CallDriver::answerHeaders() const
+net::Headers CallDriver::responseHeaders() const
 {
-    return {{"X-Request-Id", info_.answerId_}};
+    return {{"X-Request-Id", info_.responseId_}};
 }
 
-void CallDriver::record(const char *event, std::string detail)
+void CallDriver::recordEvent(const char *event, std::string detail)
 {
-    parts_.timeline_.add(observe::EventKind::Request, event, info_.id_.value(), std::move(detail));
+    context_.timeline_.add(observe::EventKind::Request, event, info_.id_.value(),
+                           std::move(detail));
 }
 
-void CallDriver::outcome(CallOutcome outcome, std::string detail)
+void CallDriver::recordOutcome(CallOutcome outcome, std::string detail)
 {
     const Duration spent = BootClock::now() - info_.started_;
     const std::string name(nameOf(CallOutcomeNames, outcome));
-    parts_.metrics_.count("requests_total", "outcome=\"" + name + "\"");
-    parts_.metrics_.observeSeconds("request_seconds", toSeconds(spent));
+    context_.metrics_.count("requests_total", "outcome=\"" + name + "\"");
+    context_.metrics_.observeSeconds("request_seconds", toSeconds(spent));
     const bool refused = outcome == CallOutcome::NotRun || outcome == CallOutcome::Unknown;
-    parts_.timeline_.add(observe::EventKind::Request,
-                         refused ? "request.refused" : "request.finished", info_.id_.value(),
-                         "outcome=" + name + " " + std::move(detail), toMillis(spent));
+    context_.timeline_.add(observe::EventKind::Request,
+                           refused ? "request.refused" : "request.finished", info_.id_.value(),
+                           "outcome=" + name + " " + std::move(detail), toMillis(spent));
 }
 
-std::optional<TimePoint> CallDriver::comeBackOf(const net::ResponseHead &head)
+std::optional<TimePoint> CallDriver::retryAfterOf(const net::ResponseHead &head)
 {
     constexpr std::int64_t MillisPerSecond = 1'000;
-    constexpr std::int64_t LongestSeconds = 3'600;
+    constexpr std::int64_t MaxRetryAfterSeconds = 3'600;
     const std::string_view text = net::headerValue(head.headers_, "Retry-After");
     std::int64_t seconds = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seconds);
     if (error != std::errc() || seconds < 0) {
         return std::nullopt;
     }
-    return BootClock::now() + millis(std::min(seconds, LongestSeconds) * MillisPerSecond);
+    return BootClock::now() + millis(std::min(seconds, MaxRetryAfterSeconds) * MillisPerSecond);
 }
 
 std::optional<net::Address> CallDriver::addressOf(const EndpointId &endpoint) const
 {
     // The router may know a newer file than the one that this request began under.
-    const std::shared_ptr<const FleetView> view = parts_.view();
+    const std::shared_ptr<const FleetView> view = context_.view();
     const auto &endpoints = view->fleet().endpoints_;
     const auto found = endpoints.find(endpoint);
     if (found == endpoints.end()) {
--- a/libs/relay/src/calldriver.h
+++ b/libs/relay/src/calldriver.h
@@ -42,7 +42,7 @@
 struct CallInfo
 {
     RequestId id_;
-    std::string answerId_; ///< X-Request-Id as the caller gave it, else id_.
+    std::string responseId_; ///< X-Request-Id as the caller gave it, else id_.
     fleet::Account account_;
     TimePoint started_ {};
     TimePoint deadline_ {};
@@ -58,7 +58,7 @@
     CallDriver &operator=(const CallDriver &) = delete;
 
 protected:
-    CallDriver(RelayParts &parts, net::ServerExchange &caller, CallInfo info, RequestSpec spec);
+    CallDriver(RelayContext &context, net::ServerExchange &caller, CallInfo info, RequestSpec spec);
 
     /** Until the final answer is given. */
     void run();
@@ -83,7 +83,7 @@
     virtual void deliver(const Deliver &action);
     /** Called now and then while nothing comes. */
     virtual void keepAlive();
-    virtual void passOn() = 0;
+    virtual void forwardResponse() = 0;
     virtual void finish() = 0;
     virtual void refuse(const Refusal &refusal) = 0;
     virtual void abandon() = 0;
@@ -91,24 +91,24 @@
     /** Sends an error answer. */
     void respondRefusal(const Refusal &refusal);
     /** The caller could not be written to. */
-    void callerLost();
+    void onCallerLost();
     /** The rest of a short answer; empty when it does not come. */
     std::string readShortBody();
     /** When an endpoint's Retry-After says to come back. */
-    static std::optional<TimePoint> comeBackOf(const net::ResponseHead &head);
-    net::Headers answerHeaders() const;
-    void record(const char *event, std::string detail);
+    static std::optional<TimePoint> retryAfterOf(const net::ResponseHead &head);
+    net::Headers responseHeaders() const;
+    void recordEvent(const char *event, std::string detail);
     /** Counts the call's end and notes it on the time line. Once a call. */
-    void outcome(CallOutcome outcome, std::string detail);
+    void recordOutcome(CallOutcome outcome, std::string detail);
 
-    RelayParts &parts_;
+    RelayContext &context_;
     net::ServerExchange &caller_;
     const CallInfo info_;
     RequestMachine machine_;
     ConnectionNumber connection_ = 0;
     /** What the current connection is for. */
-    enum class LinkUse { Request, Resume, Prefill, Check };
-    LinkUse use_ = LinkUse::Request;
+    enum class ConnectionUse { Request, Resume, Prefill, Check };
+    ConnectionUse connectionUse_ = ConnectionUse::Request;
 
 private:
     void perform(const ChooseEndpoint &action);
@@ -117,9 +117,9 @@
     void perform(const ResumeStream &action);
     void perform(const CheckEngine &action);
     void perform(const Deliver &action);
-    void perform(const PassOn &action);
+    void perform(const ForwardResponse &action);
     void perform(const Cancel &action);
-    void perform(const AttemptOver &action);
+    void perform(const AttemptEnded &action);
     void perform(const Finish &action);
     void perform(const Refuse &action);
     void perform(const Abandon &action);
@@ -127,23 +127,23 @@
     void step();
     void open(ConnectionNumber connection, const EndpointId &endpoint, const net::Request &request);
     /** False when not a byte of it may leave any more. */
-    bool sendGuarded(const EndpointId &endpoint, const net::Request &request);
-    void waitWithoutLink();
+    bool sendIfAvailable(const EndpointId &endpoint, const net::Request &request);
+    void waitWithoutConnection();
     void awaitHead();
     void readBody();
     /** A wait ended without bytes. */
-    void onQuiet(net::ReadStatus status);
+    void onNoData(net::ReadStatus status);
     int watchedSocket();
     TimePoint waitUntil() const;
     std::optional<net::Address> addressOf(const EndpointId &endpoint) const;
     void closePrefill(bool succeeded);
 
-    std::optional<net::HttpExchange> link_;
+    std::optional<net::HttpExchange> endpointExchange_;
     bool headRead_ = false;
     std::optional<AttemptId> prefillAttempt_; ///< Open with the router.
     std::deque<Event> events_;
     /** Readable without being gone: the caller sent its next request already. */
-    bool callerPipelines_ = false;
+    bool callerIsPipelining_ = false;
     bool callerKnownGone_ = false;
 };
 
--- a/libs/relay/src/calldriverwait.cpp
+++ b/libs/relay/src/calldriverwait.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** How often a caller that cannot be polled is looked at. */
-constexpr std::int64_t CallerCheckMillis = 250;
+constexpr std::int64_t CallerCheckIntervalMillis = 250;
 constexpr std::size_t ReadBytes = 16'384;
 
 } // namespace
@@ -18,47 +18,48 @@
 {
     const TimePoint now = BootClock::now();
     const TimePoint wake =
-        std::min(machine_.wakeAt(), now + millis(parts_.settings_.interTokenTimeoutMillis_ * 2));
-    const bool polled = !callerPipelines_ && caller_.callerSocket() >= 0;
+        std::min(machine_.wakeAt(), now + millis(context_.settings_.interTokenTimeoutMillis_ * 2));
+    const bool polled = !callerIsPipelining_ && caller_.callerSocket() >= 0;
     if (polled || callerKnownGone_) {
         return wake;
     }
-    return std::min(wake, now + millis(CallerCheckMillis));
+    return std::min(wake, now + millis(CallerCheckIntervalMillis));
 }
 
 int CallDriver::watchedSocket()
 {
-    return callerPipelines_ || callerKnownGone_ ? -1 : caller_.callerSocket();
+    return callerIsPipelining_ || callerKnownGone_ ? -1 : caller_.callerSocket();
 }
 
-void CallDriver::waitWithoutLink()
+void CallDriver::waitWithoutConnection()
 {
     // The longest pause without a connection is short, so the caller is looked at between slices.
-    const TimePoint until = std::min(waitUntil(), BootClock::now() + millis(CallerCheckMillis));
+    const TimePoint until =
+        std::min(waitUntil(), BootClock::now() + millis(CallerCheckIntervalMillis));
     pollfd entry {watchedSocket(), POLLIN | POLLRDHUP, 0};
     const int wait = static_cast<int>(millisUntil(until, BootClock::now())) + 1;
     const bool ready = ::poll(&entry, 1, wait) > 0;
-    onQuiet(ready ? net::ReadStatus::WatchedReady : net::ReadStatus::Timeout);
+    onNoData(ready ? net::ReadStatus::WatchedReady : net::ReadStatus::Timeout);
 }
 
 void CallDriver::awaitHead()
 {
-    const net::ReadStatus status = link_->waitForInput(waitUntil(), watchedSocket());
+    const net::ReadStatus status = endpointExchange_->waitForInput(waitUntil(), watchedSocket());
     if (status != net::ReadStatus::Data) {
-        onQuiet(status);
+        onNoData(status);
         return;
     }
     // A head is short: once it begins, the rest is there or the connection is in trouble.
-    const TimePoint until = BootClock::now() + millis(parts_.settings_.connectTimeoutMillis_);
-    const auto head = capture([&] { return link_->readHead(until); });
+    const TimePoint until = BootClock::now() + millis(context_.settings_.connectTimeoutMillis_);
+    const auto head = capture([&] { return endpointExchange_->readHead(until); });
     if (head.index() != 0) {
-        link_.reset();
+        endpointExchange_.reset();
         onLost(true);
         return;
     }
     headRead_ = true;
-    if (use_ == LinkUse::Check) {
-        link_.reset();
+    if (connectionUse_ == ConnectionUse::Check) {
+        endpointExchange_.reset();
         push(EngineChecked {connection_, true});
     } else {
         onHead(std::get<0>(head));
@@ -69,9 +70,9 @@
 {
     std::array<char, ReadBytes> buffer;
     const auto read =
-        capture([&] { return link_->readSome(buffer, waitUntil(), watchedSocket()); });
+        capture([&] { return endpointExchange_->readSome(buffer, waitUntil(), watchedSocket()); });
     if (read.index() != 0) {
-        link_.reset();
+        endpointExchange_.reset();
         onLost(true);
         return;
     }
@@ -81,20 +82,20 @@
     } else if (result.status_ == net::ReadStatus::End) {
         onEnd();
     } else {
-        onQuiet(result.status_);
+        onNoData(result.status_);
     }
 }
 
-void CallDriver::onQuiet(net::ReadStatus status)
+void CallDriver::onNoData(net::ReadStatus status)
 {
     const bool ready = status == net::ReadStatus::WatchedReady;
-    const bool look = ready || callerPipelines_ || caller_.callerSocket() < 0;
-    if (look && !callerKnownGone_) {
+    const bool checkCaller = ready || callerIsPipelining_ || caller_.callerSocket() < 0;
+    if (checkCaller && !callerKnownGone_) {
         if (caller_.callerGone()) {
             callerKnownGone_ = true;
             push(CallerGone {});
         } else if (ready) {
-            callerPipelines_ = true;
+            callerIsPipelining_ = true;
         }
     }
     if (BootClock::now() >= machine_.wakeAt()) {
--- a/libs/relay/src/canceller.h
+++ b/libs/relay/src/canceller.h
@@ -29,21 +29,21 @@
     void cancel(const net::Address &engine, const AttemptId &attempt);
 
 private:
-    struct Order
+    struct CancelRequest
     {
         net::Address engine_;
         AttemptId attempt_;
-        int tries_ = 0;
+        int sendCount_ = 0;
     };
 
-    void work();
-    bool send(const Order &order);
+    void runWorker();
+    bool send(const CancelRequest &request);
 
     observe::Metrics &metrics_;
     const Duration timeout_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    std::deque<Order> orders_;
+    std::deque<CancelRequest> queue_;
     bool stopping_ = false;
     std::vector<std::thread> workers_;
 };
--- a/libs/relay/src/demandcounter.cpp
+++ b/libs/relay/src/demandcounter.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 /** Weight of one answer in the average: the last twenty or so decide. */
-constexpr double AnswerWeight = 0.05;
+constexpr double ResponseWeight = 0.05;
 
 } // namespace
 
-std::int64_t MixCounter::expectedOutput(const ModelId &model, std::int64_t maxTokens) const
+std::int64_t DemandCounter::expectedOutput(const ModelId &model, std::int64_t maxTokens) const
 {
     const std::lock_guard lock(mutex_);
     const auto found = models_.find(model);
@@ -19,32 +19,33 @@
     return std::max<std::int64_t>(std::llround(static_cast<double>(maxTokens) * share), 1);
 }
 
-void MixCounter::asked(const ModelId &model, std::int64_t promptTokens, std::int64_t expectedOutput)
+void DemandCounter::onRequest(const ModelId &model, std::int64_t promptTokens,
+                              std::int64_t expectedOutput)
 {
     const std::lock_guard lock(mutex_);
-    Model &counted = models_[model];
-    counted.prefillTokens_ += static_cast<double>(promptTokens);
-    counted.decodeTokens_ += static_cast<double>(expectedOutput);
+    Model &demand = models_[model];
+    demand.prefillTokens_ += static_cast<double>(promptTokens);
+    demand.decodeTokens_ += static_cast<double>(expectedOutput);
 }
 
-void MixCounter::answered(const ModelId &model, std::int64_t expectedOutput,
-                          std::int64_t outputTokens, std::int64_t maxTokens)
+void DemandCounter::onCompleted(const ModelId &model, std::int64_t expectedOutput,
+                                std::int64_t outputTokens, std::int64_t maxTokens)
 {
     const std::lock_guard lock(mutex_);
-    Model &counted = models_[model];
-    counted.decodeTokens_ += static_cast<double>(outputTokens - expectedOutput);
+    Model &demand = models_[model];
+    demand.decodeTokens_ += static_cast<double>(outputTokens - expectedOutput);
     const double share = static_cast<double>(outputTokens)
                          / static_cast<double>(std::max<std::int64_t>(maxTokens, 1));
-    counted.outputShare_ += AnswerWeight * (std::min(share, 1.0) - counted.outputShare_);
+    demand.outputShare_ += ResponseWeight * (std::min(share, 1.0) - demand.outputShare_);
 }
 
-void MixCounter::cached(const ModelId &model, std::int64_t tokens)
+void DemandCounter::onCacheHit(const ModelId &model, std::int64_t tokens)
 {
     const std::lock_guard lock(mutex_);
     models_[model].prefillTokens_ -= static_cast<double>(tokens);
 }
 
-std::vector<ModelDemand> MixCounter::take()
+std::vector<ModelDemand> DemandCounter::take()
 {
     const std::lock_guard lock(mutex_);
     std::vector<ModelDemand> samples;
@@ -52,7 +53,7 @@
         // A correction may come after its expectation was taken; it is carried to the next call
         // instead of being reported as less than nothing.
         ModelDemand sample {id, std::max(model.prefillTokens_, 0.0),
-                          std::max(model.decodeTokens_, 0.0)};
+                            std::max(model.decodeTokens_, 0.0)};
         model.prefillTokens_ = std::min(model.prefillTokens_, 0.0);
         model.decodeTokens_ = std::min(model.decodeTokens_, 0.0);
         samples.push_back(std::move(sample));
--- a/libs/relay/src/demandcounter.h
+++ b/libs/relay/src/demandcounter.h
@@ -11,18 +11,18 @@
 
 namespace almondridge::relay {
 
-class MixCounter
+class DemandCounter
 {
 public:
     /** The answer's expected length for a limit of maxTokens, from the latest answers' shares. */
     std::int64_t expectedOutput(const ModelId &model, std::int64_t maxTokens) const;
     /** A request was offered, also when it is refused: the planner weighs demand, not work done. */
-    void asked(const ModelId &model, std::int64_t promptTokens, std::int64_t expectedOutput);
+    void onRequest(const ModelId &model, std::int64_t promptTokens, std::int64_t expectedOutput);
     /** An answer is whole. Corrects what was expected of it. */
-    void answered(const ModelId &model, std::int64_t expectedOutput, std::int64_t outputTokens,
-                  std::int64_t maxTokens);
+    void onCompleted(const ModelId &model, std::int64_t expectedOutput, std::int64_t outputTokens,
+                     std::int64_t maxTokens);
     /** Tokens that an engine had in its cache and did not prefill. */
-    void cached(const ModelId &model, std::int64_t tokens);
+    void onCacheHit(const ModelId &model, std::int64_t tokens);
 
     std::vector<ModelDemand> take();
 
--- a/libs/relay/src/digest.cpp
+++ b/libs/relay/src/digest.cpp
@@ -10,14 +10,14 @@
 namespace {
 
 constexpr std::size_t GroupBytes = 3;
-constexpr std::size_t GroupLetters = 4;
+constexpr std::size_t GroupCharacters = 4;
 
 const unsigned char *bytesOf(std::string_view text)
 {
     return reinterpret_cast<const unsigned char *>(text.data());
 }
 
-void swapLetters(std::string &text, char from1, char to1, char from2, char to2)
+void replaceCharacters(std::string &text, char from1, char to1, char from2, char to2)
 {
     std::replace(text.begin(), text.end(), from1, to1);
     std::replace(text.begin(), text.end(), from2, to2);
@@ -48,7 +48,7 @@
     return {mac.data(), mac.data() + size};
 }
 
-bool sameBytes(std::string_view left, std::string_view right)
+bool constantTimeEqual(std::string_view left, std::string_view right)
 {
     return left.size() == right.size()
            && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
@@ -56,24 +56,24 @@
 
 std::string toBase64Url(std::string_view bytes)
 {
-    std::string text((bytes.size() + GroupBytes - 1) / GroupBytes * GroupLetters + 1, '\0');
+    std::string text((bytes.size() + GroupBytes - 1) / GroupBytes * GroupCharacters + 1, '\0');
     const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(text.data()), bytesOf(bytes),
                                      static_cast<int>(bytes.size()));
     text.resize(static_cast<std::size_t>(size));
     text.resize(text.find_last_not_of('=') + 1);
-    swapLetters(text, '+', '-', '/', '_');
+    replaceCharacters(text, '+', '-', '/', '_');
     return text;
 }
 
 std::optional<std::string> fromBase64Url(std::string_view text)
 {
-    if (text.empty() || text.size() % GroupLetters == 1
+    if (text.empty() || text.size() % GroupCharacters == 1
         || text.find_first_of("+/= \t\r\n") != std::string_view::npos) {
         return std::nullopt;
     }
     std::string padded(text);
-    swapLetters(padded, '-', '+', '_', '/');
-    const std::size_t padding = (GroupLetters - text.size() % GroupLetters) % GroupLetters;
+    replaceCharacters(padded, '-', '+', '_', '/');
+    const std::size_t padding = (GroupCharacters - text.size() % GroupCharacters) % GroupCharacters;
     padded.append(padding, '=');
     std::string bytes(padded.size(), '\0');
     const int size = EVP_DecodeBlock(reinterpret_cast<unsigned char *>(bytes.data()),
--- a/libs/relay/src/digest.h
+++ b/libs/relay/src/digest.h
@@ -14,7 +14,7 @@
 /** HMAC-SHA256, raw bytes. */
 std::string hmacSha256(std::string_view key, std::string_view text);
 /** Whether both are the same, in a time that does not depend on where they differ. */
-bool sameBytes(std::string_view left, std::string_view right);
+bool constantTimeEqual(std::string_view left, std::string_view right);
 
 /** Base64 with the letters that may stand in a path, without padding. */
 std::string toBase64Url(std::string_view bytes);
--- a/libs/relay/src/engineevent.cpp
+++ b/libs/relay/src/engineevent.cpp
@@ -5,7 +5,7 @@
 
 using nlohmann::json;
 
-constexpr std::string_view DoneMark = "[DONE]";
+constexpr std::string_view DoneSentinel = "[DONE]";
 
 /** The member called name, or null when value has none. */
 const json &memberOf(const json &value, const char *name)
@@ -28,7 +28,7 @@
                             : memberOf(choice, "text");
 }
 
-void readUsage(const json &body, EngineEvent &event)
+void parseUsage(const json &body, EngineEvent &event)
 {
     const json &usage = memberOf(body, "usage");
     if (usage.is_object()) {
@@ -38,7 +38,7 @@
     }
 }
 
-void readChoice(Api api, const json &choice, EngineEvent &event)
+void parseChoice(Api api, const json &choice, EngineEvent &event)
 {
     const json &reason = memberOf(choice, "finish_reason");
     if (reason.is_string()) {
@@ -51,8 +51,9 @@
     event.text_ = text.get<std::string>();
     // A token can have no text of its own, as the first bytes of a split letter. An empty text
     // beside a role or a finish reason is no token.
-    const bool bare = event.finishReason_.empty() && !memberOf(choice, "delta").contains("role");
-    if (!event.text_.empty() || bare) {
+    const bool tokenWithoutText =
+        event.finishReason_.empty() && !memberOf(choice, "delta").contains("role");
+    if (!event.text_.empty() || tokenWithoutText) {
         event.kind_ = EngineEventKind::Tokens;
     }
 }
@@ -62,7 +63,7 @@
 std::optional<EngineEvent> parseEngineEvent(Api api, std::string_view data)
 {
     EngineEvent event;
-    if (data == DoneMark) {
+    if (data == DoneSentinel) {
         event.kind_ = EngineEventKind::Done;
         return event;
     }
@@ -74,10 +75,10 @@
         event.kind_ = EngineEventKind::Failed;
         return event;
     }
-    readUsage(event.body_, event);
+    parseUsage(event.body_, event);
     const json &choices = memberOf(event.body_, "choices");
     if (choices.is_array() && !choices.empty()) {
-        readChoice(api, choices.front(), event);
+        parseChoice(api, choices.front(), event);
     }
     const std::int64_t offset = numberOf(event.body_, "offset", -1);
     if (event.kind_ == EngineEventKind::Tokens) {
@@ -90,7 +91,7 @@
     return event;
 }
 
-EngineError readEngineError(std::string_view body)
+EngineError parseEngineError(std::string_view body)
 {
     const json parsed = json::parse(body, nullptr, false);
     const json &error = memberOf(parsed, "error");
--- a/libs/relay/src/engineevent.h
+++ b/libs/relay/src/engineevent.h
@@ -49,6 +49,6 @@
     std::string message_;
 };
 
-EngineError readEngineError(std::string_view body);
+EngineError parseEngineError(std::string_view body);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/fleetview.cpp
+++ b/libs/relay/src/fleetview.cpp
@@ -9,9 +9,10 @@
 
 constexpr std::string_view Scheme = "bearer ";
 
-char lower(char letter)
+char lower(char character)
 {
-    return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter - 'A' + 'a') : letter;
+    return character >= 'A' && character <= 'Z' ? static_cast<char>(character - 'A' + 'a')
+                                                : character;
 }
 
 /** The key of "Bearer KEY", the scheme in any case; empty when there is none. */
--- a/libs/relay/src/idempotencykey.cpp
+++ b/libs/relay/src/idempotencykey.cpp
@@ -12,25 +12,26 @@
 
 constexpr std::size_t MaxKeyBytes = 256;
 
-using VerdictRow = std::array<KeyVerdict, 4>;
+using DecisionRow = std::array<KeyDecision, 4>;
 
 /** By rule, then by ClaimStatus: Claimed, Finished, Unknown, LogOut. */
-constexpr std::array<VerdictRow, 3> Verdicts {{
-    {KeyVerdict::Run, KeyVerdict::AnswerStored, KeyVerdict::SayUnknown, KeyVerdict::SayLogOut},
+constexpr std::array<DecisionRow, 3> Decisions {{
+    {KeyDecision::Run, KeyDecision::ReplayStored, KeyDecision::ReplyUnknown,
+     KeyDecision::ReplyLogUnavailable},
     // The one case that runs without a claim. It holds because no later attempt ever runs: one
     // that finds no claim after the outage says unknown instead of taking that for "never ran".
-    {KeyVerdict::Run, KeyVerdict::AnswerStored, KeyVerdict::SayUnknown, KeyVerdict::Run},
-    {KeyVerdict::SayUnknown, KeyVerdict::AnswerStored, KeyVerdict::SayUnknown,
-     KeyVerdict::SayUnknown},
+    {KeyDecision::Run, KeyDecision::ReplayStored, KeyDecision::ReplyUnknown, KeyDecision::Run},
+    {KeyDecision::ReplyUnknown, KeyDecision::ReplayStored, KeyDecision::ReplyUnknown,
+     KeyDecision::ReplyUnknown},
 }};
 
 bool isPrintable(std::string_view text)
 {
     return std::all_of(text.begin(), text.end(),
-                       [](char letter) { return letter > ' ' && letter < 0x7f; });
+                       [](char character) { return character > ' ' && character < 0x7f; });
 }
 
-Result<int> readAttempt(std::string_view text)
+Result<int> parseAttempt(std::string_view text)
 {
     int attempt = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), attempt);
@@ -43,64 +44,65 @@
 
 } // namespace
 
-Result<std::optional<CallerKey>> readCallerKey(const KeyHeaders &headers, const AccountId &account,
-                                               std::string_view scope)
+Result<std::optional<IdempotencyKey>>
+parseIdempotencyKey(const KeyHeaders &headers, const AccountId &account, std::string_view scope)
 {
     if (headers.key_.empty() && !headers.attempt_.empty()) {
         return fail(ErrorKind::InvalidInput, "X-Attempt came without Idempotency-Key",
                     "send both, or neither");
     }
     if (headers.key_.empty()) {
-        return std::optional<CallerKey>();
+        return std::optional<IdempotencyKey>();
     }
     if (headers.key_.size() > MaxKeyBytes || !isPrintable(headers.key_)) {
         return fail(ErrorKind::InvalidInput, "Idempotency-Key is too long or has odd letters",
                     "use at most 256 printable ASCII letters without spaces");
     }
-    CallerKey key;
+    IdempotencyKey key;
     std::string_view kind = "claimed";
     if (!headers.attempt_.empty()) {
-        BOOST_LEAF_AUTO(attempt, readAttempt(headers.attempt_));
+        BOOST_LEAF_AUTO(attempt, parseAttempt(headers.attempt_));
         key.rule_ = attempt == 1 ? KeyRule::FirstAttempt : KeyRule::LaterAttempt;
         kind = "numbered";
     }
     // A list in JSON, not a joined text: "a/b" + "c" must not be the key of "a" + "b/c".
-    key.scoped_ = json {account.value(), scope, kind, headers.key_}.dump(
+    key.scopedKey_ = json {account.value(), scope, kind, headers.key_}.dump(
         -1, ' ', false, json::error_handler_t::replace);
-    return std::optional<CallerKey>(std::move(key));
+    return std::optional<IdempotencyKey>(std::move(key));
 }
 
-KeyVerdict judgeKey(KeyRule rule, const ClaimAnswer &answer) noexcept
+KeyDecision decideByKey(KeyRule rule, const ClaimAnswer &answer) noexcept
 {
-    const KeyVerdict verdict =
-        Verdicts[static_cast<std::size_t>(rule)][static_cast<std::size_t>(answer.status_)];
-    if (verdict != KeyVerdict::AnswerStored) {
-        return verdict;
+    const KeyDecision decision =
+        Decisions[static_cast<std::size_t>(rule)][static_cast<std::size_t>(answer.status_)];
+    if (decision != KeyDecision::ReplayStored) {
+        return decision;
     }
     if (answer.httpStatus_ == StoredNotRun) {
-        return KeyVerdict::SayNotRun;
+        return KeyDecision::ReplyNotRun;
     }
-    return answer.httpStatus_ == StoredUnknown ? KeyVerdict::SayUnknown : verdict;
+    return answer.httpStatus_ == StoredUnknown ? KeyDecision::ReplyUnknown : decision;
 }
 
-std::string writeStoredAnswer(const StoredAnswer &answer)
+std::string serializeStoredResponse(const StoredResponse &answer)
 {
     const json whole = {{"type", answer.contentType_}, {"body", answer.body_}};
     std::string text = whole.dump(-1, ' ', false, json::error_handler_t::ignore);
     // What did not come through unharmed, as bytes that are no UTF-8, is left out.
-    if (answer.body_.size() <= MaxStoredBytes && readStoredAnswer(text).body_ == answer.body_) {
+    if (answer.body_.size() <= MaxStoredBodyBytes
+        && parseStoredResponse(text).body_ == answer.body_) {
         return text;
     }
     return json {{"type", answer.contentType_}}.dump(-1, ' ', false, json::error_handler_t::ignore);
 }
 
-StoredAnswer readStoredAnswer(std::string_view text)
+StoredResponse parseStoredResponse(std::string_view text)
 {
     const json stored = json::parse(text, nullptr, false);
     if (!stored.is_object()) {
         return {};
     }
-    StoredAnswer answer;
+    StoredResponse answer;
     answer.contentType_ = stored.value("type", "");
     answer.whole_ = stored.contains("body");
     answer.body_ = stored.value("body", "");
--- a/libs/relay/src/idempotencykey.h
+++ b/libs/relay/src/idempotencykey.h
@@ -20,26 +20,26 @@
     LaterAttempt, ///< Numbered, 2 and up: looks up, never runs.
 };
 
-struct CallerKey
+struct IdempotencyKey
 {
     KeyRule rule_ = KeyRule::Claim;
-    std::string scoped_; ///< Unique over accounts, services and kinds of key.
+    std::string scopedKey_; ///< Unique over accounts, services and kinds of key.
 };
 
-enum class KeyVerdict {
+enum class KeyDecision {
     Run,
-    AnswerStored,
-    SayUnknown, ///< May have run; never run it again.
-    SayNotRun,  ///< Did not run and will not under this key.
-    SayLogOut,  ///< Not run, because the log could not be asked.
+    ReplayStored,
+    ReplyUnknown,        ///< May have run; never run it again.
+    ReplyNotRun,         ///< Did not run and will not under this key.
+    ReplyLogUnavailable, ///< Not run, because the log could not be asked.
 };
 
-inline constexpr std::array<EnumName<KeyVerdict>, 5> KeyVerdictNames {{
-    {KeyVerdict::Run, "run"},
-    {KeyVerdict::AnswerStored, "answer-stored"},
-    {KeyVerdict::SayUnknown, "unknown"},
-    {KeyVerdict::SayNotRun, "not-run"},
-    {KeyVerdict::SayLogOut, "log-out"},
+inline constexpr std::array<EnumName<KeyDecision>, 5> KeyDecisionNames {{
+    {KeyDecision::Run, "run"},
+    {KeyDecision::ReplayStored, "answer-stored"},
+    {KeyDecision::ReplyUnknown, "unknown"},
+    {KeyDecision::ReplyNotRun, "not-run"},
+    {KeyDecision::ReplyLogUnavailable, "log-out"},
 }};
 
 /** The headers of one call that make its key. */
@@ -50,18 +50,18 @@
 };
 
 /** nullopt without a key. InvalidInput: too long, or a number without a key. */
-Result<std::optional<CallerKey>> readCallerKey(const KeyHeaders &headers, const AccountId &account,
-                                               std::string_view scope);
+Result<std::optional<IdempotencyKey>>
+parseIdempotencyKey(const KeyHeaders &headers, const AccountId &account, std::string_view scope);
 
 /** What to do after the claim, or for LaterAttempt after the look-up, came to answer. */
-KeyVerdict judgeKey(KeyRule rule, const ClaimAnswer &answer) noexcept;
+KeyDecision decideByKey(KeyRule rule, const ClaimAnswer &answer) noexcept;
 
 /** Statuses of a stored outcome that stand for no answer of an endpoint. */
 inline constexpr int StoredUnknown = 0;
 inline constexpr int StoredNotRun = -1;
 
 /** An answer small enough to be kept with its key. */
-struct StoredAnswer
+struct StoredResponse
 {
     std::string contentType_;
     std::string body_;
@@ -69,9 +69,9 @@
 };
 
 /** Bodies over this are not kept: the log takes several hundred appends a second for all. */
-inline constexpr std::size_t MaxStoredBytes = 4'096;
+inline constexpr std::size_t MaxStoredBodyBytes = 4'096;
 
-std::string writeStoredAnswer(const StoredAnswer &answer);
-StoredAnswer readStoredAnswer(std::string_view text);
+std::string serializeStoredResponse(const StoredResponse &answer);
+StoredResponse parseStoredResponse(std::string_view text);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/keyedcall.cpp
+++ b/libs/relay/src/keyedcall.cpp
@@ -7,21 +7,21 @@
 namespace almondridge::relay {
 namespace {
 
-constexpr Duration ComeBackAfter = millis(1'000);
+constexpr Duration DefaultRetryDelay = millis(1'000);
 /** How long a claim may take, by rule: a numbered first attempt need not wait for the log. */
-constexpr std::array<Duration, 3> LongestWaits {millis(2'000), millis(500), millis(2'000)};
+constexpr std::array<Duration, 3> ClaimTimeouts {millis(2'000), millis(500), millis(2'000)};
 
-Refusal refusalOf(KeyVerdict verdict, TimePoint now)
+Refusal refusalOf(KeyDecision decision, TimePoint now)
 {
     Refusal refusal;
     refusal.status_ = 409;
-    if (verdict == KeyVerdict::SayUnknown) {
+    if (decision == KeyDecision::ReplyUnknown) {
         refusal.code_ = "outcome_unknown";
         refusal.message_ = "a request with this key was begun before and has no known outcome";
         refusal.remedy_ = "ask again with the same key after Retry-After; it is never run again";
         refusal.outcome_ = Outcome::Unknown;
-        refusal.retryAt_ = now + ComeBackAfter;
-    } else if (verdict == KeyVerdict::SayNotRun) {
+        refusal.retryAt_ = now + DefaultRetryDelay;
+    } else if (decision == KeyDecision::ReplyNotRun) {
         refusal.code_ = "key_not_run";
         refusal.message_ = "the request with this key was not run and will not be";
         refusal.remedy_ = "send the request under a new Idempotency-Key";
@@ -32,58 +32,58 @@
                            "an earlier try came to is not known here";
         refusal.remedy_ = "send the request again after Retry-After, or number its attempts with "
                           "X-Attempt from the first one on";
-        refusal.retryAt_ = now + ComeBackAfter;
+        refusal.retryAt_ = now + DefaultRetryDelay;
     }
     return refusal;
 }
 
 } // namespace
 
-KeyedCall::KeyedCall(KeyClaims &claims, std::optional<CallerKey> key, RequestId request)
+KeyedCall::KeyedCall(KeyClaims &claims, std::optional<IdempotencyKey> key, RequestId request)
     : claims_(claims)
     , key_(std::move(key))
     , request_(std::move(request))
 { }
 
-bool KeyedCall::looksUpOnly() const noexcept
+bool KeyedCall::isLookupOnly() const noexcept
 {
     return key_ && key_->rule_ == KeyRule::LaterAttempt;
 }
 
-ClaimAnswer KeyedCall::ask(TimePoint deadline)
+ClaimAnswer KeyedCall::claimOrLookUp(TimePoint deadline)
 {
-    const Duration longest = LongestWaits[static_cast<std::size_t>(key_->rule_)];
-    const TimePoint until = std::min(deadline, BootClock::now() + longest);
-    return looksUpOnly() ? claims_.lookUp(key_->scoped_, until)
-                         : claims_.claim(key_->scoped_, request_, until);
+    const Duration timeout = ClaimTimeouts[static_cast<std::size_t>(key_->rule_)];
+    const TimePoint until = std::min(deadline, BootClock::now() + timeout);
+    return isLookupOnly() ? claims_.lookUp(key_->scopedKey_, until)
+                          : claims_.claim(key_->scopedKey_, request_, until);
 }
 
-std::optional<RepeatAnswer> KeyedCall::begin(TimePoint deadline)
+std::optional<DuplicateResponse> KeyedCall::begin(TimePoint deadline)
 {
     if (!key_) {
         return std::nullopt;
     }
-    const ClaimAnswer answer = ask(deadline);
-    RepeatAnswer repeat;
-    repeat.verdict_ = judgeKey(key_->rule_, answer);
-    if (repeat.verdict_ == KeyVerdict::Run) {
+    const ClaimAnswer answer = claimOrLookUp(deadline);
+    DuplicateResponse duplicate;
+    duplicate.keyDecision_ = decideByKey(key_->rule_, answer);
+    if (duplicate.keyDecision_ == KeyDecision::Run) {
         running_ = true;
         return std::nullopt;
     }
-    if (repeat.verdict_ == KeyVerdict::AnswerStored) {
-        repeat.status_ = answer.httpStatus_;
-        repeat.stored_ = readStoredAnswer(answer.body_);
+    if (duplicate.keyDecision_ == KeyDecision::ReplayStored) {
+        duplicate.status_ = answer.httpStatus_;
+        duplicate.stored_ = parseStoredResponse(answer.body_);
     } else {
-        repeat.refusal_ = refusalOf(repeat.verdict_, BootClock::now());
+        duplicate.refusal_ = refusalOf(duplicate.keyDecision_, BootClock::now());
     }
-    return repeat;
+    return duplicate;
 }
 
-void KeyedCall::end(int status, const StoredAnswer &answer)
+void KeyedCall::end(int status, const StoredResponse &answer)
 {
     if (std::exchange(running_, false)) {
-        claims_.finish(key_->scoped_, request_, status,
-                       status > 0 ? writeStoredAnswer(answer) : std::string());
+        claims_.finish(key_->scopedKey_, request_, status,
+                       status > 0 ? serializeStoredResponse(answer) : std::string());
     }
 }
 
--- a/libs/relay/src/keyedcall.h
+++ b/libs/relay/src/keyedcall.h
@@ -15,11 +15,11 @@
 namespace almondridge::relay {
 
 /** What a repeat gets instead of a run. */
-struct RepeatAnswer
+struct DuplicateResponse
 {
-    KeyVerdict verdict_ = KeyVerdict::SayUnknown;
-    int status_ = 0;                    ///< With AnswerStored.
-    StoredAnswer stored_ {};            ///< With AnswerStored.
+    KeyDecision keyDecision_ = KeyDecision::ReplyUnknown;
+    int status_ = 0;                    ///< With ReplayStored.
+    StoredResponse stored_ {};          ///< With ReplayStored.
     std::optional<Refusal> refusal_ {}; ///< With the others.
 };
 
@@ -27,20 +27,20 @@
 {
 public:
     /** Without a key every call runs and nothing is kept. */
-    KeyedCall(KeyClaims &claims, std::optional<CallerKey> key, RequestId request);
+    KeyedCall(KeyClaims &claims, std::optional<IdempotencyKey> key, RequestId request);
 
     /** Whether this call may only look up, so that nothing needs to be admitted for it. */
-    bool looksUpOnly() const noexcept;
+    bool isLookupOnly() const noexcept;
     /** nullopt: the call may run, and its key is claimed as its rule demands. */
-    std::optional<RepeatAnswer> begin(TimePoint deadline);
+    std::optional<DuplicateResponse> begin(TimePoint deadline);
     /** Keeps the outcome of a call that ran; StoredUnknown and StoredNotRun included. */
-    void end(int status, const StoredAnswer &answer);
+    void end(int status, const StoredResponse &answer);
 
 private:
-    ClaimAnswer ask(TimePoint deadline);
+    ClaimAnswer claimOrLookUp(TimePoint deadline);
 
     KeyClaims &claims_;
-    std::optional<CallerKey> key_;
+    std::optional<IdempotencyKey> key_;
     RequestId request_;
     bool running_ = false;
 };
--- a/libs/relay/src/machine.cpp
+++ b/libs/relay/src/machine.cpp
@@ -10,7 +10,7 @@
     : spec_(std::move(spec))
     , limits_(limits)
     , deadline_(spec_.deadline_)
-    , next_(spec_.delivered_)
+    , nextOffset_(spec_.delivered_)
 { }
 
 Actions RequestMachine::start(TimePoint now)
@@ -39,10 +39,10 @@
 
 TimePoint RequestMachine::wakeAt() const noexcept
 {
-    return std::min({deadline_, silenceDeadline_, chooseAt_});
+    return std::min({deadline_, inactivityDeadline_, nextSearchAt_});
 }
 
-StreamPlace RequestMachine::place() const
+StreamLocation RequestMachine::streamLocation() const
 {
     return {endpoint_, attempt_, base_};
 }
@@ -90,8 +90,8 @@
     attempt_ = AttemptId(spec_.request_.value() + "." + std::to_string(attempts_));
     phase_ = Phase::Choosing;
     ++connection_; // What the connection that was left still says is late from now on.
-    chooseAt_ = TimePoint::max();
-    silenceDeadline_ = TimePoint::max();
+    nextSearchAt_ = TimePoint::max();
+    inactivityDeadline_ = TimePoint::max();
     out.emplace_back(ChooseEndpoint {attempt_, excluded_, budgeted});
 }
 
@@ -104,7 +104,7 @@
     endpoint_ = event.endpoint_;
     prefill_ = event.prefill_;
     firstToken_ = event.firstToken_;
-    endpointDeadline_ = TimePoint::max();
+    endpointSearchDeadline_ = TimePoint::max();
     attemptOpen_ = true;
     if (!prefill_) {
         send(false, now, out);
@@ -112,7 +112,7 @@
     }
     phase_ = Phase::Prefilling;
     attemptMayRun_ = true;
-    silenceDeadline_ = firstTokenDeadline(now);
+    inactivityDeadline_ = firstTokenDeadline(now);
     out.emplace_back(Prefill {++connection_, prefillAttempt(), *prefill_});
 }
 
@@ -124,27 +124,27 @@
     }
     // A stream that an engine lost was accepted; a role change or a restart may give the
     // endpoint back within seconds. New requests are refused at once instead.
-    const bool wait = spec_.recovery_ == Recovery::Stream && oldAttemptMayRun_;
-    if (!wait || now >= endpointDeadline_) {
+    const bool wait = spec_.recovery_ == Recovery::Stream && earlierAttemptMayRun_;
+    if (!wait || now >= endpointSearchDeadline_) {
         refuse(RefusalCause::NoEndpoint, std::max(event.retryAt_, notRunUntil_), out);
         return;
     }
-    if (endpointDeadline_ == TimePoint::max()) {
-        endpointDeadline_ = now + limits_.endpointWait_;
+    if (endpointSearchDeadline_ == TimePoint::max()) {
+        endpointSearchDeadline_ = now + limits_.endpointSearchTimeout_;
     }
     --attempts_;
     excluded_.clear();
     phase_ = Phase::AwaitingEndpoint;
-    chooseAt_ = now + limits_.endpointPause_;
+    nextSearchAt_ = now + limits_.endpointSearchInterval_;
 }
 
-void RequestMachine::handle(const NoRetryLeft &event, TimePoint /*now*/, Actions &out)
+void RequestMachine::handle(const RetryBudgetExhausted &event, TimePoint /*now*/, Actions &out)
 {
     if (phase_ != Phase::Choosing) {
         ++staleEvents_;
         return;
     }
-    refuse(RefusalCause::NoRetryLeft, std::max(event.retryAt_, notRunUntil_), out);
+    refuse(RefusalCause::RetryBudgetExhausted, std::max(event.retryAt_, notRunUntil_), out);
 }
 
 // Attempts --------------------------------------------------------------------------------------
@@ -155,7 +155,7 @@
         return;
     }
     attemptMayRun_ = false;
-    oldAttemptMayRun_ |= event.status_ != PrefillStatus::NotSent;
+    earlierAttemptMayRun_ |= event.status_ != PrefillStatus::NotSent;
     prefill_.reset();
     send(event.status_ == PrefillStatus::Ready, now, out);
 }
@@ -164,20 +164,20 @@
 {
     out.emplace_back(Cancel {prefillAttempt(), *prefill_});
     attemptMayRun_ = false;
-    oldAttemptMayRun_ = true;
+    earlierAttemptMayRun_ = true;
     prefill_.reset();
     send(false, now, out);
 }
 
 void RequestMachine::send(bool afterPrefill, TimePoint now, Actions &out)
 {
-    base_ = next_;
+    base_ = nextOffset_;
     attemptMayRun_ = true; // Until the driver says that not a byte left.
     probing_ = false;
-    heard_ = false;
-    fruitlessProbes_ = 0;
+    accepted_ = false;
+    probesWithoutToken_ = 0;
     phase_ = Phase::AwaitingHead;
-    silenceDeadline_ = streams() ? firstTokenDeadline(now) : TimePoint::max();
+    inactivityDeadline_ = streams() ? firstTokenDeadline(now) : TimePoint::max();
     out.emplace_back(SendRequest {++connection_, attempt_, endpoint_, base_, afterPrefill});
 }
 
@@ -185,12 +185,12 @@
 {
     ++resumes_;
     probing_ = true;
-    heard_ = false;
+    accepted_ = false;
     phase_ = Phase::AwaitingHead;
     // An engine that is alive is slow, not lost: each probe that brings no token waits twice as
     // long as the one before.
-    silenceDeadline_ = now + limits_.silence_ * (1 << fruitlessProbes_);
-    out.emplace_back(ResumeStream {++connection_, attempt_, endpoint_, next_ - base_});
+    inactivityDeadline_ = now + limits_.inactivityTimeout_ * (1 << probesWithoutToken_);
+    out.emplace_back(ResumeStream {++connection_, attempt_, endpoint_, nextOffset_ - base_});
 }
 
 void RequestMachine::handle(const HeadReceived &event, TimePoint now, Actions &out)
@@ -199,20 +199,20 @@
         return;
     }
     notRunUntil_ = std::max(notRunUntil_, event.retryAt_.value_or(TimePoint()));
-    using HeadRule = void (RequestMachine::*)(TimePoint, Actions &);
-    static constexpr std::array<HeadRule, 5> HeadRules {
-        &RequestMachine::onAccepted, &RequestMachine::onNotRun, &RequestMachine::onForgotten,
-        &RequestMachine::lose,       &RequestMachine::onFinal,
+    using HeadHandler = void (RequestMachine::*)(TimePoint, Actions &);
+    static constexpr std::array<HeadHandler, 5> HeadHandlers {
+        &RequestMachine::onAccepted, &RequestMachine::onNotRun, &RequestMachine::onStreamNotFound,
+        &RequestMachine::recover,    &RequestMachine::onFinal,
     };
-    (this->*HeadRules[static_cast<std::size_t>(event.kind_)])(now, out);
+    (this->*HeadHandlers[static_cast<std::size_t>(event.kind_)])(now, out);
 }
 
 void RequestMachine::onAccepted(TimePoint /*now*/, Actions &out)
 {
-    heard_ = true;
+    accepted_ = true;
     phase_ = Phase::Answering;
     if (!streams()) {
-        out.emplace_back(PassOn {connection_});
+        out.emplace_back(ForwardResponse {connection_});
     }
 }
 
@@ -221,33 +221,33 @@
     if (probing_) {
         // An engine without a free connection refuses to resume in the same words; that says
         // nothing about the attempt, which may well be running.
-        lose(now, out);
+        recover(now, out);
         return;
     }
     attemptMayRun_ = false;
-    moveToAnother(now, out);
+    tryAnotherEndpoint(now, out);
 }
 
-void RequestMachine::onForgotten(TimePoint now, Actions &out)
+void RequestMachine::onStreamNotFound(TimePoint now, Actions &out)
 {
     if (!probing_) {
-        lose(now, out);
+        recover(now, out);
         return;
     }
     if (spec_.recovery_ == Recovery::ResumeOnly) {
-        refuse(RefusalCause::StreamForgotten, now + limits_.retryAt_, out);
+        refuse(RefusalCause::StreamGone, now + limits_.retryAt_, out);
         return;
     }
-    moveToAnother(now, out);
+    tryAnotherEndpoint(now, out);
 }
 
 void RequestMachine::onFinal(TimePoint now, Actions &out)
 {
-    if (begun()) {
-        refuse(RefusalCause::AnswerBroken, now + limits_.retryAt_, out);
+    if (hasDeliveredTokens()) {
+        refuse(RefusalCause::ResponseInterrupted, now + limits_.retryAt_, out);
         return;
     }
-    out.emplace_back(PassOn {connection_});
+    out.emplace_back(ForwardResponse {connection_});
     finish(out);
 }
 
@@ -257,32 +257,32 @@
         return;
     }
     const std::int64_t from = base_ + event.offset_;
-    if (from + event.count_ <= next_) {
+    if (from + event.count_ <= nextOffset_) {
         return; // Delivered before: an engine may begin a resumed stream earlier than asked.
     }
-    if (from != next_) {
+    if (from != nextOffset_) {
         // Tokens are missing in between. Delivering on would leave a hole in the caller's answer,
         // so the stream is asked for again from the token that is wanted.
-        lose(now, out);
+        recover(now, out);
         return;
     }
-    out.emplace_back(Deliver {next_, event.count_});
-    next_ += event.count_;
-    fruitlessProbes_ = 0;
-    silenceDeadline_ = now + limits_.silence_;
-    if (spec_.moveDeadlineBy_) {
-        deadline_ = now + *spec_.moveDeadlineBy_;
+    out.emplace_back(Deliver {nextOffset_, event.count_});
+    nextOffset_ += event.count_;
+    probesWithoutToken_ = 0;
+    inactivityDeadline_ = now + limits_.inactivityTimeout_;
+    if (spec_.deadlineExtension_) {
+        deadline_ = now + *spec_.deadlineExtension_;
     }
 }
 
-void RequestMachine::handle(const AnswerPassedOn &event, TimePoint /*now*/, Actions & /*out*/)
+void RequestMachine::handle(const ResponseForwarded &event, TimePoint /*now*/, Actions & /*out*/)
 {
     if (!isStale(event.connection_)) {
-        passedOn_ = true;
+        responseForwarded_ = true;
     }
 }
 
-void RequestMachine::handle(const AnswerEnded &event, TimePoint /*now*/, Actions &out)
+void RequestMachine::handle(const ResponseEnded &event, TimePoint /*now*/, Actions &out)
 {
     if (!isStale(event.connection_)) {
         finish(out);
--- a/libs/relay/src/machinerecovery.cpp
+++ b/libs/relay/src/machinerecovery.cpp
@@ -6,11 +6,11 @@
 
 namespace almondridge::relay {
 
-const std::array<RequestMachine::LossRule, 4> RequestMachine::LossRules {
-    &RequestMachine::lostOnce,
-    &RequestMachine::lostRepeatable,
-    &RequestMachine::lostStream,
-    &RequestMachine::lostResumeOnly,
+const std::array<RequestMachine::RecoveryRule, 4> RequestMachine::RecoveryRules {
+    &RequestMachine::recoverOnce,
+    &RequestMachine::recoverRepeatable,
+    &RequestMachine::recoverStream,
+    &RequestMachine::recoverResumeOnly,
 };
 
 // Failures --------------------------------------------------------------------------------------
@@ -21,72 +21,73 @@
         return;
     }
     if (phase_ == Phase::CheckingEngine) {
-        leaveEngine(now, out);
+        abandonEngine(now, out);
         return;
     }
-    if (!event.anythingSent_ && !probing_ && !heard_) {
+    if (!event.anythingSent_ && !probing_ && !accepted_) {
         attemptMayRun_ = false;
     }
-    lose(now, out);
+    recover(now, out);
 }
 
-void RequestMachine::lose(TimePoint now, Actions &out)
+void RequestMachine::recover(TimePoint now, Actions &out)
 {
-    (this->*LossRules[static_cast<std::size_t>(spec_.recovery_)])(now, out);
+    (this->*RecoveryRules[static_cast<std::size_t>(spec_.recovery_)])(now, out);
 }
 
-void RequestMachine::lostOnce(TimePoint now, Actions &out)
+void RequestMachine::recoverOnce(TimePoint now, Actions &out)
 {
     // A second sending could run the call twice: the first may have been taken and only its
     // answer lost. So it is sent again only when not a byte of it left this process.
     if (attemptMayRun_) {
-        refuse(passedOn_ ? RefusalCause::AnswerBroken : RefusalCause::ConnectionLost,
+        refuse(responseForwarded_ ? RefusalCause::ResponseInterrupted
+                                  : RefusalCause::ConnectionLost,
                now + limits_.retryAt_, out);
         return;
     }
-    moveToAnother(now, out);
+    tryAnotherEndpoint(now, out);
 }
 
-void RequestMachine::lostRepeatable(TimePoint now, Actions &out)
+void RequestMachine::recoverRepeatable(TimePoint now, Actions &out)
 {
-    if (passedOn_) {
-        refuse(RefusalCause::AnswerBroken, now + limits_.retryAt_, out);
+    if (responseForwarded_) {
+        refuse(RefusalCause::ResponseInterrupted, now + limits_.retryAt_, out);
         return;
     }
-    moveToAnother(now, out);
+    tryAnotherEndpoint(now, out);
 }
 
-void RequestMachine::lostStream(TimePoint now, Actions &out)
+void RequestMachine::recoverStream(TimePoint now, Actions &out)
 {
     if (!attemptMayRun_) {
-        moveToAnother(now, out);
+        tryAnotherEndpoint(now, out);
         return;
     }
-    lostResumeOnly(now, out);
+    recoverResumeOnly(now, out);
 }
 
-void RequestMachine::lostResumeOnly(TimePoint now, Actions &out)
+void RequestMachine::recoverResumeOnly(TimePoint now, Actions &out)
 {
     // One lost connection proves nothing about the engine: something between the ends may have
     // cut it. That a new one fails too before the engine accepted does.
-    const bool failedAgain = probing_ && !heard_;
-    if (failedAgain || probesAreSpent()) {
-        leaveEngine(now, out);
+    const bool failedAgain = probing_ && !accepted_;
+    if (failedAgain || probeLimitReached()) {
+        abandonEngine(now, out);
     } else {
         resume(now, out);
     }
 }
 
-bool RequestMachine::probesAreSpent() noexcept
+bool RequestMachine::probeLimitReached() noexcept
 {
-    fruitlessProbes_ += probing_ ? 1 : 0;
-    return fruitlessProbes_ >= limits_.maxFruitlessProbes_;
+    probesWithoutToken_ += probing_ ? 1 : 0;
+    return probesWithoutToken_ >= limits_.maxProbesWithoutToken_;
 }
 
 void RequestMachine::checkEngine(TimePoint now, Actions &out)
 {
     phase_ = Phase::CheckingEngine;
-    silenceDeadline_ = now + limits_.silence_;
+    inactivityDeadline_ = now + limits_.inactivityTimeout_;
     out.emplace_back(CheckEngine {++connection_, endpoint_});
 }
 
@@ -95,42 +96,43 @@
     if (isStale(event.connection_) || phase_ != Phase::CheckingEngine) {
         return;
     }
-    if (!event.alive_ || probesAreSpent()) {
-        leaveEngine(now, out);
+    if (!event.alive_ || probeLimitReached()) {
+        abandonEngine(now, out);
     } else {
         resume(now, out);
     }
 }
 
-void RequestMachine::leaveEngine(TimePoint now, Actions &out)
+void RequestMachine::abandonEngine(TimePoint now, Actions &out)
 {
     if (spec_.recovery_ == Recovery::ResumeOnly) {
         refuse(RefusalCause::ConnectionLost, now + limits_.retryAt_, out);
         return;
     }
     cancelAttempt(out);
-    moveToAnother(now, out);
+    tryAnotherEndpoint(now, out);
 }
 
-void RequestMachine::moveToAnother(TimePoint now, Actions &out)
+void RequestMachine::tryAnotherEndpoint(TimePoint now, Actions &out)
 {
     const bool costly = attemptMayRun_;
     excluded_.push_back(endpoint_);
     closeAttempt(false, out);
-    oldAttemptMayRun_ |= attemptMayRun_;
+    earlierAttemptMayRun_ |= attemptMayRun_;
     attemptMayRun_ = false;
-    if (streams() && next_ >= spec_.maxTokens_) {
+    if (streams() && nextOffset_ >= spec_.maxTokens_) {
         finish(out); // Only the end of the stream was lost, not a token.
         return;
     }
     if (attempts_ >= limits_.maxAttempts_) {
-        refuse(RefusalCause::AttemptsSpent, std::max(now + limits_.retryAt_, notRunUntil_), out);
+        refuse(RefusalCause::AttemptLimitReached, std::max(now + limits_.retryAt_, notRunUntil_),
+               out);
         return;
     }
     // The budget keeps retries from feeding an overload. A first move that cost no endpoint any
     // work cannot do that, and to give up a begun answer would waste more than to go on.
-    const bool firstFreeMove = !costly && freeMoves_++ == 0;
-    choose(!begun() && !firstFreeMove, out);
+    const bool firstFreeRetry = !costly && freeRetries_++ == 0;
+    choose(!hasDeliveredTokens() && !firstFreeRetry, out);
 }
 
 void RequestMachine::handle(const CallerGone &event, TimePoint /*now*/, Actions &out)
@@ -140,7 +142,7 @@
     if (spec_.recovery_ == Recovery::Once && attemptMayRun_) {
         return;
     }
-    if (!event.mayComeBack_) {
+    if (!event.mayReconnect_) {
         cancelAttempt(out);
     }
     closeAttempt(true, out);
@@ -153,13 +155,13 @@
     if (now >= deadline_) {
         cancelAttempt(out);
         refuse(RefusalCause::DeadlinePassed, now + limits_.retryAt_, out);
-    } else if (now >= chooseAt_) {
+    } else if (now >= nextSearchAt_) {
         choose(false, out);
-    } else if (now >= silenceDeadline_ && phase_ == Phase::Prefilling) {
+    } else if (now >= inactivityDeadline_ && phase_ == Phase::Prefilling) {
         sendWithoutPrefill(now, out);
-    } else if (now >= silenceDeadline_ && phase_ == Phase::CheckingEngine) {
-        leaveEngine(now, out);
-    } else if (now >= silenceDeadline_) {
+    } else if (now >= inactivityDeadline_ && phase_ == Phase::CheckingEngine) {
+        abandonEngine(now, out);
+    } else if (now >= inactivityDeadline_) {
         checkEngine(now, out);
     }
 }
@@ -181,7 +183,7 @@
 void RequestMachine::closeAttempt(bool succeeded, Actions &out)
 {
     if (std::exchange(attemptOpen_, false)) {
-        out.emplace_back(AttemptOver {attempt_, succeeded});
+        out.emplace_back(AttemptEnded {attempt_, succeeded});
     }
 }
 
@@ -192,11 +194,11 @@
     out.emplace_back(Finish {});
 }
 
-void RequestMachine::refuse(RefusalCause cause, TimePoint comeBack, Actions &out)
+void RequestMachine::refuse(RefusalCause cause, TimePoint retryAt, Actions &out)
 {
     closeAttempt(cause == RefusalCause::DeadlinePassed, out);
     phase_ = Phase::Over;
-    out.emplace_back(Refuse {mayHaveRun() ? Outcome::Unknown : Outcome::NotRun, cause, comeBack});
+    out.emplace_back(Refuse {mayHaveRun() ? Outcome::Unknown : Outcome::NotRun, cause, retryAt});
 }
 
 bool RequestMachine::isStale(ConnectionNumber connection)
@@ -213,9 +215,9 @@
     return spec_.recovery_ == Recovery::Stream || spec_.recovery_ == Recovery::ResumeOnly;
 }
 
-bool RequestMachine::begun() const noexcept
+bool RequestMachine::hasDeliveredTokens() const noexcept
 {
-    return next_ > 0;
+    return nextOffset_ > 0;
 }
 
 AttemptId RequestMachine::prefillAttempt() const
@@ -227,7 +229,7 @@
 {
     // Twice the estimate: a probe that is not needed costs the engine little, but not nothing.
     const Duration wait = std::max(firstToken_ - now, Duration::zero());
-    return now + wait * 2 + limits_.silence_;
+    return now + wait * 2 + limits_.inactivityTimeout_;
 }
 
 } // namespace almondridge::relay
--- a/libs/relay/src/modelcall.cpp
+++ b/libs/relay/src/modelcall.cpp
@@ -9,7 +9,7 @@
 using nlohmann::json;
 
 constexpr std::size_t PrefixBlockTokens = 16;
-constexpr std::size_t MaxPrefillAnswerBytes = 1 << 20;
+constexpr std::size_t MaxPrefillBodyBytes = 1 << 20;
 constexpr std::int64_t MillisPerSecond = 1'000;
 
 RequestSpec specFor(const CallInfo &info, const ModelTask &task, const fleet::Settings &settings)
@@ -19,85 +19,86 @@
     spec.recovery_ = task.recovery_;
     spec.deadline_ = info.deadline_;
     if (!info.deadlineNamed_) {
-        spec.moveDeadlineBy_ = millis(settings.requestDeadlineMillis_);
+        spec.deadlineExtension_ = millis(settings.requestDeadlineMillis_);
     }
     spec.maxTokens_ = task.request_.maxTokens_;
     spec.delivered_ = task.resumeOffset_;
-    if (task.atEngine_) {
-        spec.resumeAt_ = task.resume_->place_;
+    if (task.resumeAtEngine_) {
+        spec.resumeAt_ = task.resume_->location_;
     }
     return spec;
 }
 
-AnswerForm formFor(const CallInfo &info, const ModelTask &task)
+ResponseFormat formatFor(const CallInfo &info, const ModelTask &task)
 {
     const ModelRequest &request = task.request_;
-    AnswerForm form;
-    form.api_ = request.api_;
-    form.id_ = (request.api_ == Api::Chat ? "chatcmpl-" : "cmpl-") + info.id_.value();
-    form.model_ = request.model_.value();
-    form.createdSeconds_ = wallMillis() / MillisPerSecond;
-    form.includeUsage_ = request.includeUsage_;
+    ResponseFormat format;
+    format.api_ = request.api_;
+    format.id_ = (request.api_ == Api::Chat ? "chatcmpl-" : "cmpl-") + info.id_.value();
+    format.model_ = request.model_.value();
+    format.createdSeconds_ = wallMillis() / MillisPerSecond;
+    format.includeUsage_ = request.includeUsage_;
     if (task.resume_) {
-        form.id_ = task.resume_->answerId_;
-        form.createdSeconds_ = task.resume_->createdSeconds_;
+        format.id_ = task.resume_->responseId_;
+        format.createdSeconds_ = task.resume_->createdSeconds_;
     }
-    return form;
+    return format;
 }
 
 /** Statuses that another engine would give too: the request itself is at fault. */
-bool isFinal(int status)
+bool isRequestFault(int status)
 {
-    constexpr std::array<int, 4> PassingStatuses {404, 408, 425, 429};
-    const bool passing =
-        std::find(PassingStatuses.begin(), PassingStatuses.end(), status) != PassingStatuses.end();
-    return status >= 400 && status < 500 && !passing;
+    constexpr std::array<int, 4> RetryableStatuses {404, 408, 425, 429};
+    const bool retryable = std::find(RetryableStatuses.begin(), RetryableStatuses.end(), status)
+                           != RetryableStatuses.end();
+    return status >= 400 && status < 500 && !retryable;
 }
 
 } // namespace
 
-ModelCall::ModelCall(RelayParts &parts, net::ServerExchange &caller, const CallInfo &info,
+ModelCall::ModelCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
                      ModelTask task)
-    : CallDriver(parts, caller, info, specFor(info, task, parts.settings_))
+    : CallDriver(context, caller, info, specFor(info, task, context.settings_))
     , task_(std::move(task))
-    , form_(formFor(info_, task_))
-    , keyed_(parts.claims_, task_.key_, info_.id_)
+    , format_(formatFor(info_, task_))
+    , keyed_(context.claims_, task_.key_, info_.id_)
     , text_(task_.request_.resumeText_)
 {
-    form_.headers_ = answerHeaders();
-    answer_ = task_.request_.stream_ ? makeStreamAnswer(form_) : makeWholeAnswer(form_);
+    format_.headers_ = responseHeaders();
+    response_ =
+        task_.request_.stream_ ? makeStreamedResponse(format_) : makeBufferedResponse(format_);
     promptTokens_ = routing::estimateTokens(task_.request_.promptText_);
     prefixHashes_ = routing::prefixHashes(task_.request_.promptText_, PrefixBlockTokens);
-    expectedOutput_ = parts_.mix_.expectedOutput(task_.routed_, task_.request_.maxTokens_);
+    expectedOutput_ = context_.demand_.expectedOutput(task_.routed_, task_.request_.maxTokens_);
 }
 
 ModelCall::~ModelCall()
 {
     if (ticket_ != 0) {
         const std::int64_t prompt = machine_.attempts() > 0 ? promptTokens_ : 0;
-        parts_.admission_.finished(ticket_, prompt + machine_.delivered());
+        context_.admission_.finished(ticket_, prompt + machine_.delivered());
     }
 }
 
 void ModelCall::serve()
 {
-    if (keyed_.looksUpOnly()) {
-        passKey();
+    if (keyed_.isLookupOnly()) {
+        claimKey();
         return;
     }
-    if (task_.atEngine_) {
-        record("request.accepted",
-               "rule=resume-token endpoint=" + task_.resume_->place_.endpoint_.value());
-        answer_->resumeToken(writeResumeToken(*task_.resume_, parts_.settings_.peerKey_));
+    if (task_.resumeAtEngine_) {
+        recordEvent("request.accepted",
+                    "rule=resume-token endpoint=" + task_.resume_->location_.endpoint_.value());
+        response_->resumeToken(serializeResumeToken(*task_.resume_, context_.settings_.peerKey_));
         run();
         return;
     }
-    parts_.mix_.asked(task_.routed_, promptTokens_, expectedOutput_);
+    context_.demand_.onRequest(task_.routed_, promptTokens_, expectedOutput_);
     if (!admit()) {
         return;
     }
-    if (passKey()) {
-        parts_.admission_.firstAttempt();
+    if (claimKey()) {
+        context_.admission_.firstAttempt();
         admitted();
         run();
     }
@@ -120,47 +121,48 @@
 
 bool ModelCall::admit()
 {
-    parts_.feedCapacity(task_.routed_);
+    context_.updateAdmissionCapacity(task_.routed_);
     caller_.callerSocket(); // Found here, not under admission's lock.
-    const auto decision = parts_.admission_.admit(offer(), [this] { return caller_.callerGone(); });
+    const auto decision =
+        context_.admission_.admit(offer(), [this] { return caller_.callerGone(); });
     if (!decision) {
-        outcome(CallOutcome::Abandoned, "why=caller-gone");
+        recordOutcome(CallOutcome::Abandoned, "why=caller-gone");
         return false;
     }
     if (decision->answer_ != admission::Answer::Admit) {
         respondRefusal(refusalFor(*decision));
-        outcome(CallOutcome::NotRun, decision->details_);
+        recordOutcome(CallOutcome::NotRun, decision->details_);
         return false;
     }
     ticket_ = decision->ticket_;
-    record("request.accepted", "account=" + info_.account_.id_.value()
-                                   + " model=" + task_.routed_.value() + " " + decision->details_);
+    recordEvent("request.accepted", "account=" + info_.account_.id_.value() + " model="
+                                        + task_.routed_.value() + " " + decision->details_);
     return true;
 }
 
-bool ModelCall::passKey()
+bool ModelCall::claimKey()
 {
-    const std::optional<RepeatAnswer> repeat = keyed_.begin(info_.deadline_);
-    if (repeat) {
-        answerRepeat(*repeat);
+    const std::optional<DuplicateResponse> duplicate = keyed_.begin(info_.deadline_);
+    if (duplicate) {
+        respondToDuplicate(*duplicate);
     }
-    return !repeat;
+    return !duplicate;
 }
 
-void ModelCall::answerRepeat(const RepeatAnswer &repeat)
+void ModelCall::respondToDuplicate(const DuplicateResponse &duplicate)
 {
-    outcome(CallOutcome::Repeat,
-            "verdict=" + std::string(nameOf(KeyVerdictNames, repeat.verdict_)));
-    if (repeat.refusal_) {
-        respondRefusal(*repeat.refusal_);
+    recordOutcome(CallOutcome::Repeat,
+                  "verdict=" + std::string(nameOf(KeyDecisionNames, duplicate.keyDecision_)));
+    if (duplicate.refusal_) {
+        respondRefusal(*duplicate.refusal_);
         return;
     }
-    AnswerForm form = form_;
-    form.headers_.push_back({"Idempotent-Replayed", "true"});
-    if (!repeat.stored_.whole_) {
-        form.headers_.push_back({"X-Stored-Body", "omitted"});
+    ResponseFormat format = format_;
+    format.headers_.push_back({"Idempotent-Replayed", "true"});
+    if (!duplicate.stored_.whole_) {
+        format.headers_.push_back({"X-Stored-Body", "omitted"});
     }
-    respondStored(caller_, form, task_.request_.stream_, repeat);
+    respondStored(caller_, format, task_.request_.stream_, duplicate);
 }
 
 // Attempts --------------------------------------------------------------------------------------
@@ -196,14 +198,14 @@
 net::Request ModelCall::requestFor(const SendRequest &action)
 {
     events_ = SseReader();
-    EngineSending sending;
-    sending.deliveredText_ = text_;
-    sending.deliveredTokens_ = action.base_;
+    AttemptState state;
+    state.deliveredText_ = text_;
+    state.deliveredTokens_ = action.base_;
     if (action.afterPrefill_) {
-        sending.kvTransfer_ = kvTransfer_;
+        state.kvTransfer_ = kvTransfer_;
     }
-    answer_->resumeToken(resumeToken());
-    return engineRequest(action.attempt_, engineBody(task_.request_, sending));
+    response_->resumeToken(resumeToken());
+    return engineRequest(action.attempt_, engineBody(task_.request_, state));
 }
 
 net::Request ModelCall::resumeRequestFor(const ResumeStream &action)
@@ -217,17 +219,17 @@
 
 net::Request ModelCall::prefillRequestFor(const Prefill &action)
 {
-    prefillAnswer_.clear();
+    prefillBody_.clear();
     return engineRequest(action.attempt_, prefillBody(task_.request_, text_));
 }
 
 void ModelCall::onLost(bool anythingSent)
 {
-    if (use_ == LinkUse::Prefill) {
+    if (connectionUse_ == ConnectionUse::Prefill) {
         push(PrefillFinished {connection_,
                               anythingSent ? PrefillStatus::Failed : PrefillStatus::NotSent});
     } else if (!finishReason_.empty()) {
-        push(AnswerEnded {connection_}); // Only the mark of the end was lost.
+        push(ResponseEnded {connection_}); // Only the mark of the end was lost.
     } else {
         push(ConnectionLost {connection_, anythingSent});
     }
@@ -238,16 +240,16 @@
     if (head.status_ == 200) {
         return HeadKind::Accepted;
     }
-    if (use_ == LinkUse::Resume && head.status_ == 404) {
-        return HeadKind::Forgotten;
+    if (connectionUse_ == ConnectionUse::Resume && head.status_ == 404) {
+        return HeadKind::StreamNotFound;
     }
     net::Response answer {head.status_, head.headers_, readShortBody()};
-    if (use_ != LinkUse::Resume && head.status_ == 503
-        && readEngineError(answer.body_).code_ == "not_run") {
+    if (connectionUse_ != ConnectionUse::Resume && head.status_ == 503
+        && parseEngineError(answer.body_).code_ == "not_run") {
         return HeadKind::NotRun;
     }
-    if (use_ != LinkUse::Resume && isFinal(head.status_)) {
-        finalAnswer_ = std::move(answer);
+    if (connectionUse_ != ConnectionUse::Resume && isRequestFault(head.status_)) {
+        engineRefusal_ = std::move(answer);
         return HeadKind::Final;
     }
     return HeadKind::Failed;
@@ -255,11 +257,11 @@
 
 void ModelCall::onHead(const net::ResponseHead &head)
 {
-    if (use_ == LinkUse::Prefill) {
+    if (connectionUse_ == ConnectionUse::Prefill) {
         onPrefillHead(head);
         return;
     }
-    push(HeadReceived {connection_, kindOf(head), comeBackOf(head)});
+    push(HeadReceived {connection_, kindOf(head), retryAfterOf(head)});
 }
 
 void ModelCall::onPrefillHead(const net::ResponseHead &head)
@@ -274,27 +276,27 @@
 
 void ModelCall::onBytes(std::string_view bytes)
 {
-    if (use_ == LinkUse::Prefill) {
-        prefillAnswer_ += bytes;
-        if (prefillAnswer_.size() > MaxPrefillAnswerBytes) {
+    if (connectionUse_ == ConnectionUse::Prefill) {
+        prefillBody_ += bytes;
+        if (prefillBody_.size() > MaxPrefillBodyBytes) {
             push(PrefillFinished {connection_, PrefillStatus::Failed});
         }
         return;
     }
     const ConnectionNumber connection = connection_;
-    bool understood = events_.take(bytes);
-    while (understood && connection == connection_ && !machine_.finished() && events_.hasEvent()) {
+    bool parsed = events_.append(bytes);
+    while (parsed && connection == connection_ && !machine_.finished() && events_.hasEvent()) {
         std::optional<EngineEvent> event =
             parseEngineEvent(task_.request_.api_, events_.takeEvent());
-        understood = event && event->kind_ != EngineEventKind::Failed;
-        if (understood) {
+        parsed = event && event->kind_ != EngineEventKind::Failed;
+        if (parsed) {
             onEvent(std::move(*event));
         }
     }
-    if (!machine_.finished() && !answer_->flush(caller_)) {
-        callerLost();
+    if (!machine_.finished() && !response_->flush(caller_)) {
+        onCallerLost();
     }
-    if (!understood && connection == connection_) {
+    if (!parsed && connection == connection_) {
         onLost(true);
     }
 }
@@ -305,11 +307,11 @@
         onUsage(*event.usage_);
     }
     if (event.kind_ == EngineEventKind::Done) {
-        feed(AnswerEnded {connection_});
+        feed(ResponseEnded {connection_});
         return;
     }
     if (event.kind_ == EngineEventKind::Other) {
-        answer_->note(event);
+        response_->onOtherEvent(event);
         finishReason_ = event.finishReason_.empty() ? finishReason_ : event.finishReason_;
         return;
     }
@@ -324,11 +326,11 @@
 
 void ModelCall::onEnd()
 {
-    if (use_ != LinkUse::Prefill) {
+    if (connectionUse_ != ConnectionUse::Prefill) {
         onLost(true); // The end of the answer without its [DONE]: the engine stopped in between.
         return;
     }
-    const json answer = json::parse(prefillAnswer_, nullptr, false);
+    const json answer = json::parse(prefillBody_, nullptr, false);
     kvTransfer_ = answer.is_object() ? answer.value("kv_transfer_params", json()) : json();
     const bool ready = kvTransfer_.is_object();
     push(PrefillFinished {connection_, ready ? PrefillStatus::Ready : PrefillStatus::Failed});
@@ -339,10 +341,10 @@
     const bool first = !usage_;
     usage_ = usage;
     if (first && usage.cachedTokens_ > 0) {
-        parts_.mix_.cached(task_.routed_, usage.cachedTokens_);
+        context_.demand_.onCacheHit(task_.routed_, usage.cachedTokens_);
     }
     if (usage.cachedTokens_ >= 0) {
-        parts_.router_.firstToken(machine_.place().attempt_, usage.cachedTokens_);
+        context_.router_.firstToken(machine_.streamLocation().attempt_, usage.cachedTokens_);
     }
 }
 
--- a/libs/relay/src/modelcall.h
+++ b/libs/relay/src/modelcall.h
@@ -5,8 +5,8 @@
 
 #include "calldriver.h"
 #include "keyedcall.h"
-#include "modelresponse.h"
 #include "modelrequest.h"
+#include "modelresponse.h"
 #include "resumetoken.h"
 #include "ssereader.h"
 
@@ -23,15 +23,16 @@
     ModelId routed_; ///< The model whose engines serve the name in the request.
     std::optional<ResumeToken> resume_ {};
     std::int64_t resumeOffset_ = 0;
-    bool atEngine_ = false; ///< The token's engine can have all that follows resumeOffset_.
+    bool resumeAtEngine_ = false; ///< The token's engine can have all that follows resumeOffset_.
     Recovery recovery_ = Recovery::Stream;
-    std::optional<CallerKey> key_ {};
+    std::optional<IdempotencyKey> key_ {};
 };
 
 class ModelCall : public CallDriver
 {
 public:
-    ModelCall(RelayParts &parts, net::ServerExchange &caller, const CallInfo &info, ModelTask task);
+    ModelCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
+              ModelTask task);
     /** Gives the place in admission back, whatever ended the call. */
     ~ModelCall() override;
     ModelCall(const ModelCall &) = delete;
@@ -50,14 +51,14 @@
     void onLost(bool anythingSent) override;
     void deliver(const Deliver &action) override;
     void keepAlive() override;
-    void passOn() override;
+    void forwardResponse() override;
     void finish() override;
     void refuse(const Refusal &refusal) override;
     void abandon() override;
 
     bool admit();
-    bool passKey();
-    void answerRepeat(const RepeatAnswer &repeat);
+    bool claimKey();
+    void respondToDuplicate(const DuplicateResponse &duplicate);
     admission::Offer offer() const;
     void onPrefillHead(const net::ResponseHead &head);
     HeadKind kindOf(const net::ResponseHead &head);
@@ -65,13 +66,13 @@
     void onUsage(const TokenUsage &usage);
     void onTokenTime(std::int64_t count);
     void respondEngineRefusal();
-    AnswerEnd answerEnd() const;
+    ResponseEnd responseEnd() const;
     std::string resumeToken() const;
     net::Request engineRequest(const AttemptId &attempt, std::string body) const;
 
     ModelTask task_;
-    AnswerForm form_;
-    std::unique_ptr<ModelAnswer> answer_;
+    ResponseFormat format_;
+    std::unique_ptr<ModelResponse> response_;
     KeyedCall keyed_;
     admission::Ticket ticket_ = 0;
     std::int64_t promptTokens_ = 0;
@@ -83,9 +84,9 @@
     std::string text_;               ///< Delivered so far.
     std::string finishReason_;
     std::optional<TokenUsage> usage_;
-    std::string prefillAnswer_;
+    std::string prefillBody_;
     nlohmann::json kvTransfer_;
-    std::optional<net::Response> finalAnswer_; ///< An engine's own refusal.
+    std::optional<net::Response> engineRefusal_; ///< An engine's own refusal.
     AttemptId firstTokenOf_; ///< The attempt whose first token the router was told of.
     TimePoint lastToken_ {};
     TimePoint keepAliveAt_ {};
--- a/libs/relay/src/modelrequest.cpp
+++ b/libs/relay/src/modelrequest.cpp
@@ -10,16 +10,16 @@
 using nlohmann::json;
 
 constexpr std::int64_t DefaultMaxTokens = 16;
-constexpr std::int64_t MostMaxTokens = 1 << 20;
+constexpr std::int64_t MaxTokensLimit = 1 << 20;
 /** Deeper bodies are refused: writing JSON again recurses, and must not exhaust the stack. */
 constexpr int MaxDepth = 64;
-constexpr std::size_t ShownValueBytes = 40;
+constexpr std::size_t MaxShownValueBytes = 40;
 
-std::string shownValue(const json &value)
+std::string truncatedValue(const json &value)
 {
     std::string text = value.dump(-1, ' ', false, json::error_handler_t::replace);
-    if (text.size() > ShownValueBytes) {
-        text.resize(ShownValueBytes);
+    if (text.size() > MaxShownValueBytes) {
+        text.resize(MaxShownValueBytes);
         text += "...";
     }
     return text;
@@ -39,20 +39,20 @@
         return found == body_.end() || found->is_null() ? nullptr : &*found;
     }
 
-    void wrong(const char *name, std::string remedy)
+    void addError(const char *name, std::string remedy)
     {
         const json *value = find(name);
-        errors_.push_back({name, value ? shownValue(*value) : "missing", std::move(remedy)});
+        errors_.push_back({name, value ? truncatedValue(*value) : "missing", std::move(remedy)});
     }
 
-    std::string text(const char *name, const char *remedy, bool needed)
+    std::string text(const char *name, const char *remedy, bool required)
     {
         const json *value = find(name);
         if (value && value->is_string()) {
             return value->get<std::string>();
         }
-        if (value || needed) {
-            wrong(name, remedy);
+        if (value || required) {
+            addError(name, remedy);
         }
         return {};
     }
@@ -61,24 +61,25 @@
     {
         const json *value = find(name);
         if (value && !value->is_boolean()) {
-            wrong(name, "write true or false");
+            addError(name, "write true or false");
         }
         return value && value->is_boolean() && value->get<bool>();
     }
 
-    std::int64_t number(const char *name, std::int64_t fallback, std::int64_t most)
+    std::int64_t number(const char *name, std::int64_t fallback, std::int64_t maximum)
     {
         const json *value = find(name);
         if (!value) {
             return fallback;
         }
         const bool whole = value->is_number_integer();
-        const bool fits = whole
-                          && (value->is_number_unsigned()
-                                  ? value->get<std::uint64_t>() <= static_cast<std::uint64_t>(most)
-                                  : value->get<std::int64_t>() <= most);
+        const bool fits =
+            whole
+            && (value->is_number_unsigned()
+                    ? value->get<std::uint64_t>() <= static_cast<std::uint64_t>(maximum)
+                    : value->get<std::int64_t>() <= maximum);
         if (!fits || value->get<std::int64_t>() < 1) {
-            wrong(name, "write a whole number from 1 to " + std::to_string(most));
+            addError(name, "write a whole number from 1 to " + std::to_string(maximum));
             return fallback;
         }
         return value->get<std::int64_t>();
@@ -123,48 +124,48 @@
     return true;
 }
 
-std::string readMessages(BodyReader &reader)
+std::string parseMessages(BodyReader &reader)
 {
     std::string text;
     const json *messages = reader.find("messages");
     const bool isList = messages && messages->is_array() && !messages->empty();
-    bool right = isList;
+    bool valid = isList;
     for (std::size_t index = 0; isList && index < messages->size(); ++index) {
         const json &message = (*messages)[index];
-        const bool named =
+        const bool hasRole =
             message.is_object() && message.contains("role") && message["role"].is_string();
-        right = right && named && appendContent(message.value("content", json()), text);
+        valid = valid && hasRole && appendContent(message.value("content", json()), text);
     }
-    if (!right) {
-        reader.wrong("messages", "write a list of {\"role\": text, \"content\": text}");
+    if (!valid) {
+        reader.addError("messages", "write a list of {\"role\": text, \"content\": text}");
     }
     return text;
 }
 
 /** What would make the answer not one text that can be resumed by offsets. */
-void refuseUnsupported(BodyReader &reader, bool stream)
+void rejectUnsupported(BodyReader &reader, bool stream)
 {
     for (const char *name : {"n", "best_of"}) {
         if (reader.number(name, 1, std::numeric_limits<int>::max()) > 1) {
-            reader.wrong(name, "ask for one answer a request");
+            reader.addError(name, "ask for one answer a request");
         }
     }
     if (reader.flag("echo")) {
-        reader.wrong("echo", "leave it out: the caller has the prompt");
+        reader.addError("echo", "leave it out: the caller has the prompt");
     }
     for (const char *name : {"tools", "functions"}) {
         const json *value = reader.find(name);
         if (value && !value->empty()) {
-            reader.wrong(name, "leave it out: tool calls are not supported");
+            reader.addError(name, "leave it out: tool calls are not supported");
         }
     }
     const json *probabilities = reader.find("logprobs");
     if (!stream && probabilities && *probabilities != json(false)) {
-        reader.wrong("logprobs", "ask with \"stream\": true");
+        reader.addError("logprobs", "ask with \"stream\": true");
     }
 }
 
-bool readIncludeUsage(BodyReader &reader)
+bool parseIncludeUsage(BodyReader &reader)
 {
     const json *options = reader.find("stream_options");
     if (!options) {
@@ -173,26 +174,26 @@
     const json include =
         options->is_object() ? options->value("include_usage", json(false)) : json();
     if (!include.is_boolean()) {
-        reader.wrong("stream_options", "write {\"include_usage\": true or false}");
+        reader.addError("stream_options", "write {\"include_usage\": true or false}");
         return false;
     }
     return include.get<bool>();
 }
 
-std::string readPrompt(Api api, BodyReader &reader)
+std::string parsePrompt(Api api, BodyReader &reader)
 {
     if (api == Api::Chat) {
-        return readMessages(reader);
+        return parseMessages(reader);
     }
     return reader.text("prompt", "write one text; send one request for each prompt", true);
 }
 
-std::int64_t readMaxTokens(Api api, BodyReader &reader)
+std::int64_t parseMaxTokens(Api api, BodyReader &reader)
 {
     const std::int64_t newName =
-        api == Api::Chat ? reader.number("max_completion_tokens", 0, MostMaxTokens) : 0;
+        api == Api::Chat ? reader.number("max_completion_tokens", 0, MaxTokensLimit) : 0;
     const std::int64_t oldName =
-        reader.number("max_tokens", newName > 0 ? newName : DefaultMaxTokens, MostMaxTokens);
+        reader.number("max_tokens", newName > 0 ? newName : DefaultMaxTokens, MaxTokensLimit);
     return newName > 0 ? newName : oldName;
 }
 
@@ -248,12 +249,12 @@
     }
     BodyReader reader(request.body_);
     request.model_ = ModelId(reader.text("model", "write the name of a model", true));
-    request.promptText_ = readPrompt(api, reader);
-    request.maxTokens_ = readMaxTokens(api, reader);
+    request.promptText_ = parsePrompt(api, reader);
+    request.maxTokens_ = parseMaxTokens(api, reader);
     request.stream_ = reader.flag("stream");
-    request.includeUsage_ = readIncludeUsage(reader);
+    request.includeUsage_ = parseIncludeUsage(reader);
     request.resumeText_ = reader.text("resume_text", "write the text received so far", false);
-    refuseUnsupported(reader, request.stream_);
+    rejectUnsupported(reader, request.stream_);
     std::vector<FieldError> errors = reader.takeErrors();
     if (!errors.empty()) {
         return fail({ErrorKind::InvalidInput, "the body has wrong fields", "mend the fields named",
@@ -263,14 +264,14 @@
     return request;
 }
 
-std::string engineBody(const ModelRequest &request, const EngineSending &sending)
+std::string engineBody(const ModelRequest &request, const AttemptState &state)
 {
-    json body = continuedBody(request, sending.deliveredText_);
-    body["max_tokens"] = request.maxTokens_ - sending.deliveredTokens_;
+    json body = continuedBody(request, state.deliveredText_);
+    body["max_tokens"] = request.maxTokens_ - state.deliveredTokens_;
     body["stream"] = true;
     body["stream_options"] = {{"include_usage", true}};
-    if (sending.kvTransfer_.is_object()) {
-        body["kv_transfer_params"] = sending.kvTransfer_;
+    if (state.kvTransfer_.is_object()) {
+        body["kv_transfer_params"] = state.kvTransfer_;
         body["kv_transfer_params"]["do_remote_prefill"] = true;
     }
     return body.dump();
--- a/libs/relay/src/modelrequest.h
+++ b/libs/relay/src/modelrequest.h
@@ -39,7 +39,7 @@
 Result<ModelRequest> parseModelRequest(Api api, std::string_view body);
 
 /** What one sending to an engine adds to the request. */
-struct EngineSending
+struct AttemptState
 {
     std::string_view deliveredText_;
     std::int64_t deliveredTokens_ = 0;
@@ -47,7 +47,7 @@
 };
 
 /** The body for an engine: always streamed and with usage, so that it can be resumed. */
-std::string engineBody(const ModelRequest &request, const EngineSending &sending);
+std::string engineBody(const ModelRequest &request, const AttemptState &state);
 /** The body for an engine that only prefills and hands the KV cache over. */
 std::string prefillBody(const ModelRequest &request, std::string_view deliveredText);
 
--- a/libs/relay/src/modelresponse.cpp
+++ b/libs/relay/src/modelresponse.cpp
@@ -10,7 +10,7 @@
 
 struct ApiShape
 {
-    std::string_view wholeObject_;
+    std::string_view completeObject_;
     std::string_view chunkObject_;
 };
 
@@ -36,10 +36,10 @@
 }
 
 /** The choices of an event that no engine sent, of which only the finish reason matters. */
-json finishChoices(const AnswerForm &form, const std::string &reason)
+json finishChoices(const ResponseFormat &format, const std::string &reason)
 {
     json choice = {{"index", 0}, {"finish_reason", reason}};
-    if (form.api_ == Api::Chat) {
+    if (format.api_ == Api::Chat) {
         choice["delta"] = json::object();
     } else {
         choice["text"] = "";
@@ -48,12 +48,12 @@
 }
 
 /** The fields that all events of an answer share, as text: it is sent with each token. */
-std::string eventHead(const AnswerForm &form)
+std::string eventHead(const ResponseFormat &format)
 {
-    const json fields = {{"id", form.id_},
-                         {"object", shapeOf(form.api_).chunkObject_},
-                         {"created", form.createdSeconds_},
-                         {"model", form.model_}};
+    const json fields = {{"id", format.id_},
+                         {"object", shapeOf(format.api_).chunkObject_},
+                         {"created", format.createdSeconds_},
+                         {"model", format.model_}};
     std::string text = "data: " + fields.dump();
     text.pop_back();
     return text;
@@ -68,12 +68,12 @@
     }
 }
 
-class StreamAnswer : public ModelAnswer
+class StreamedResponse : public ModelResponse
 {
 public:
-    explicit StreamAnswer(AnswerForm form)
-        : form_(std::move(form))
-        , head_(eventHead(form_))
+    explicit StreamedResponse(ResponseFormat format)
+        : format_(std::move(format))
+        , head_(eventHead(format_))
     { }
 
     void token(EngineEvent &event, std::int64_t offset) override
@@ -89,7 +89,7 @@
         appendChoices(event.body_["choices"]);
     }
 
-    void note(EngineEvent &event) override
+    void onOtherEvent(EngineEvent &event) override
     {
         // An engine that continues or resumes begins with the role again, which the caller has;
         // usage is told once, at the end and for the whole answer.
@@ -120,13 +120,13 @@
         return !begun_ || caller.writeChunk(": waiting for the engine\n\n");
     }
 
-    bool finish(net::ServerExchange &caller, const AnswerEnd &end) override
+    bool finish(net::ServerExchange &caller, const ResponseEnd &end) override
     {
         if (!finishSent_) {
             pending_ += head_;
-            appendChoices(finishChoices(form_, end.finishReason_));
+            appendChoices(finishChoices(format_, end.finishReason_));
         }
-        if (form_.includeUsage_) {
+        if (format_.includeUsage_) {
             pending_ += head_ + ",\"usage\":" + usageJson(end.usage_).dump();
             appendChoices(json::array());
         }
@@ -162,7 +162,7 @@
         if (std::exchange(begun_, true)) {
             return true;
         }
-        net::Headers headers = form_.headers_;
+        net::Headers headers = format_.headers_;
         headers.push_back({"Cache-Control", "no-cache"});
         if (!resumeToken_.empty()) {
             headers.push_back({"X-Resume-Token", std::exchange(resumeToken_, {})});
@@ -170,7 +170,7 @@
         return caller.beginStream(200, "text/event-stream", headers);
     }
 
-    AnswerForm form_;
+    ResponseFormat format_;
     std::string head_;
     std::string pending_;
     std::string resumeToken_;
@@ -180,22 +180,23 @@
     bool finishSent_ = false;
 };
 
-class WholeAnswer : public ModelAnswer
+class BufferedResponse : public ModelResponse
 {
 public:
-    explicit WholeAnswer(AnswerForm form)
-        : form_(std::move(form))
+    explicit BufferedResponse(ResponseFormat format)
+        : format_(std::move(format))
     { }
 
     void token(EngineEvent & /*event*/, std::int64_t /*offset*/) override { }
-    void note(EngineEvent & /*event*/) override { }
+    void onOtherEvent(EngineEvent & /*event*/) override { }
     void resumeToken(std::string /*token*/) override { }
     bool flush(net::ServerExchange & /*caller*/) override { return true; }
     bool keepAlive(net::ServerExchange & /*caller*/) override { return true; }
 
-    bool finish(net::ServerExchange &caller, const AnswerEnd &end) override
+    bool finish(net::ServerExchange &caller, const ResponseEnd &end) override
     {
-        return caller.respond(200, "application/json", wholeBody(form_, end), form_.headers_);
+        return caller.respond(200, "application/json", completeBody(format_, end),
+                              format_.headers_);
     }
 
     bool refuse(net::ServerExchange & /*caller*/, const Refusal & /*refusal*/) override
@@ -204,60 +205,60 @@
     }
 
 private:
-    AnswerForm form_;
+    ResponseFormat format_;
 };
 
 } // namespace
 
-std::string wholeBody(const AnswerForm &form, const AnswerEnd &end)
+std::string completeBody(const ResponseFormat &format, const ResponseEnd &end)
 {
     json choice = {{"index", 0}, {"finish_reason", end.finishReason_}, {"logprobs", nullptr}};
-    if (form.api_ == Api::Chat) {
+    if (format.api_ == Api::Chat) {
         choice["message"] = {{"role", "assistant"}, {"content", end.text_}};
     } else {
         choice["text"] = end.text_;
     }
-    const json body = {{"id", form.id_},
-                       {"object", shapeOf(form.api_).wholeObject_},
-                       {"created", form.createdSeconds_},
-                       {"model", form.model_},
+    const json body = {{"id", format.id_},
+                       {"object", shapeOf(format.api_).completeObject_},
+                       {"created", format.createdSeconds_},
+                       {"model", format.model_},
                        {"choices", json::array({std::move(choice)})},
                        {"usage", usageJson(end.usage_)}};
     return body.dump();
 }
 
-void respondStored(net::ServerExchange &caller, const AnswerForm &form, bool stream,
-                   const RepeatAnswer &repeat)
+void respondStored(net::ServerExchange &caller, const ResponseFormat &format, bool stream,
+                   const DuplicateResponse &duplicate)
 {
-    const json body = json::parse(repeat.stored_.body_, nullptr, false);
+    const json body = json::parse(duplicate.stored_.body_, nullptr, false);
     const bool whole = body.is_object() && body.contains("choices");
     if (!stream || !whole) {
-        caller.respond(repeat.status_, repeat.stored_.contentType_, repeat.stored_.body_,
-                       form.headers_);
+        caller.respond(duplicate.status_, duplicate.stored_.contentType_, duplicate.stored_.body_,
+                       format.headers_);
         return;
     }
     const json &choice = body["choices"].front();
-    json ownChoice = {{"index", 0}};
-    if (form.api_ == Api::Chat) {
-        ownChoice["delta"] = choice.value("message", json());
+    json replayedChoice = {{"index", 0}};
+    if (format.api_ == Api::Chat) {
+        replayedChoice["delta"] = choice.value("message", json());
     } else {
-        ownChoice["text"] = choice.value("text", "");
+        replayedChoice["text"] = choice.value("text", "");
     }
     EngineEvent event;
-    event.body_["choices"] = json::array({std::move(ownChoice)});
-    StreamAnswer answer(form);
+    event.body_["choices"] = json::array({std::move(replayedChoice)});
+    StreamedResponse answer(format);
     answer.token(event, 0);
     answer.finish(caller, {"", choice.value("finish_reason", "stop"), {}});
 }
 
-std::unique_ptr<ModelAnswer> makeStreamAnswer(AnswerForm form)
+std::unique_ptr<ModelResponse> makeStreamedResponse(ResponseFormat format)
 {
-    return std::make_unique<StreamAnswer>(std::move(form));
+    return std::make_unique<StreamedResponse>(std::move(format));
 }
 
-std::unique_ptr<ModelAnswer> makeWholeAnswer(AnswerForm form)
+std::unique_ptr<ModelResponse> makeBufferedResponse(ResponseFormat format)
 {
-    return std::make_unique<WholeAnswer>(std::move(form));
+    return std::make_unique<BufferedResponse>(std::move(format));
 }
 
 } // namespace almondridge::relay
--- a/libs/relay/src/modelresponse.h
+++ b/libs/relay/src/modelresponse.h
@@ -15,7 +15,7 @@
 namespace almondridge::relay {
 
 /** What every event and body of one answer repeats. */
-struct AnswerForm
+struct ResponseFormat
 {
     Api api_ = Api::Completions;
     std::string id_;
@@ -26,7 +26,7 @@
 };
 
 /** How an answer ends. */
-struct AnswerEnd
+struct ResponseEnd
 {
     std::string text_;
     std::string finishReason_;
@@ -34,17 +34,17 @@
 };
 
 /** The body of a whole answer. */
-std::string wholeBody(const AnswerForm &form, const AnswerEnd &end);
+std::string completeBody(const ResponseFormat &format, const ResponseEnd &end);
 
-class ModelAnswer
+class ModelResponse
 {
 public:
-    virtual ~ModelAnswer() = default;
+    virtual ~ModelResponse() = default;
 
     /** Takes an event whose tokens are the next ones; offset is in the whole answer. */
     virtual void token(EngineEvent &event, std::int64_t offset) = 0;
     /** Takes an event without tokens. */
-    virtual void note(EngineEvent &event) = 0;
+    virtual void onOtherEvent(EngineEvent &event) = 0;
     /**
      * Callers of a stream get it in the headers or, once begun, with the next event; the one
      * before is then of no use any more.
@@ -55,16 +55,16 @@
     /** Says on a begun stream that there is nothing yet. False when the caller is gone. */
     virtual bool keepAlive(net::ServerExchange &caller) = 0;
     /** Sends what is left, and the end. */
-    virtual bool finish(net::ServerExchange &caller, const AnswerEnd &end) = 0;
+    virtual bool finish(net::ServerExchange &caller, const ResponseEnd &end) = 0;
     /** Ends a begun stream by an error. False when nothing was begun. */
     virtual bool refuse(net::ServerExchange &caller, const Refusal &refusal) = 0;
 };
 
 /** Answers with a stored whole body: as it is, or as a stream of one event. */
-void respondStored(net::ServerExchange &caller, const AnswerForm &form, bool stream,
-                   const RepeatAnswer &repeat);
+void respondStored(net::ServerExchange &caller, const ResponseFormat &format, bool stream,
+                   const DuplicateResponse &duplicate);
 
-std::unique_ptr<ModelAnswer> makeStreamAnswer(AnswerForm form);
-std::unique_ptr<ModelAnswer> makeWholeAnswer(AnswerForm form);
+std::unique_ptr<ModelResponse> makeStreamedResponse(ResponseFormat format);
+std::unique_ptr<ModelResponse> makeBufferedResponse(ResponseFormat format);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/relay.cpp
+++ b/libs/relay/src/relay.cpp
@@ -14,7 +14,7 @@
 namespace almondridge::relay {
 namespace {
 
-constexpr Duration ComeBackAfter = millis(1'000);
+constexpr Duration DefaultRetryDelay = millis(1'000);
 
 } // namespace
 
@@ -22,51 +22,51 @@
 {
     State(fleet::Settings settings, KeyClaims &claims, observe::Metrics &metrics,
           observe::Timeline &timeline, FleetSource source)
-        : parts_(std::move(settings), claims, metrics, timeline, std::move(source))
+        : context_(std::move(settings), claims, metrics, timeline, std::move(source))
     { }
 
     /** Takes a place among the requests in work, or says why there is none. */
     std::optional<Refusal> enter();
     void leave();
 
-    RelayParts parts_;
+    RelayContext context_;
     std::mutex mutex_;
     std::condition_variable idle_;
-    int inWork_ = 0;
+    int activeRequests_ = 0;
     bool accepting_ = true;
 };
 
 std::optional<Refusal> Relay::State::enter()
 {
     const std::lock_guard lock(mutex_);
-    if (accepting_ && inWork_ < parts_.settings_.maxStreams_) {
-        ++inWork_;
+    if (accepting_ && activeRequests_ < context_.settings_.maxStreams_) {
+        ++activeRequests_;
         return std::nullopt;
     }
     admission::Decision decision;
     decision.reason_ =
         accepting_ ? admission::RefusalReason::NoCapacity : admission::RefusalReason::Stopping;
-    decision.retryAt_ = BootClock::now() + ComeBackAfter;
+    decision.retryAt_ = BootClock::now() + DefaultRetryDelay;
     return refusalFor(decision);
 }
 
 void Relay::State::leave()
 {
     const std::lock_guard lock(mutex_);
-    --inWork_;
-    if (inWork_ == 0) {
+    --activeRequests_;
+    if (activeRequests_ == 0) {
         idle_.notify_all();
     }
 }
 
 bool Relay::handle(net::ServerExchange &exchange)
 {
-    CallReader reader(state_->parts_, exchange);
-    if (!reader.isOurs()) {
+    CallDispatcher dispatcher(state_->context_, exchange);
+    if (!dispatcher.handlesPath()) {
         return false;
     }
     if (const std::optional<Refusal> refusal = state_->enter()) {
-        reader.refuse(*refusal);
+        dispatcher.refuse(*refusal);
         return true;
     }
     struct Leaver
@@ -75,28 +75,28 @@
         State &state_;
     };
     const Leaver leaver {*state_};
-    reader.serve();
+    dispatcher.serve();
     return true;
 }
 
 void Relay::withRouter(const std::function<void(routing::Router &)> &function)
 {
-    state_->parts_.router_.with(function);
+    state_->context_.router_.with(function);
 }
 
-bool Relay::waitSent(const EndpointId &endpoint, TimePoint deadline)
+bool Relay::waitForSends(const EndpointId &endpoint, TimePoint deadline)
 {
-    return state_->parts_.router_.waitSent(endpoint, deadline);
+    return state_->context_.router_.waitForSends(endpoint, deadline);
 }
 
 void Relay::onFleet(std::shared_ptr<const fleet::Fleet> fleet)
 {
-    state_->parts_.setFleet(std::move(fleet));
+    state_->context_.setFleet(std::move(fleet));
 }
 
 std::vector<ModelDemand> Relay::takeDemand()
 {
-    return state_->parts_.mix_.take();
+    return state_->context_.demand_.take();
 }
 
 void Relay::stopAccepting()
@@ -108,13 +108,13 @@
 int Relay::activeRequests() const noexcept
 {
     const std::lock_guard lock(state_->mutex_);
-    return state_->inWork_;
+    return state_->activeRequests_;
 }
 
 bool Relay::waitIdle(TimePoint deadline)
 {
     std::unique_lock lock(state_->mutex_);
-    while (state_->inWork_ > 0) {
+    while (state_->activeRequests_ > 0) {
         const std::int64_t left = millisUntil(deadline, BootClock::now());
         if (left <= 0) {
             return false;
--- a/libs/relay/src/relaycontext.cpp
+++ b/libs/relay/src/relaycontext.cpp
@@ -21,9 +21,10 @@
 std::string pathSafe(const std::string &name)
 {
     std::string safe = name;
-    for (char &letter : safe) {
-        const bool plain = std::isalnum(static_cast<unsigned char>(letter)) != 0 || letter == '-';
-        letter = plain ? letter : '_';
+    for (char &character : safe) {
+        const bool isAllowed =
+            std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '-';
+        character = isAllowed ? character : '_';
     }
     return safe;
 }
@@ -44,22 +45,22 @@
 
 } // namespace
 
-RequestIds::RequestIds(const InstanceId &instance)
+RequestIdGenerator::RequestIdGenerator(const InstanceId &instance)
 {
     // An instance that was replaced under the same name must not reuse the names of its
     // predecessor's requests: an engine may still have their streams.
     std::random_device source;
-    const std::uint64_t life = (static_cast<std::uint64_t>(source()) << 32U) | source();
-    prefix_ = pathSafe(instance.value()) + "-" + hex(life) + "-";
+    const std::uint64_t incarnation = (static_cast<std::uint64_t>(source()) << 32U) | source();
+    prefix_ = pathSafe(instance.value()) + "-" + hex(incarnation) + "-";
 }
 
-RequestId RequestIds::next()
+RequestId RequestIdGenerator::next()
 {
     return RequestId(prefix_ + std::to_string(++last_));
 }
 
-RelayParts::RelayParts(fleet::Settings settings, KeyClaims &claims, observe::Metrics &metrics,
-                       observe::Timeline &timeline, FleetSource source)
+RelayContext::RelayContext(fleet::Settings settings, KeyClaims &claims, observe::Metrics &metrics,
+                           observe::Timeline &timeline, FleetSource source)
     : settings_(std::move(settings))
     , claims_(claims)
     , metrics_(metrics)
@@ -70,10 +71,10 @@
     , canceller_(metrics, millis(settings_.connectTimeoutMillis_))
     , ids_(settings_.instance_)
 {
-    admission_.capacitySource([this](const ModelId &model) { feedCapacity(model); });
+    admission_.setCapacitySource([this](const ModelId &model) { updateAdmissionCapacity(model); });
 }
 
-void RelayParts::feedCapacity(const ModelId &model)
+void RelayContext::updateAdmissionCapacity(const ModelId &model)
 {
     const std::shared_ptr<const FleetView> fleet = view();
     const int engines = fleet ? fleet->engineCount(model, settings_.domain_) : 0;
@@ -82,7 +83,7 @@
     }
 }
 
-std::shared_ptr<const FleetView> RelayParts::view()
+std::shared_ptr<const FleetView> RelayContext::view()
 {
     std::shared_ptr<const fleet::Fleet> fleet = source_ ? source_() : nullptr;
     {
@@ -96,7 +97,7 @@
     return view_;
 }
 
-void RelayParts::setFleet(std::shared_ptr<const fleet::Fleet> fleet)
+void RelayContext::setFleet(std::shared_ptr<const fleet::Fleet> fleet)
 {
     auto view = std::make_shared<const FleetView>(fleet);
     router_.with([&](routing::Router &router) { router.setFleet(fleet); });
--- a/libs/relay/src/relaycontext.h
+++ b/libs/relay/src/relaycontext.h
@@ -4,9 +4,9 @@
 #pragma once
 
 #include "canceller.h"
+#include "demandcounter.h"
 #include "fleetview.h"
 #include "synchronized.h"
-#include "demandcounter.h"
 
 #include "almondridge/fleet/settings.h"
 #include "almondridge/observe/metrics.h"
@@ -20,10 +20,10 @@
 namespace almondridge::relay {
 
 /** Names for requests, unique over all instances and all lives of one. */
-class RequestIds
+class RequestIdGenerator
 {
 public:
-    explicit RequestIds(const InstanceId &instance);
+    explicit RequestIdGenerator(const InstanceId &instance);
     RequestId next();
 
 private:
@@ -31,15 +31,15 @@
     std::atomic<std::uint64_t> last_ {0};
 };
 
-struct RelayParts
+struct RelayContext
 {
-    RelayParts(fleet::Settings settings, KeyClaims &claims, observe::Metrics &metrics,
-               observe::Timeline &timeline, FleetSource source);
+    RelayContext(fleet::Settings settings, KeyClaims &claims, observe::Metrics &metrics,
+                 observe::Timeline &timeline, FleetSource source);
 
     /** The fleet in force, or null. */
     std::shared_ptr<const FleetView> view();
     /** Tells admission what the router knows of the model's engines. */
-    void feedCapacity(const ModelId &model);
+    void updateAdmissionCapacity(const ModelId &model);
     void setFleet(std::shared_ptr<const fleet::Fleet> fleet);
 
 private:
@@ -53,11 +53,11 @@
     observe::Metrics &metrics_;
     observe::Timeline &timeline_;
     const FleetSource source_;
-    RouterGate router_;
-    AdmissionGate admission_;
+    SynchronizedRouter router_;
+    SynchronizedAdmission admission_;
     Canceller canceller_;
-    MixCounter mix_;
-    RequestIds ids_;
+    DemandCounter demand_;
+    RequestIdGenerator ids_;
 };
 
 } // namespace almondridge::relay
--- a/libs/relay/src/resumetoken.h
+++ b/libs/relay/src/resumetoken.h
@@ -16,19 +16,19 @@
 
 struct ResumeToken
 {
-    StreamPlace place_;
+    StreamLocation location_;
     Api api_ = Api::Completions;
     ModelId model_;
     AccountId account_;       ///< Only this account may use it.
     std::string requestHash_; ///< SHA-256 of the prompt, so that it is not continued by another.
-    std::string answerId_;    ///< The "id" of the answer's events.
+    std::string responseId_;  ///< The "id" of the answer's events.
     std::int64_t createdSeconds_ = 0;
     std::int64_t maxTokens_ = 0;
     bool includeUsage_ = false;
 };
 
-std::string writeResumeToken(const ResumeToken &token, std::string_view sharedKey);
+std::string serializeResumeToken(const ResumeToken &token, std::string_view sharedKey);
 /** InvalidInput when it is not of ours. */
-Result<ResumeToken> readResumeToken(std::string_view text, std::string_view sharedKey);
+Result<ResumeToken> parseResumeToken(std::string_view text, std::string_view sharedKey);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/servicecall.cpp
+++ b/libs/relay/src/servicecall.cpp
@@ -12,9 +12,9 @@
  * Answers up to this are held until they are whole, so that an idempotent call whose endpoint
  * dies in the middle is answered by another one unseen by the caller.
  */
-constexpr std::size_t MaxHeldAnswer = 262'144;
+constexpr std::size_t MaxBufferedBytes = 262'144;
 
-constexpr std::array<std::string_view, 11> HopByHop {
+constexpr std::array<std::string_view, 11> HopByHopHeaders {
     "connection", "keep-alive",       "proxy-authenticate", "proxy-authorization",
     "te",         "trailer",          "transfer-encoding",  "upgrade",
     "host",       "proxy-connection", "content-length"};
@@ -22,13 +22,14 @@
 std::string lowered(std::string_view text)
 {
     std::string low(text);
-    std::transform(low.begin(), low.end(), low.begin(),
-                   [](unsigned char letter) { return static_cast<char>(std::tolower(letter)); });
+    std::transform(low.begin(), low.end(), low.begin(), [](unsigned char character) {
+        return static_cast<char>(std::tolower(character));
+    });
     return low;
 }
 
 /** Whether a comma-separated list of header names has name. */
-bool lists(std::string_view list, std::string_view name)
+bool containsToken(std::string_view list, std::string_view name)
 {
     while (!list.empty()) {
         const std::size_t comma = std::min(list.find(','), list.size());
@@ -55,56 +56,58 @@
 } // namespace
 
 net::Headers endToEndHeaders(const net::Headers &headers,
-                             std::initializer_list<std::string_view> without)
+                             std::initializer_list<std::string_view> excluded)
 {
     const std::string_view connection = net::headerValue(headers, "Connection");
     net::Headers kept;
     for (const net::Header &header : headers) {
         const std::string name = lowered(header.name_);
-        const bool hop = std::find(HopByHop.begin(), HopByHop.end(), name) != HopByHop.end();
-        const bool unwanted = std::find(without.begin(), without.end(), name) != without.end();
-        if (!hop && !unwanted && !lists(connection, name)) {
+        const bool hopByHop = std::find(HopByHopHeaders.begin(), HopByHopHeaders.end(), name)
+                              != HopByHopHeaders.end();
+        const bool isExcluded = std::find(excluded.begin(), excluded.end(), name) != excluded.end();
+        if (!hopByHop && !isExcluded && !containsToken(connection, name)) {
             kept.push_back(header);
         }
     }
     return kept;
 }
 
-ServiceCall::ServiceCall(RelayParts &parts, net::ServerExchange &caller, const CallInfo &info,
+ServiceCall::ServiceCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
                          ServiceTask task)
-    : CallDriver(parts, caller, info, specFor(info, task))
+    : CallDriver(context, caller, info, specFor(info, task))
     , task_(std::move(task))
-    , keyed_(parts.claims_, task_.key_, info_.id_)
+    , keyed_(context.claims_, task_.key_, info_.id_)
 { }
 
 void ServiceCall::serve()
 {
-    if (const std::optional<RepeatAnswer> repeat = keyed_.begin(info_.deadline_)) {
-        answerRepeat(*repeat);
+    if (const std::optional<DuplicateResponse> duplicate = keyed_.begin(info_.deadline_)) {
+        respondToDuplicate(*duplicate);
         return;
     }
-    record("request.accepted",
-           "service=" + task_.service_.value() + " method=" + task_.method_
-               + " recovery=" + std::string(nameOf(RecoveryNames, task_.recovery_)));
-    parts_.admission_.firstAttempt();
+    recordEvent("request.accepted",
+                "service=" + task_.service_.value() + " method=" + task_.method_
+                    + " recovery=" + std::string(nameOf(RecoveryNames, task_.recovery_)));
+    context_.admission_.firstAttempt();
     admitted();
     run();
 }
 
-void ServiceCall::answerRepeat(const RepeatAnswer &repeat)
+void ServiceCall::respondToDuplicate(const DuplicateResponse &duplicate)
 {
-    outcome(CallOutcome::Repeat,
-            "verdict=" + std::string(nameOf(KeyVerdictNames, repeat.verdict_)));
-    if (repeat.refusal_) {
-        respondRefusal(*repeat.refusal_);
+    recordOutcome(CallOutcome::Repeat,
+                  "verdict=" + std::string(nameOf(KeyDecisionNames, duplicate.keyDecision_)));
+    if (duplicate.refusal_) {
+        respondRefusal(*duplicate.refusal_);
         return;
     }
-    net::Headers headers = answerHeaders();
+    net::Headers headers = responseHeaders();
     headers.push_back({"Idempotent-Replayed", "true"});
-    if (!repeat.stored_.whole_) {
+    if (!duplicate.stored_.whole_) {
         headers.push_back({"X-Stored-Body", "omitted"});
     }
-    caller_.respond(repeat.status_, repeat.stored_.contentType_, repeat.stored_.body_, headers);
+    caller_.respond(duplicate.status_, duplicate.stored_.contentType_, duplicate.stored_.body_,
+                    headers);
 }
 
 routing::RouteQuery ServiceCall::query()
@@ -132,61 +135,61 @@
     head_ = head;
     body_.clear();
     push(HeadReceived {connection_, notRun ? HeadKind::NotRun : HeadKind::Accepted,
-                       comeBackOf(head)});
+                       retryAfterOf(head)});
 }
 
-void ServiceCall::passOn()
+void ServiceCall::forwardResponse()
 {
     // Events come one by one over a long time; held until the end they would be of no use.
     if (contentType().starts_with("text/event-stream")) {
-        beginPassing();
+        startForwarding();
     }
 }
 
-void ServiceCall::beginPassing()
+void ServiceCall::startForwarding()
 {
-    passing_ = true;
-    feed(AnswerPassedOn {connection_});
+    forwarding_ = true;
+    feed(ResponseForwarded {connection_});
     // A broken answer can only be told from a whole one by a connection that closes early.
     caller_.closeAfterAnswer();
-    const bool taken = caller_.beginStream(head_.status_, contentType(), callerHeaders())
-                       && (body_.empty() || caller_.writeChunk(body_));
+    const bool written = caller_.beginStream(head_.status_, contentType(), callerHeaders())
+                         && (body_.empty() || caller_.writeChunk(body_));
     body_.clear();
-    if (!taken) {
-        callerLost();
+    if (!written) {
+        onCallerLost();
     }
 }
 
 void ServiceCall::onBytes(std::string_view bytes)
 {
-    if (passing_) {
+    if (forwarding_) {
         if (!caller_.writeChunk(bytes)) {
-            callerLost();
+            onCallerLost();
         }
         return;
     }
     body_ += bytes;
-    if (body_.size() > MaxHeldAnswer) {
-        beginPassing();
+    if (body_.size() > MaxBufferedBytes) {
+        startForwarding();
     }
 }
 
 void ServiceCall::onEnd()
 {
-    push(AnswerEnded {connection_});
+    push(ResponseEnded {connection_});
 }
 
 void ServiceCall::finish()
 {
-    bool taken = false;
-    if (passing_) {
-        taken = caller_.endStream();
+    bool written = false;
+    if (forwarding_) {
+        written = caller_.endStream();
     } else {
-        taken = caller_.respond(head_.status_, contentType(), body_, callerHeaders());
+        written = caller_.respond(head_.status_, contentType(), body_, callerHeaders());
     }
-    keyed_.end(head_.status_, {contentType(), passing_ ? std::string() : body_, !passing_});
-    outcome(taken ? CallOutcome::Whole : CallOutcome::Abandoned,
-            "status=" + std::to_string(head_.status_));
+    keyed_.end(head_.status_, {contentType(), forwarding_ ? std::string() : body_, !forwarding_});
+    recordOutcome(written ? CallOutcome::Whole : CallOutcome::Abandoned,
+                  "status=" + std::to_string(head_.status_));
 }
 
 void ServiceCall::refuse(const Refusal &given)
@@ -199,25 +202,25 @@
         refusal.remedy_ = "find out whether it took effect; next time send an Idempotency-Key, "
                           "with which a repeat is safe";
     }
-    if (!passing_) {
+    if (!forwarding_) {
         respondRefusal(refusal);
     }
     const bool notRun = refusal.outcome_ == Outcome::NotRun;
     keyed_.end(notRun ? StoredNotRun : StoredUnknown, {});
-    outcome(notRun ? CallOutcome::NotRun : CallOutcome::Unknown, "why=" + refusal.code_);
+    recordOutcome(notRun ? CallOutcome::NotRun : CallOutcome::Unknown, "why=" + refusal.code_);
 }
 
 void ServiceCall::abandon()
 {
     keyed_.end(machine_.mayHaveRun() ? StoredUnknown : StoredNotRun, {});
-    outcome(CallOutcome::Abandoned, "why=caller-gone");
+    recordOutcome(CallOutcome::Abandoned, "why=caller-gone");
 }
 
 net::Headers ServiceCall::callerHeaders() const
 {
     net::Headers headers =
         endToEndHeaders(head_.headers_, {"content-type", "x-request-id", "x-not-run"});
-    headers.push_back({"X-Request-Id", info_.answerId_});
+    headers.push_back({"X-Request-Id", info_.responseId_});
     return headers;
 }
 
--- a/libs/relay/src/servicecall.h
+++ b/libs/relay/src/servicecall.h
@@ -19,17 +19,17 @@
     net::Headers headers_;
     std::string body_;
     Recovery recovery_ = Recovery::Once;
-    std::optional<CallerKey> key_ {};
+    std::optional<IdempotencyKey> key_ {};
 };
 
 /** Headers without those that are about one connection only, and without those named. */
 net::Headers endToEndHeaders(const net::Headers &headers,
-                             std::initializer_list<std::string_view> without);
+                             std::initializer_list<std::string_view> excluded);
 
 class ServiceCall : public CallDriver
 {
 public:
-    ServiceCall(RelayParts &parts, net::ServerExchange &caller, const CallInfo &info,
+    ServiceCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
                 ServiceTask task);
     void serve();
 
@@ -39,21 +39,21 @@
     void onHead(const net::ResponseHead &head) override;
     void onBytes(std::string_view bytes) override;
     void onEnd() override;
-    void passOn() override;
+    void forwardResponse() override;
     void finish() override;
     void refuse(const Refusal &refusal) override;
     void abandon() override;
 
-    void answerRepeat(const RepeatAnswer &repeat);
-    void beginPassing();
+    void respondToDuplicate(const DuplicateResponse &duplicate);
+    void startForwarding();
     net::Headers callerHeaders() const;
     std::string contentType() const;
 
     ServiceTask task_;
     KeyedCall keyed_;
     net::ResponseHead head_;
-    std::string body_;     ///< Of the answer, until it is passed on in pieces.
-    bool passing_ = false; ///< The answer goes to the caller in pieces.
+    std::string body_;        ///< Of the answer, until it is passed on in pieces.
+    bool forwarding_ = false; ///< The answer goes to the caller in pieces.
 };
 
 } // namespace almondridge::relay
--- a/libs/relay/src/ssereader.cpp
+++ b/libs/relay/src/ssereader.cpp
@@ -13,7 +13,7 @@
     : maxEventBytes_(maxEventBytes)
 { }
 
-bool SseReader::take(std::string_view bytes)
+bool SseReader::append(std::string_view bytes)
 {
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
--- a/libs/relay/src/ssereader.h
+++ b/libs/relay/src/ssereader.h
@@ -17,7 +17,7 @@
     explicit SseReader(std::size_t maxEventBytes = DefaultMaxEventBytes);
 
     /** False when an event is longer than the limit: the sender speaks something else. */
-    bool take(std::string_view bytes);
+    bool append(std::string_view bytes);
     bool hasEvent() const noexcept { return !events_.empty(); }
     /** The data of the next whole event; only when hasEvent(). */
     std::string takeEvent();
--- a/libs/relay/src/synchronized.cpp
+++ b/libs/relay/src/synchronized.cpp
@@ -10,18 +10,18 @@
 /** How often a waiting thread looks whether its caller is still there. */
 constexpr auto CallerCheckInterval = std::chrono::milliseconds(250);
 /** How often the room for queued requests is looked at when nothing ends meanwhile. */
-constexpr std::int64_t LongestReleasePause = 50;
+constexpr std::int64_t MaxReleasePauseMillis = 50;
 /** The difference in prompt that a rate is taken from. */
 constexpr std::int64_t RateSampleTokens = 1'000;
 
 } // namespace
 
-RouterGate::RouterGate(routing::Router router)
+SynchronizedRouter::SynchronizedRouter(routing::Router router)
     : router_(std::move(router))
 { }
 
-std::optional<routing::RouteChoice> RouterGate::dispatch(const AttemptId &attempt,
-                                                         const routing::RouteQuery &query)
+std::optional<routing::RouteChoice> SynchronizedRouter::dispatch(const AttemptId &attempt,
+                                                                 const routing::RouteQuery &query)
 {
     const TimePoint now = BootClock::now();
     const std::lock_guard lock(mutex_);
@@ -36,52 +36,52 @@
     return choice;
 }
 
-void RouterGate::firstToken(const AttemptId &attempt, std::int64_t cachedTokens)
+void SynchronizedRouter::firstToken(const AttemptId &attempt, std::int64_t cachedTokens)
 {
     const std::lock_guard lock(mutex_);
     router_.onFirstToken(attempt, cachedTokens, BootClock::now());
 }
 
-void RouterGate::finished(const AttemptId &attempt, bool succeeded)
+void SynchronizedRouter::finished(const AttemptId &attempt, bool succeeded)
 {
     const std::lock_guard lock(mutex_);
     router_.onFinished(attempt, succeeded, BootClock::now());
 }
 
-bool RouterGate::beginSend(const EndpointId &endpoint)
+bool SynchronizedRouter::beginSend(const EndpointId &endpoint)
 {
     const std::lock_guard lock(mutex_);
     if (!router_.isAvailable(endpoint)) {
         return false;
     }
-    ++sending_[endpoint];
+    ++sendsInProgress_[endpoint];
     return true;
 }
 
-void RouterGate::endSend(const EndpointId &endpoint)
+void SynchronizedRouter::endSend(const EndpointId &endpoint)
 {
     const std::lock_guard lock(mutex_);
-    const auto found = sending_.find(endpoint);
+    const auto found = sendsInProgress_.find(endpoint);
     if (--found->second == 0) {
-        sending_.erase(found);
-        sent_.notify_all();
+        sendsInProgress_.erase(found);
+        sendsFinished_.notify_all();
     }
 }
 
-bool RouterGate::waitSent(const EndpointId &endpoint, TimePoint deadline)
+bool SynchronizedRouter::waitForSends(const EndpointId &endpoint, TimePoint deadline)
 {
     std::unique_lock lock(mutex_);
-    while (sending_.contains(endpoint)) {
+    while (sendsInProgress_.contains(endpoint)) {
         const std::int64_t left = millisUntil(deadline, BootClock::now());
         if (left <= 0) {
             return false;
         }
-        sent_.wait_for(lock, std::chrono::milliseconds(left));
+        sendsFinished_.wait_for(lock, std::chrono::milliseconds(left));
     }
     return true;
 }
 
-std::optional<Capacity> RouterGate::capacityOf(const ModelId &model, int engines)
+std::optional<Capacity> SynchronizedRouter::capacityOf(const ModelId &model, int engines)
 {
     const TimePoint now = BootClock::now();
     routing::RouteQuery query;
@@ -106,18 +106,18 @@
     return capacity;
 }
 
-void RouterGate::with(const std::function<void(routing::Router &)> &function)
+void SynchronizedRouter::with(const std::function<void(routing::Router &)> &function)
 {
     const std::lock_guard lock(mutex_);
     function(router_);
 }
 
-AdmissionGate::AdmissionGate(admission::Admission admission)
+SynchronizedAdmission::SynchronizedAdmission(admission::Admission admission)
     : admission_(std::move(admission))
-    , releaser_([this] { keepReleasing(); })
+    , releaser_([this] { releaseLoop(); })
 { }
 
-AdmissionGate::~AdmissionGate()
+SynchronizedAdmission::~SynchronizedAdmission()
 {
     {
         const std::lock_guard lock(mutex_);
@@ -127,14 +127,14 @@
     releaser_.join();
 }
 
-void AdmissionGate::capacitySource(CapacitySource source)
+void SynchronizedAdmission::setCapacitySource(CapacitySource source)
 {
     const std::lock_guard lock(mutex_);
     capacitySource_ = std::move(source);
 }
 
-std::optional<admission::Decision> AdmissionGate::admit(const admission::Offer &offer,
-                                                        const std::function<bool()> &callerGone)
+std::optional<admission::Decision>
+SynchronizedAdmission::admit(const admission::Offer &offer, const std::function<bool()> &callerGone)
 {
     std::unique_lock lock(mutex_);
     const admission::Decision first = admission_.offer(offer, BootClock::now());
@@ -145,9 +145,9 @@
     waiter.model_ = offer.model_;
     wake_.notify_all();
     while (!waiter.decision_) {
-        const bool told = waiter.turn_.wait_for(lock, CallerCheckInterval,
-                                                [&] { return waiter.decision_.has_value(); });
-        if (!told && callerGone()) {
+        const bool decided = waiter.turn_.wait_for(lock, CallerCheckInterval,
+                                                   [&] { return waiter.decision_.has_value(); });
+        if (!decided && callerGone()) {
             admission_.onFinished(first.ticket_, 0, BootClock::now());
             waiters_.erase(first.ticket_);
             releaseLocked();
@@ -159,39 +159,39 @@
     return decision;
 }
 
-void AdmissionGate::finished(admission::Ticket ticket, std::int64_t tokens)
+void SynchronizedAdmission::finished(admission::Ticket ticket, std::int64_t tokens)
 {
     const std::lock_guard lock(mutex_);
     admission_.onFinished(ticket, tokens, BootClock::now());
     releaseLocked();
 }
 
-void AdmissionGate::capacity(const ModelId &model, const Capacity &capacity)
+void SynchronizedAdmission::capacity(const ModelId &model, const Capacity &capacity)
 {
     const std::lock_guard lock(mutex_);
     admission_.onCapacity(model, capacity.firstTokenWait_, capacity.tokensPerSecond_,
                           capacity.spareShare_, BootClock::now());
 }
 
-bool AdmissionGate::takeRetry()
+bool SynchronizedAdmission::takeRetry()
 {
     const std::lock_guard lock(mutex_);
     return admission_.takeRetry(BootClock::now());
 }
 
-void AdmissionGate::firstAttempt()
+void SynchronizedAdmission::firstAttempt()
 {
     const std::lock_guard lock(mutex_);
     admission_.onFirstAttempt(BootClock::now());
 }
 
-void AdmissionGate::with(const std::function<void(admission::Admission &)> &function)
+void SynchronizedAdmission::with(const std::function<void(admission::Admission &)> &function)
 {
     const std::lock_guard lock(mutex_);
     function(admission_);
 }
 
-void AdmissionGate::releaseLocked()
+void SynchronizedAdmission::releaseLocked()
 {
     for (const admission::Release &release : admission_.poll(BootClock::now())) {
         const auto found = waiters_.find(release.ticket_);
@@ -202,7 +202,7 @@
     }
 }
 
-void AdmissionGate::refreshCapacity()
+void SynchronizedAdmission::refreshCapacity()
 {
     CapacitySource source;
     std::set<ModelId> models;
@@ -218,7 +218,7 @@
     }
 }
 
-void AdmissionGate::keepReleasing()
+void SynchronizedAdmission::releaseLoop()
 {
     std::unique_lock lock(mutex_);
     while (!stopping_) {
@@ -228,9 +228,9 @@
         }
         const TimePoint now = BootClock::now();
         const TimePoint next = admission_.nextPoll().value_or(TimePoint::max());
-        const std::int64_t pause =
-            std::clamp<std::int64_t>(millisUntil(next, now) + 1, 1, LongestReleasePause);
-        wake_.wait_for(lock, std::chrono::milliseconds(pause), [&] { return stopping_; });
+        const std::int64_t pauseMillis =
+            std::clamp<std::int64_t>(millisUntil(next, now) + 1, 1, MaxReleasePauseMillis);
+        wake_.wait_for(lock, std::chrono::milliseconds(pauseMillis), [&] { return stopping_; });
         lock.unlock();
         refreshCapacity();
         lock.lock();
--- a/libs/relay/src/synchronized.h
+++ b/libs/relay/src/synchronized.h
@@ -24,10 +24,10 @@
     double spareShare_ = 0;
 };
 
-class RouterGate
+class SynchronizedRouter
 {
 public:
-    explicit RouterGate(routing::Router router);
+    explicit SynchronizedRouter(routing::Router router);
 
     /** Chooses and counts the attempt in one step, so that no other request sees it missing. */
     std::optional<routing::RouteChoice> dispatch(const AttemptId &attempt,
@@ -41,7 +41,7 @@
     bool beginSend(const EndpointId &endpoint);
     void endSend(const EndpointId &endpoint);
     /** Waits until nothing is being sent to the endpoint. False at deadline. */
-    bool waitSent(const EndpointId &endpoint, TimePoint deadline);
+    bool waitForSends(const EndpointId &endpoint, TimePoint deadline);
 
     /** nullopt when no endpoint takes the model's requests. */
     std::optional<Capacity> capacityOf(const ModelId &model, int engines);
@@ -50,23 +50,23 @@
 private:
     std::mutex mutex_;
     routing::Router router_;
-    std::map<EndpointId, int> sending_;
-    std::condition_variable sent_;
+    std::map<EndpointId, int> sendsInProgress_;
+    std::condition_variable sendsFinished_;
 };
 
 /** Feeds admission with the room that the router sees for a model; called without a lock. */
 using CapacitySource = std::function<void(const ModelId &)>;
 
-class AdmissionGate
+class SynchronizedAdmission
 {
 public:
-    explicit AdmissionGate(admission::Admission admission);
-    ~AdmissionGate();
-    AdmissionGate(const AdmissionGate &) = delete;
-    AdmissionGate &operator=(const AdmissionGate &) = delete;
+    explicit SynchronizedAdmission(admission::Admission admission);
+    ~SynchronizedAdmission();
+    SynchronizedAdmission(const SynchronizedAdmission &) = delete;
+    SynchronizedAdmission &operator=(const SynchronizedAdmission &) = delete;
 
     /** Called now and then for each model that has waiting requests. Set before the first offer. */
-    void capacitySource(CapacitySource source);
+    void setCapacitySource(CapacitySource source);
 
     /** Waits in the queue as long as admission says. nullopt: callerGone said so meanwhile. */
     std::optional<admission::Decision> admit(const admission::Offer &offer,
@@ -87,7 +87,7 @@
     };
 
     void releaseLocked();
-    void keepReleasing();
+    void releaseLoop();
     void refreshCapacity();
 
     std::mutex mutex_;
--- a/libs/relay/tests/badinputtest.cpp
+++ b/libs/relay/tests/badinputtest.cpp
@@ -20,7 +20,7 @@
 
 constexpr const char *Key = "the key of kaarna";
 
-struct Front
+struct AuthenticatedRelay
 {
     fleet::FleetBuilder fleet()
     {
@@ -60,7 +60,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(BadInput, Front)
+BOOST_FIXTURE_TEST_SUITE(BadInput, AuthenticatedRelay)
 
 BOOST_AUTO_TEST_CASE(eachWrongBodyGetsItsOwnRefusalAndNothingRuns)
 {
@@ -165,8 +165,8 @@
     settings.maxStreams_ = 1;
     RelayServer relay(fleet(), claims_, settings);
     Fault fault;
-    fault.silentAfter_ = 0;
-    engine_.fault(fault);
+    fault.stallAfter_ = 0;
+    engine_.setFault(fault);
     auto first = net::HttpExchange::connect(relay.address(), soon()).value();
     const std::string body = R"({"model":"m","prompt":"a","stream":true})";
     first.send({"POST", "/v1/completions", {authorization()}, body}, soon()).value();
@@ -213,7 +213,7 @@
         bool understood = true;
         for (std::size_t at = 0; at < text.size() && understood;) {
             const std::size_t size = 1 + random() % 40;
-            understood = reader.take(std::string_view(text).substr(at, size));
+            understood = reader.append(std::string_view(text).substr(at, size));
             at += size;
         }
         while (understood && reader.hasEvent()) {
@@ -223,7 +223,7 @@
         BOOST_REQUIRE((round > 0 || events == 3));
     }
     SseReader bounded(512);
-    BOOST_TEST(!bounded.take("data: " + std::string(600, 'x')));
+    BOOST_TEST(!bounded.append("data: " + std::string(600, 'x')));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/relay/tests/fakes.cpp
+++ b/libs/relay/tests/fakes.cpp
@@ -36,7 +36,7 @@
                   .value())
 { }
 
-void FakeEngine::fault(Fault fault)
+void FakeEngine::setFault(Fault fault)
 {
     const std::lock_guard lock(mutex_);
     fault_ = std::move(fault);
@@ -92,7 +92,7 @@
     } else if (body.contains("kv_transfer_params") && !body.value("stream", false)) {
         exchange.respond(200, "application/json", R"({"kv_transfer_params":{"ticket":"t1"}})");
     } else {
-        say(exchange, stream, 0, fault);
+        sendTokens(exchange, stream, 0, fault);
     }
 }
 
@@ -104,29 +104,29 @@
         const std::lock_guard lock(mutex_);
         const auto found =
             streams_.find(std::string(exchange.path().substr(std::string("/v1/streams/").size())));
-        if (found != streams_.end() && !fault_.forget_) {
+        if (found != streams_.end() && !fault_.streamsLost_) {
             stream = found->second;
         }
-        fault.silentAfter_ = fault_.silentAgain_ ? fault_.silentAfter_ : -1;
+        fault.stallAfter_ = fault_.stallResumed_ ? fault_.stallAfter_ : -1;
     }
     if (!stream) {
         exchange.respond(404, "application/json", R"({"error":{"code":"not_found"}})");
         return;
     }
-    say(exchange, *stream, std::stoi(exchange.queryValue("offset")), fault);
+    sendTokens(exchange, *stream, std::stoi(exchange.queryValue("offset")), fault);
 }
 
-void FakeEngine::say(net::ServerExchange &exchange, const Stream &stream, int from,
-                     const Fault &fault)
+void FakeEngine::sendTokens(net::ServerExchange &exchange, const Stream &stream, int from,
+                            const Fault &fault)
 {
     const std::vector<std::string> prompt = split(stream.prompt_);
     exchange.closeAfterAnswer();
     exchange.beginStream(200, "text/event-stream");
     for (int offset = from; offset < stream.tokens_; ++offset) {
-        if (offset == fault.dieAfter_) {
+        if (offset == fault.disconnectAfter_) {
             return;
         }
-        if (offset == fault.silentAfter_) {
+        if (offset == fault.stallAfter_) {
             waitForHangUp(exchange);
             return;
         }
@@ -160,13 +160,13 @@
     if (found != claims_.end()) {
         return found->second;
     }
-    return {out_ ? ClaimStatus::LogUnavailable : ClaimStatus::Unknown, 0, {}};
+    return {logUnavailable_ ? ClaimStatus::LogUnavailable : ClaimStatus::Unknown, 0, {}};
 }
 
 ClaimAnswer FakeClaims::claim(const std::string &key, const RequestId &, TimePoint)
 {
     const std::lock_guard lock(mutex_);
-    if (out_) {
+    if (logUnavailable_) {
         return {ClaimStatus::LogUnavailable, 0, {}};
     }
     const bool isNew = claims_.try_emplace(key, ClaimAnswer {ClaimStatus::Unknown, 0, {}}).second;
@@ -183,15 +183,15 @@
                         const std::string &body)
 {
     const std::lock_guard lock(mutex_);
-    if (!out_) {
+    if (!logUnavailable_) {
         claims_[key] = {ClaimStatus::Finished, status, body};
     }
 }
 
-void FakeClaims::logOut(bool out)
+void FakeClaims::setLogUnavailable(bool out)
 {
     const std::lock_guard lock(mutex_);
-    out_ = out;
+    logUnavailable_ = out;
 }
 
 fleet::Settings RelayServer::settingsOf(const std::string &instance)
--- a/libs/relay/tests/fakes.h
+++ b/libs/relay/tests/fakes.h
@@ -29,10 +29,10 @@
 /** What an endpoint does wrong with the next requests. */
 struct Fault
 {
-    int dieAfter_ = -1;        ///< Tokens; then the connection is cut.
-    int silentAfter_ = -1;     ///< Tokens; then nothing more comes on this connection.
-    bool silentAgain_ = false; ///< Resumed streams say nothing either.
-    bool forget_ = false;      ///< Resumed streams are answered with 404.
+    int disconnectAfter_ = -1;  ///< Tokens; then the connection is cut.
+    int stallAfter_ = -1;       ///< Tokens; then nothing more comes on this connection.
+    bool stallResumed_ = false; ///< Resumed streams say nothing either.
+    bool streamsLost_ = false;  ///< Resumed streams are answered with 404.
     int status_ = 200;
     std::string errorBody_ = "{}";
 };
@@ -44,7 +44,7 @@
     FakeEngine();
 
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
-    void fault(Fault fault);
+    void setFault(Fault fault);
     /** The bodies of all requests so far. */
     std::vector<json> bodies();
     /** Waits until so many cancels came; their attempts. */
@@ -62,7 +62,8 @@
     void handle(net::ServerExchange &exchange);
     void generate(net::ServerExchange &exchange);
     void resume(net::ServerExchange &exchange);
-    void say(net::ServerExchange &exchange, const Stream &stream, int from, const Fault &fault);
+    void sendTokens(net::ServerExchange &exchange, const Stream &stream, int from,
+                    const Fault &fault);
     static void waitForHangUp(net::ServerExchange &exchange);
 
     std::mutex mutex_;
@@ -82,13 +83,13 @@
     ClaimAnswer lookUp(const std::string &key, TimePoint) override;
     void finish(const std::string &key, const RequestId &request, int status,
                 const std::string &body) override;
-    void logOut(bool out);
+    void setLogUnavailable(bool out);
 
 private:
     ClaimAnswer find(const std::string &key) const;
 
     std::mutex mutex_;
-    bool out_ = false;
+    bool logUnavailable_ = false;
     std::map<std::string, ClaimAnswer> claims_;
 };
 
--- a/libs/relay/tests/machinetest.cpp
+++ b/libs/relay/tests/machinetest.cpp
@@ -32,24 +32,25 @@
     {
         actions_ = machine_.on(event, now_);
         for (const Action &action : actions_) {
-            note(action);
+            collect(action);
         }
         return *this;
     }
 
-    void note(const Action &action)
+    void collect(const Action &action)
     {
         if (const auto *deliver = std::get_if<Deliver>(&action)) {
             for (std::int64_t token = 0; token < deliver->count_; ++token) {
                 delivered_.push_back(deliver->offset_ + token);
             }
         }
-        finals_ += std::holds_alternative<Finish>(action) || std::holds_alternative<Refuse>(action)
-                   || std::holds_alternative<Abandon>(action);
+        finalActions_ += std::holds_alternative<Finish>(action)
+                         || std::holds_alternative<Refuse>(action)
+                         || std::holds_alternative<Abandon>(action);
     }
 
     /** Lets the time pass until the machine asks to be woken. */
-    Run &sleep()
+    Run &advanceToWake()
     {
         now_ = machine_.wakeAt();
         return (*this)(TimePassed {});
@@ -59,7 +60,7 @@
     Run &sentTo(const EndpointId &endpoint)
     {
         (*this)(EndpointChosen {endpoint, std::nullopt, now_ + millis(100)});
-        connection_ = did<SendRequest>()->connection_;
+        connection_ = lastAction<SendRequest>()->connection_;
         return *this;
     }
     Run &acceptedBy(const EndpointId &endpoint)
@@ -76,18 +77,18 @@
     }
     Run &resumed()
     {
-        connection_ = did<ResumeStream>()->connection_;
+        connection_ = lastAction<ResumeStream>()->connection_;
         return (*this)(HeadReceived {connection_, HeadKind::Accepted, {}});
     }
     /** After a silence: the engine answers a check, and its stream is resumed. */
-    Run &foundAlive()
+    Run &checkedAlive()
     {
-        sleep();
-        return (*this)(EngineChecked {did<CheckEngine>()->connection_, true});
+        advanceToWake();
+        return (*this)(EngineChecked {lastAction<CheckEngine>()->connection_, true});
     }
 
     template <typename Wanted>
-    const Wanted *did() const
+    const Wanted *lastAction() const
     {
         for (const Action &action : actions_) {
             if (const Wanted *found = std::get_if<Wanted>(&action)) {
@@ -98,7 +99,7 @@
     }
     bool refused(Outcome outcome, RefusalCause cause) const
     {
-        const auto *refuse = did<Refuse>();
+        const auto *refuse = lastAction<Refuse>();
         return refuse && refuse->outcome_ == outcome && refuse->cause_ == cause
                && refuse->retryAt_ > now_;
     }
@@ -117,7 +118,7 @@
     Actions actions_;
     ConnectionNumber connection_ = 0;
     std::vector<std::int64_t> delivered_;
-    int finals_ = 0;
+    int finalActions_ = 0;
 };
 
 } // namespace
@@ -128,13 +129,13 @@
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 10);
-    run(AnswerEnded {run.connection_});
-    BOOST_TEST(run.did<Finish>());
-    BOOST_TEST(run.did<AttemptOver>()->succeeded_);
+    run(ResponseEnded {run.connection_});
+    BOOST_TEST(run.lastAction<Finish>());
+    BOOST_TEST(run.lastAction<AttemptEnded>()->succeeded_);
     BOOST_TEST(run.deliveredAllOnce(10));
-    run(AnswerEnded {run.connection_});
+    run(ResponseEnded {run.connection_});
     run(CallerGone {});
-    BOOST_TEST(run.finals_ == 1);
+    BOOST_TEST(run.finalActions_ == 1);
     BOOST_TEST(run.machine_.staleEvents() == 2U);
 }
 
@@ -147,18 +148,18 @@
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 4);
     run(ConnectionLost {run.connection_, true});
-    BOOST_TEST(run.did<ResumeStream>()->offset_ == 4);
-    BOOST_TEST(run.did<ResumeStream>()->attempt_ == AttemptId("r.1"));
-    run(HeadReceived {run.did<ResumeStream>()->connection_, HeadKind::Forgotten, {}});
-    BOOST_TEST(!run.did<AttemptOver>()->succeeded_);
-    BOOST_TEST(run.did<ChooseEndpoint>()->attempt_ == AttemptId("r.2"));
-    BOOST_TEST((run.did<ChooseEndpoint>()->excluded_ == std::vector {First}));
-    BOOST_TEST(!run.did<ChooseEndpoint>()->budgeted_);
+    BOOST_TEST(run.lastAction<ResumeStream>()->offset_ == 4);
+    BOOST_TEST(run.lastAction<ResumeStream>()->attempt_ == AttemptId("r.1"));
+    run(HeadReceived {run.lastAction<ResumeStream>()->connection_, HeadKind::StreamNotFound, {}});
+    BOOST_TEST(!run.lastAction<AttemptEnded>()->succeeded_);
+    BOOST_TEST(run.lastAction<ChooseEndpoint>()->attempt_ == AttemptId("r.2"));
+    BOOST_TEST((run.lastAction<ChooseEndpoint>()->excluded_ == std::vector {First}));
+    BOOST_TEST(!run.lastAction<ChooseEndpoint>()->budgeted_);
     run.acceptedBy(Second);
-    BOOST_TEST(run.machine_.place().base_ == 4);
+    BOOST_TEST(run.machine_.streamLocation().base_ == 4);
     run.tokens(0, 6);
-    run(AnswerEnded {run.connection_});
-    BOOST_TEST(run.did<Finish>());
+    run(ResponseEnded {run.connection_});
+    BOOST_TEST(run.lastAction<Finish>());
     BOOST_TEST(run.deliveredAllOnce(10));
 }
 
@@ -170,19 +171,19 @@
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 3);
     const ConnectionNumber old = run.connection_;
-    run.foundAlive();
-    BOOST_TEST(run.did<ResumeStream>()->offset_ == 3);
-    BOOST_TEST(run.did<ResumeStream>()->endpoint_ == First);
+    run.checkedAlive();
+    BOOST_TEST(run.lastAction<ResumeStream>()->offset_ == 3);
+    BOOST_TEST(run.lastAction<ResumeStream>()->endpoint_ == First);
     run.resumed();
     // The engine begins a little earlier than asked, and the old connection wakes up.
     run.tokens(1, 4);
     run(TokensReceived {old, 5, 1});
-    run(AnswerEnded {old});
+    run(ResponseEnded {old});
     run(ConnectionLost {old, true});
     BOOST_TEST(run.deliveredAllOnce(5));
     BOOST_TEST(run.machine_.staleEvents() == 3U);
     run.tokens(5, 5);
-    run(AnswerEnded {run.connection_});
+    run(ResponseEnded {run.connection_});
     BOOST_TEST(run.deliveredAllOnce(10));
 }
 
@@ -192,11 +193,11 @@
 BOOST_AUTO_TEST_CASE(anEngineThatAnswersNoCheckIsLeftAndCancelled)
 {
     Run run(Recovery::Stream);
-    run(Admitted {}).acceptedBy(First).tokens(0, 2).sleep();
-    BOOST_TEST(run.did<CheckEngine>());
-    run.sleep();
-    BOOST_TEST((run.did<Cancel>()->attempt_ == AttemptId("r.1")));
-    BOOST_TEST(run.did<ChooseEndpoint>());
+    run(Admitted {}).acceptedBy(First).tokens(0, 2).advanceToWake();
+    BOOST_TEST(run.lastAction<CheckEngine>());
+    run.advanceToWake();
+    BOOST_TEST((run.lastAction<Cancel>()->attempt_ == AttemptId("r.1")));
+    BOOST_TEST(run.lastAction<ChooseEndpoint>());
 }
 
 // A user would see the same question prefilled again and again while an engine is only slow.
@@ -207,14 +208,14 @@
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 1);
     for (int probe = 0; probe < 5; ++probe) {
-        run.foundAlive();
+        run.checkedAlive();
         const TimePoint before = run.now_;
         run.resumed();
         BOOST_TEST((run.machine_.wakeAt() == before + millis(1'000) * (1 << probe)));
     }
-    run.foundAlive();
-    BOOST_TEST(run.did<Cancel>());
-    BOOST_TEST(run.did<ChooseEndpoint>());
+    run.checkedAlive();
+    BOOST_TEST(run.lastAction<Cancel>());
+    BOOST_TEST(run.lastAction<ChooseEndpoint>());
 }
 
 BOOST_AUTO_TEST_CASE(tokensMissingInBetweenAreAskedForAgain)
@@ -222,8 +223,8 @@
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 2);
     run(TokensReceived {run.connection_, 5, 1});
-    BOOST_TEST(!run.did<Deliver>());
-    BOOST_TEST(run.did<ResumeStream>()->offset_ == 2);
+    BOOST_TEST(!run.lastAction<Deliver>());
+    BOOST_TEST(run.lastAction<ResumeStream>()->offset_ == 2);
     run.resumed();
     run.tokens(2, 8);
     BOOST_TEST(run.deliveredAllOnce(10));
@@ -234,8 +235,8 @@
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 10);
     run(ConnectionLost {run.connection_, true});
-    run(HeadReceived {run.did<ResumeStream>()->connection_, HeadKind::Forgotten, {}});
-    BOOST_TEST(run.did<Finish>());
+    run(HeadReceived {run.lastAction<ResumeStream>()->connection_, HeadKind::StreamNotFound, {}});
+    BOOST_TEST(run.lastAction<Finish>());
 }
 
 // A user would be told that a request was not run, send it again, and have it run twice.
@@ -259,18 +260,18 @@
             Run run(recovery);
             run(Admitted {});
             run(EndpointChosen {First, std::nullopt, {}});
-            run.connection_ = run.did<SendRequest>()->connection_;
+            run.connection_ = run.lastAction<SendRequest>()->connection_;
             if (row.head_) {
                 run(HeadReceived {run.connection_, *row.head_, {}});
             }
-            if (!run.machine_.finished() && !run.did<ChooseEndpoint>()) {
+            if (!run.machine_.finished() && !run.lastAction<ChooseEndpoint>()) {
                 run(ConnectionLost {run.connection_, row.sent_});
             }
             if (!run.machine_.finished()) {
                 run(NoEndpoint {run.now_ + millis(10)});
             }
-            BOOST_TEST((run.did<Refuse>()->outcome_ == row.outcome_));
-            BOOST_TEST(run.finals_ == 1);
+            BOOST_TEST((run.lastAction<Refuse>()->outcome_ == row.outcome_));
+            BOOST_TEST(run.finalActions_ == 1);
         }
     }
 }
@@ -288,36 +289,36 @@
     Run partly(Recovery::Once);
     partly(Admitted {});
     partly(EndpointChosen {First, std::nullopt, {}});
-    partly(ConnectionLost {partly.did<SendRequest>()->connection_, true});
+    partly(ConnectionLost {partly.lastAction<SendRequest>()->connection_, true});
     BOOST_TEST(partly.refused(Outcome::Unknown, RefusalCause::ConnectionLost));
 
     Run late(Recovery::Once);
-    late(Admitted {}).sentTo(First).sleep();
+    late(Admitted {}).sentTo(First).advanceToWake();
     BOOST_TEST(late.refused(Outcome::Unknown, RefusalCause::DeadlinePassed));
 
     Run unreached(Recovery::Once);
     unreached(Admitted {});
     unreached(EndpointChosen {First, std::nullopt, {}});
-    unreached(ConnectionLost {unreached.did<SendRequest>()->connection_, false});
-    BOOST_TEST(unreached.did<ChooseEndpoint>());
+    unreached(ConnectionLost {unreached.lastAction<SendRequest>()->connection_, false});
+    BOOST_TEST(unreached.lastAction<ChooseEndpoint>());
 
     Run refused(Recovery::Once);
     refused(Admitted {}).sentTo(First);
     refused(HeadReceived {refused.connection_, HeadKind::NotRun, {}});
-    BOOST_TEST(refused.did<ChooseEndpoint>());
+    BOOST_TEST(refused.lastAction<ChooseEndpoint>());
 }
 
 BOOST_AUTO_TEST_CASE(anIdempotentCallIsSentAgainUntilItsAnswerIsPassedOn)
 {
     Run run(Recovery::Repeat);
     run(Admitted {}).acceptedBy(First);
-    BOOST_TEST(run.did<PassOn>());
+    BOOST_TEST(run.lastAction<ForwardResponse>());
     run(ConnectionLost {run.connection_, true});
-    BOOST_TEST(run.did<ChooseEndpoint>()->budgeted_);
+    BOOST_TEST(run.lastAction<ChooseEndpoint>()->budgeted_);
     run.acceptedBy(Second);
-    run(AnswerPassedOn {run.connection_});
+    run(ResponseForwarded {run.connection_});
     run(ConnectionLost {run.connection_, true});
-    BOOST_TEST(run.refused(Outcome::Unknown, RefusalCause::AnswerBroken));
+    BOOST_TEST(run.refused(Outcome::Unknown, RefusalCause::ResponseInterrupted));
 }
 
 // Engines in an overload would get even more requests, each failed one several times.
@@ -328,19 +329,19 @@
     Run run(Recovery::Repeat);
     run(Admitted {}).sentTo(First);
     run(HeadReceived {run.connection_, HeadKind::NotRun, run.now_ + millis(9'000)});
-    BOOST_TEST(!run.did<ChooseEndpoint>()->budgeted_);
+    BOOST_TEST(!run.lastAction<ChooseEndpoint>()->budgeted_);
     run.sentTo(Second);
     run(HeadReceived {run.connection_, HeadKind::NotRun, {}});
-    BOOST_TEST(run.did<ChooseEndpoint>()->budgeted_);
+    BOOST_TEST(run.lastAction<ChooseEndpoint>()->budgeted_);
     Run spent = run;
-    spent(NoRetryLeft {spent.now_ + millis(100)});
-    BOOST_TEST(spent.refused(Outcome::NotRun, RefusalCause::NoRetryLeft));
-    BOOST_TEST((spent.did<Refuse>()->retryAt_ == spent.now_ + millis(9'000)));
+    spent(RetryBudgetExhausted {spent.now_ + millis(100)});
+    BOOST_TEST(spent.refused(Outcome::NotRun, RefusalCause::RetryBudgetExhausted));
+    BOOST_TEST((spent.lastAction<Refuse>()->retryAt_ == spent.now_ + millis(9'000)));
     for (int attempt = 2; attempt < MachineLimits().maxAttempts_; ++attempt) {
         run.sentTo(EndpointId("other" + std::to_string(attempt)));
         run(HeadReceived {run.connection_, HeadKind::NotRun, {}});
     }
-    BOOST_TEST(run.refused(Outcome::NotRun, RefusalCause::AttemptsSpent));
+    BOOST_TEST(run.refused(Outcome::NotRun, RefusalCause::AttemptLimitReached));
 }
 
 // A family's half-read plan would break off although an engine is back two seconds later.
@@ -355,14 +356,14 @@
     Run begun(Recovery::Stream);
     begun(Admitted {}).acceptedBy(First).tokens(0, 1);
     begun(ConnectionLost {begun.connection_, true});
-    begun(ConnectionLost {begun.did<ResumeStream>()->connection_, false});
+    begun(ConnectionLost {begun.lastAction<ResumeStream>()->connection_, false});
     Run hopeless = begun;
-    begun(NoEndpoint {}).sleep();
-    BOOST_TEST(begun.did<ChooseEndpoint>()->excluded_.empty());
+    begun(NoEndpoint {}).advanceToWake();
+    BOOST_TEST(begun.lastAction<ChooseEndpoint>()->excluded_.empty());
     begun.acceptedBy(First).tokens(0, 9);
     BOOST_TEST(begun.deliveredAllOnce(10));
     while (!hopeless(NoEndpoint {hopeless.now_ + millis(10)}).machine_.finished()) {
-        hopeless.sleep();
+        hopeless.advanceToWake();
     }
     BOOST_TEST(hopeless.refused(Outcome::Unknown, RefusalCause::NoEndpoint));
 }
@@ -377,12 +378,12 @@
     gone(Admitted {}).acceptedBy(First).tokens(0, 1);
     Run silent = gone;
     gone(CallerGone {});
-    BOOST_TEST((gone.did<Cancel>()->endpoint_ == First));
-    BOOST_TEST(gone.did<AttemptOver>()->succeeded_);
-    BOOST_TEST(gone.did<Abandon>());
+    BOOST_TEST((gone.lastAction<Cancel>()->endpoint_ == First));
+    BOOST_TEST(gone.lastAction<AttemptEnded>()->succeeded_);
+    BOOST_TEST(gone.lastAction<Abandon>());
     silent(CallerGone {true});
-    BOOST_TEST(!silent.did<Cancel>());
-    BOOST_TEST(silent.did<Abandon>());
+    BOOST_TEST(!silent.lastAction<Cancel>());
+    BOOST_TEST(silent.lastAction<Abandon>());
 
     Run confirmation(Recovery::Once);
     confirmation(Admitted {}).sentTo(First);
@@ -397,40 +398,41 @@
         Run run(Recovery::Stream);
         run(Admitted {});
         run(EndpointChosen {First, Second, run.now_});
-        BOOST_TEST((run.did<Prefill>()->endpoint_ == Second));
-        run(PrefillFinished {run.did<Prefill>()->connection_, status});
-        BOOST_TEST((run.did<SendRequest>()->endpoint_ == First));
-        BOOST_TEST(run.did<SendRequest>()->afterPrefill_ == (status == PrefillStatus::Ready));
-        run(ConnectionLost {run.did<SendRequest>()->connection_, false});
+        BOOST_TEST((run.lastAction<Prefill>()->endpoint_ == Second));
+        run(PrefillFinished {run.lastAction<Prefill>()->connection_, status});
+        BOOST_TEST((run.lastAction<SendRequest>()->endpoint_ == First));
+        BOOST_TEST(run.lastAction<SendRequest>()->afterPrefill_
+                   == (status == PrefillStatus::Ready));
+        run(ConnectionLost {run.lastAction<SendRequest>()->connection_, false});
         BOOST_TEST(run.machine_.mayHaveRun() == (status != PrefillStatus::NotSent));
     }
     Run slow(Recovery::Stream);
     slow(Admitted {});
     slow(EndpointChosen {First, Second, slow.now_});
-    slow.sleep();
-    BOOST_TEST((slow.did<Cancel>()->endpoint_ == Second));
-    BOOST_TEST(!slow.did<SendRequest>()->afterPrefill_);
+    slow.advanceToWake();
+    BOOST_TEST((slow.lastAction<Cancel>()->endpoint_ == Second));
+    BOOST_TEST(!slow.lastAction<SendRequest>()->afterPrefill_);
 }
 
 BOOST_AUTO_TEST_CASE(aResumedStreamThatItsEngineForgotIsRefusedAsUnknown)
 {
     RequestSpec spec = Run::specOf(Recovery::ResumeOnly, 10);
     spec.delivered_ = 6;
-    spec.resumeAt_ = StreamPlace {First, AttemptId("other.2"), 4};
+    spec.resumeAt_ = StreamLocation {First, AttemptId("other.2"), 4};
     RequestMachine machine = RequestMachine::Builder().spec(spec).build();
     const Actions actions = machine.start(TimePoint(millis(1)));
     const auto &resume = std::get<ResumeStream>(actions.at(0));
     BOOST_TEST(resume.offset_ == 2);
     BOOST_TEST(resume.attempt_ == AttemptId("other.2"));
-    const Actions refused = machine.on(HeadReceived {resume.connection_, HeadKind::Forgotten, {}},
-                                       TimePoint(millis(2)));
+    const Actions refused = machine.on(
+        HeadReceived {resume.connection_, HeadKind::StreamNotFound, {}}, TimePoint(millis(2)));
     BOOST_TEST((std::get<Refuse>(refused.at(0)).outcome_ == Outcome::Unknown));
 }
 
 BOOST_AUTO_TEST_CASE(withoutANamedDeadlineEveryTokenMovesTheDeadline)
 {
     RequestSpec spec = Run::specOf(Recovery::Stream, 1'000);
-    spec.moveDeadlineBy_ = millis(60'000);
+    spec.deadlineExtension_ = millis(60'000);
     Run run(Recovery::Stream);
     run.machine_ = RequestMachine::Builder().spec(spec).build();
     run(Admitted {}).acceptedBy(First);
@@ -442,37 +444,39 @@
 }
 
 /** What must hold of any run, kept beside the machine from what went in and came out. */
-struct Witness
+struct InvariantChecker
 {
     void before(const Event &event)
     {
         const auto *lost = std::get_if<ConnectionLost>(&event);
         const auto *head = std::get_if<HeadReceived>(&event);
-        const bool neverLeft = lost && lost->connection_ == sendingOn_ && !lost->anythingSent_;
+        const bool notSent = lost && lost->connection_ == sendConnection_ && !lost->anythingSent_;
         const bool notRun =
-            head && head->connection_ == sendingOn_ && head->kind_ == HeadKind::NotRun;
+            head && head->connection_ == sendConnection_ && head->kind_ == HeadKind::NotRun;
         // Only the first word counts: what was accepted cannot be unsaid.
-        running_ = running_ && !(unheard_ && (neverLeft || notRun));
-        unheard_ = unheard_ && !(head && head->connection_ == sendingOn_);
+        mayBeRunning_ = mayBeRunning_ && !(awaitingFirstReply_ && (notSent || notRun));
+        awaitingFirstReply_ =
+            awaitingFirstReply_ && !(head && head->connection_ == sendConnection_);
     }
     bool after(const Run &run)
     {
-        if (const auto *send = run.did<SendRequest>()) {
-            sendings_ += running_ ? 1 : 0;
-            mayHaveRun_ |= running_;
-            running_ = true;
-            unheard_ = true;
-            sendingOn_ = send->connection_;
+        if (const auto *send = run.lastAction<SendRequest>()) {
+            duplicateSends_ += mayBeRunning_ ? 1 : 0;
+            mayHaveRun_ |= mayBeRunning_;
+            mayBeRunning_ = true;
+            awaitingFirstReply_ = true;
+            sendConnection_ = send->connection_;
         }
-        unheard_ = unheard_ && !run.did<ResumeStream>() && !run.did<CheckEngine>();
-        const auto *refuse = run.did<Refuse>();
-        return !refuse || refuse->outcome_ == Outcome::Unknown || !(mayHaveRun_ || running_);
+        awaitingFirstReply_ = awaitingFirstReply_ && !run.lastAction<ResumeStream>()
+                              && !run.lastAction<CheckEngine>();
+        const auto *refuse = run.lastAction<Refuse>();
+        return !refuse || refuse->outcome_ == Outcome::Unknown || !(mayHaveRun_ || mayBeRunning_);
     }
 
-    ConnectionNumber sendingOn_ = 0;
-    int sendings_ = 0; ///< Sent although an earlier sending may have run.
-    bool running_ = false;
-    bool unheard_ = false;
+    ConnectionNumber sendConnection_ = 0;
+    int duplicateSends_ = 0; ///< Sent although an earlier sending may have run.
+    bool mayBeRunning_ = false;
+    bool awaitingFirstReply_ = false;
     bool mayHaveRun_ = false;
 };
 
@@ -486,7 +490,7 @@
                                      ConnectionLost {connection, pick(2) == 0},
                                      EngineChecked {connection, pick(2) == 0},
                                      TimePassed {},
-                                     AnswerEnded {connection},
+                                     ResponseEnded {connection},
                                      TokensReceived {connection, pick(6), 1 + pick(2)}};
     return events[static_cast<std::size_t>(pick(static_cast<int>(events.size())))];
 }
@@ -499,18 +503,18 @@
     for (int round = 0; round < 20'000; ++round) {
         const auto recovery = static_cast<Recovery>(random() % 3);
         Run run(recovery, 6);
-        Witness witness;
+        InvariantChecker checker;
         run(Admitted {});
         for (int step = 0; step < 60 && !run.machine_.finished(); ++step) {
             const Event event = randomEvent(random);
             run.now_ = std::holds_alternative<TimePassed>(event) ? run.machine_.wakeAt() : run.now_;
-            witness.before(event);
+            checker.before(event);
             run(event);
-            BOOST_REQUIRE(witness.after(run));
+            BOOST_REQUIRE(checker.after(run));
         }
-        BOOST_REQUIRE(run.finals_ <= 1);
+        BOOST_REQUIRE(run.finalActions_ <= 1);
         BOOST_REQUIRE(run.deliveredAllOnce(static_cast<std::int64_t>(run.delivered_.size())));
-        BOOST_REQUIRE((recovery != Recovery::Once || witness.sendings_ == 0));
+        BOOST_REQUIRE((recovery != Recovery::Once || checker.duplicateSends_ == 0));
     }
 }
 
