--- a/libs/relay/tests/servicetest.cpp
+++ b/libs/relay/tests/servicetest.cpp
@@ -1,5 +1,5 @@
-#include "idempotencykey.h"
 #include "fakes.h"
+#include "idempotencykey.h"
 
 #include <atomic>
 #include <boost/test/unit_test.hpp>
@@ -47,7 +47,7 @@
             .value();
 };
 
-struct Booking
+struct BookingFixture
 {
     fleet::FleetBuilder fleet()
     {
@@ -74,7 +74,7 @@
     {
         return relay_.call({"POST", "/booking/confirm?id=7", std::move(headers), "body"});
     }
-    void both(Behaviour behaviour)
+    void setBoth(Behaviour behaviour)
     {
         one_.behaviour_ = behaviour;
         two_.behaviour_ = behaviour;
@@ -95,7 +95,7 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(Services, Booking)
+BOOST_FIXTURE_TEST_SUITE(Services, BookingFixture)
 
 BOOST_AUTO_TEST_CASE(aCallIsPassedOnAndItsAnswerBack)
 {
@@ -105,7 +105,7 @@
     BOOST_TEST(answer.body_ == "/confirm?id=7 t body run 1");
     BOOST_TEST(net::headerValue(answer.headers_, "X-Booked") == "yes");
     BOOST_TEST(net::headerValue(answer.headers_, "X-Request-Id") == "mine");
-    both(Behaviour::Large);
+    setBoth(Behaviour::Large);
     BOOST_TEST(confirm().body_.size() == 1'000'000U);
 }
 
@@ -114,7 +114,7 @@
 // Cause: a retry of a call that may have run.
 BOOST_AUTO_TEST_CASE(aNonIdempotentCallRunsOnceEvenIfItsAnswerBreaks)
 {
-    both(Behaviour::Cut);
+    setBoth(Behaviour::Cut);
     const net::Response answer = confirm();
     BOOST_TEST(answer.status_ == 502);
     BOOST_TEST(outcomeOf(answer) == "unknown");
@@ -158,11 +158,11 @@
     BOOST_TEST(net::headerValue(repeat.headers_, "Idempotent-Replayed") == "true");
     BOOST_TEST(runs() == 1);
 
-    both(Behaviour::Cut);
+    setBoth(Behaviour::Cut);
     BOOST_TEST(outcomeOf(confirm({{"Idempotency-Key", "k2"}})) == "unknown");
-    both(Behaviour::NotRun);
+    setBoth(Behaviour::NotRun);
     BOOST_TEST(outcomeOf(confirm({{"Idempotency-Key", "k3"}})) == "not-run");
-    both(Behaviour::Answer);
+    setBoth(Behaviour::Answer);
     BOOST_TEST(relay_.relay_->waitIdle(soon()));
     BOOST_TEST(outcomeOf(confirm({{"Idempotency-Key", "k2"}})) == "unknown");
     const net::Response notRun = confirm({{"Idempotency-Key", "k3"}});
@@ -177,7 +177,7 @@
 // Cause: taking "no claim" for "never ran".
 BOOST_AUTO_TEST_CASE(withTheLogOutKindAIsRefusedAndKindBRunsItsFirstAttemptOnly)
 {
-    claims_.logOut(true);
+    claims_.setLogUnavailable(true);
     const net::Response refused = confirm({{"Idempotency-Key", "k1"}});
     BOOST_TEST(refused.status_ == 503);
     BOOST_TEST(outcomeOf(refused) == "not-run");
@@ -187,7 +187,7 @@
     BOOST_TEST(relay_.relay_->waitIdle(soon())); // Its outcome comes after its answer, and is lost.
     BOOST_TEST(runs() == 1);
     for (const bool out : {true, false}) {
-        claims_.logOut(out);
+        claims_.setLogUnavailable(out);
         const net::Response later = confirm({{"Idempotency-Key", "k1"}, {"X-Attempt", "2"}});
         BOOST_TEST(outcomeOf(later) == "unknown");
     }
@@ -197,7 +197,7 @@
 BOOST_AUTO_TEST_CASE(keysOfAccountsServicesAndKindsAreKeptApart)
 {
     const auto keyOf = [](const char *account, const char *scope, const char *attempt) {
-        return readCallerKey({"k", attempt}, AccountId(account), scope).value()->scoped_;
+        return parseIdempotencyKey({"k", attempt}, AccountId(account), scope).value()->scopedKey_;
     };
     const std::vector<std::string> keys {keyOf("a", "s", ""), keyOf("b", "s", ""),
                                          keyOf("a", "t", ""), keyOf("a", "s", "1"),
@@ -212,23 +212,25 @@
 
 BOOST_AUTO_TEST_CASE(everyRuleAndClaimHasItsVerdict)
 {
-    using enum KeyVerdict;
+    using enum KeyDecision;
     struct Row
     {
         KeyRule rule_;
-        std::array<KeyVerdict, 4> verdicts_; ///< Claimed, Finished, Unknown, LogOut
+        std::array<KeyDecision, 4> decisions_; ///< Claimed, Finished, Unknown, LogOut
     };
     const std::vector<Row> rows {
-        {KeyRule::Claim, {Run, AnswerStored, SayUnknown, SayLogOut}},
-        {KeyRule::FirstAttempt, {Run, AnswerStored, SayUnknown, Run}},
-        {KeyRule::LaterAttempt, {SayUnknown, AnswerStored, SayUnknown, SayUnknown}}};
+        {KeyRule::Claim, {Run, ReplayStored, ReplyUnknown, ReplyLogUnavailable}},
+        {KeyRule::FirstAttempt, {Run, ReplayStored, ReplyUnknown, Run}},
+        {KeyRule::LaterAttempt, {ReplyUnknown, ReplayStored, ReplyUnknown, ReplyUnknown}}};
     for (const Row &row : rows) {
-        for (std::size_t status = 0; status < row.verdicts_.size(); ++status) {
+        for (std::size_t status = 0; status < row.decisions_.size(); ++status) {
             const ClaimAnswer answer {static_cast<ClaimStatus>(status), 200, {}};
-            BOOST_TEST((judgeKey(row.rule_, answer) == row.verdicts_[status]));
+            BOOST_TEST((decideByKey(row.rule_, answer) == row.decisions_[status]));
         }
-        BOOST_TEST((judgeKey(row.rule_, {ClaimStatus::Finished, StoredNotRun, {}}) == SayNotRun));
-        BOOST_TEST((judgeKey(row.rule_, {ClaimStatus::Finished, StoredUnknown, {}}) == SayUnknown));
+        BOOST_TEST(
+            (decideByKey(row.rule_, {ClaimStatus::Finished, StoredNotRun, {}}) == ReplyNotRun));
+        BOOST_TEST(
+            (decideByKey(row.rule_, {ClaimStatus::Finished, StoredUnknown, {}}) == ReplyUnknown));
     }
 }
 
--- a/libs/relay/tests/streamtest.cpp
+++ b/libs/relay/tests/streamtest.cpp
@@ -20,10 +20,10 @@
 struct TwoEngines
 {
     /** Puts the fault on the engine that gets the next request, whichever it is. */
-    void faultFirstUsed(const Fault &fault)
+    void setFaultOnBoth(const Fault &fault)
     {
-        one_.fault(fault);
-        two_.fault(fault);
+        one_.setFault(fault);
+        two_.setFault(fault);
     }
     std::size_t requests() { return one_.bodies().size() + two_.bodies().size(); }
 
@@ -77,9 +77,9 @@
 {
     for (const bool stream : {true, false}) {
         Fault fault;
-        fault.dieAfter_ = 5;
-        fault.forget_ = true;
-        faultFirstUsed(fault);
+        fault.disconnectAfter_ = 5;
+        fault.streamsLost_ = true;
+        setFaultOnBoth(fault);
         const net::Response answer = relay_.post("/v1/completions", completion("a", 8, stream));
         BOOST_TEST(textOf(answer) == words("a", 1, 8));
     }
@@ -94,9 +94,9 @@
 BOOST_AUTO_TEST_CASE(aChatIsContinuedAsABegunAnswer)
 {
     Fault fault;
-    fault.dieAfter_ = 5;
-    fault.forget_ = true;
-    faultFirstUsed(fault);
+    fault.disconnectAfter_ = 5;
+    fault.streamsLost_ = true;
+    setFaultOnBoth(fault);
     const json chat = {
         {"model", "m"}, {"max_tokens", 8}, {"messages", {{{"role", "user"}, {"content", "a"}}}}};
     BOOST_TEST(textOf(relay_.post("/v1/chat/completions", chat)) == words("a", 1, 8));
@@ -118,8 +118,8 @@
 BOOST_AUTO_TEST_CASE(aSilentConnectionIsReplacedAndNothingRunsTwice)
 {
     Fault fault;
-    fault.silentAfter_ = 5;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 5;
+    setFaultOnBoth(fault);
     BOOST_TEST(textOf(relay_.post("/v1/completions", completion("a", 8, true)))
                == words("a", 1, 8));
     BOOST_TEST(relay_.metrics_.counter("resumed_total") == 1U);
@@ -132,9 +132,9 @@
 BOOST_AUTO_TEST_CASE(aCallerOfASilentStreamHearsThatItIsWaitedFor)
 {
     Fault fault;
-    fault.silentAfter_ = 1;
-    fault.silentAgain_ = true;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 1;
+    fault.stallResumed_ = true;
+    setFaultOnBoth(fault);
     auto caller = net::HttpExchange::connect(relay_.address(), soon()).value();
     caller.send({"POST", "/v1/completions", {}, completion("a", 8, true).dump()}, soon()).value();
     caller.readHead(soon()).value();
@@ -155,8 +155,8 @@
 BOOST_AUTO_TEST_CASE(aCallerThatHangsUpCancelsItsStreamAtOnce)
 {
     Fault fault;
-    fault.silentAfter_ = 1;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 1;
+    setFaultOnBoth(fault);
     {
         auto caller = net::HttpExchange::connect(relay_.address(), soon()).value();
         caller.send({"POST", "/v1/completions", {}, completion("a", 8, true).dump()}, soon())
@@ -174,8 +174,8 @@
 BOOST_AUTO_TEST_CASE(aCallerThatSendsItsNextRequestEarlyIsNotTakenForGone)
 {
     Fault fault;
-    fault.silentAfter_ = 2;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 2;
+    setFaultOnBoth(fault);
     auto caller = net::HttpExchange::connect(relay_.address(), soon()).value();
     caller.send({"POST", "/v1/completions", {}, completion("a", 5, true).dump()}, soon()).value();
     const std::string next = "GET /v1/models HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -192,11 +192,11 @@
 BOOST_AUTO_TEST_CASE(answersOfManyCallersAreNeverCrossed)
 {
     Fault fault;
-    fault.dieAfter_ = 3;
-    one_.fault(fault);
-    fault.dieAfter_ = -1;
-    fault.silentAfter_ = 4;
-    two_.fault(fault);
+    fault.disconnectAfter_ = 3;
+    one_.setFault(fault);
+    fault.disconnectAfter_ = -1;
+    fault.stallAfter_ = 4;
+    two_.setFault(fault);
     std::vector<std::thread> callers;
     std::array<std::string, 12> texts;
     for (std::size_t index = 0; index < texts.size(); ++index) {
@@ -219,12 +219,12 @@
     Fault fault;
     fault.status_ = 503;
     fault.errorBody_ = R"({"error":{"code":"not_run"}})";
-    one_.fault(fault);
+    one_.setFault(fault);
     for (int round = 0; round < 4; ++round) {
         BOOST_TEST(textOf(relay_.post("/v1/completions", completion("a", 3, false)))
                    == words("a", 1, 3));
     }
-    two_.fault(fault);
+    two_.setFault(fault);
     const net::Response refused = relay_.post("/v1/completions", completion("a", 3, true));
     BOOST_TEST(refused.status_ == 503);
     BOOST_TEST(net::headerValue(refused.headers_, "X-Outcome") == "not-run");
@@ -246,8 +246,8 @@
                == json::parse(eventsOf(answer.body_)[0])["id"]);
 
     Fault fault;
-    fault.forget_ = true;
-    faultFirstUsed(fault);
+    fault.streamsLost_ = true;
+    setFaultOnBoth(fault);
     const net::Response gone = other.call({"GET", "/v1/streams/" + token + "?offset=5", {}, {}});
     BOOST_TEST(gone.status_ == 410);
     BOOST_TEST(net::headerValue(gone.headers_, "X-Outcome") == "unknown");
@@ -267,9 +267,9 @@
 BOOST_AUTO_TEST_CASE(whatCannotBeEndedWholeEndsWithAnErrorEvent)
 {
     Fault fault;
-    fault.dieAfter_ = 2;
-    fault.forget_ = true;
-    faultFirstUsed(fault);
+    fault.disconnectAfter_ = 2;
+    fault.streamsLost_ = true;
+    setFaultOnBoth(fault);
     const net::Response answer = relay_.post("/v1/completions", completion("a", 100, true));
     const std::vector<std::string> events = eventsOf(answer.body_);
     const json last = json::parse(events.back(), nullptr, false);
@@ -281,8 +281,8 @@
 BOOST_AUTO_TEST_CASE(aStoppingInstanceRefusesNewRequestsAndEndsThoseInWork)
 {
     Fault fault;
-    fault.silentAfter_ = 1;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 1;
+    setFaultOnBoth(fault);
     std::string text;
     std::thread caller(
         [&] { text = textOf(relay_.post("/v1/completions", completion("a", 8, true))); });
--- a/libs/relay/tests/synchronizedtest.cpp
+++ b/libs/relay/tests/synchronizedtest.cpp
@@ -1,6 +1,6 @@
 #include "synchronized.h"
-#include "fakes.h"
 #include "demandcounter.h"
+#include "fakes.h"
 
 #include <atomic>
 #include <boost/test/unit_test.hpp>
@@ -32,42 +32,42 @@
 BOOST_AUTO_TEST_CASE(nothingLeavesForAnEndpointThatWasClosedAfterTheChoice)
 {
     FakeEngine engine;
-    RouterGate gate(routing::Router::Builder().domain(DomainId("d1")).build());
+    SynchronizedRouter sharedRouter(routing::Router::Builder().domain(DomainId("d1")).build());
     const auto inForce = std::make_shared<const fleet::Fleet>(fleetOf({&engine}).build().value());
-    gate.with([&](routing::Router &each) { each.setFleet(inForce); });
-    const auto choice = gate.dispatch(AttemptId("a"), queryFor("m"));
+    sharedRouter.with([&](routing::Router &router) { router.setFleet(inForce); });
+    const auto choice = sharedRouter.dispatch(AttemptId("a"), queryFor("m"));
     BOOST_REQUIRE(choice.has_value());
-    BOOST_TEST(gate.beginSend(choice->endpoint_));
-    gate.with([&](routing::Router &each) {
-        each.onReachability(choice->endpoint_, routing::Reachability::Withheld, BootClock::now());
+    BOOST_TEST(sharedRouter.beginSend(choice->endpoint_));
+    sharedRouter.with([&](routing::Router &router) {
+        router.onReachability(choice->endpoint_, routing::Reachability::Withheld, BootClock::now());
     });
-    BOOST_TEST(!gate.beginSend(choice->endpoint_));
-    BOOST_TEST(!gate.waitSent(choice->endpoint_, BootClock::now()));
+    BOOST_TEST(!sharedRouter.beginSend(choice->endpoint_));
+    BOOST_TEST(!sharedRouter.waitForSends(choice->endpoint_, BootClock::now()));
     std::atomic<bool> waited = false;
-    std::thread confirming([&] { waited = gate.waitSent(choice->endpoint_, soon()); });
-    gate.endSend(choice->endpoint_);
+    std::thread confirming([&] { waited = sharedRouter.waitForSends(choice->endpoint_, soon()); });
+    sharedRouter.endSend(choice->endpoint_);
     confirming.join();
     BOOST_TEST(waited.load());
-    BOOST_TEST(!gate.dispatch(AttemptId("b"), queryFor("m")).has_value());
+    BOOST_TEST(!sharedRouter.dispatch(AttemptId("b"), queryFor("m")).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(theMixCountsWhatWasAskedAndIsCorrectedByAnswers)
 {
-    MixCounter mix;
+    DemandCounter demand;
     const ModelId model("m");
-    BOOST_TEST(mix.expectedOutput(model, 100) == 100);
-    mix.asked(model, 50, 100);
-    mix.answered(model, 100, 20, 100);
-    mix.cached(model, 30);
-    const std::vector<ModelDemand> taken = mix.take();
+    BOOST_TEST(demand.expectedOutput(model, 100) == 100);
+    demand.onRequest(model, 50, 100);
+    demand.onCompleted(model, 100, 20, 100);
+    demand.onCacheHit(model, 30);
+    const std::vector<ModelDemand> taken = demand.take();
     BOOST_REQUIRE(taken.size() == 1U);
     BOOST_TEST(taken[0].prefillTokens_ == 20);
     BOOST_TEST(taken[0].decodeTokens_ == 20);
-    BOOST_TEST(mix.expectedOutput(model, 100) < 100);
-    mix.answered(model, 100, 20, 100);
-    BOOST_TEST(mix.take()[0].decodeTokens_ == 0);
-    mix.asked(model, 0, 100);
-    BOOST_TEST(mix.take()[0].decodeTokens_ == 20);
+    BOOST_TEST(demand.expectedOutput(model, 100) < 100);
+    demand.onCompleted(model, 100, 20, 100);
+    BOOST_TEST(demand.take()[0].decodeTokens_ == 0);
+    demand.onRequest(model, 0, 100);
+    BOOST_TEST(demand.take()[0].decodeTokens_ == 20);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
