--- a/libs/relay/include/almondridge/relay/machine.h
+++ b/libs/relay/include/almondridge/relay/machine.h
@@ -1,9 +1,9 @@
 /**
- * The life of one request as a pure state machine: events and the time go in, actions come out.
+ * State machine of one request: takes events and the current time, returns actions.
  *
- * No clock, socket, thread or random source is inside, so that relay.h, a test or a simulator can
- * drive the same decisions. The driver performs the actions in the order given and hands in what
- * comes of them. docs/REQUESTS.md says why each decision is as it is.
+ * It holds no clock, socket, thread or random source, so that the relay, a test and a simulator can
+ * drive the same decisions. The driver performs the actions in the order returned and reports their
+ * results as events. docs/REQUESTS.md explains the decisions.
  */
 #pragma once
 
@@ -19,17 +19,17 @@
 namespace almondridge::relay {
 
 /**
- * Numbers the connections of one request over all its attempts. A resumed stream keeps its
- * attempt but gets a new connection, so the attempt alone would not tell old words from new ones.
+ * Numbers the connections of one request across all its attempts. A resumed stream keeps its
+ * attempt but uses a new connection, so the attempt id alone cannot identify stale events.
  */
 using ConnectionNumber = std::uint32_t;
 
-/** What may be done when an endpoint fails. */
+/** How a request may be recovered when its endpoint fails. */
 enum class Recovery {
-    Once,       ///< Non-idempotent call: never sent again after its first byte may have left.
-    Repeat,     ///< Idempotent call: sent again until bytes of an answer reached the caller.
-    Stream,     ///< Token stream: resumed at its engine, else continued at another one.
-    ResumeOnly, ///< Token stream without its prompt: resumed at its engine or given up.
+    Once,       ///< Non-idempotent call: not resent once any of its bytes may have been sent.
+    Repeat,     ///< Idempotent call: resent until response bytes have reached the caller.
+    Stream,     ///< Token stream: resumed on its engine, or else continued on another one.
+    ResumeOnly, ///< Token stream whose prompt is not known: resumed on its engine or refused.
 };
 
 inline constexpr std::array<EnumName<Recovery>, 4> RecoveryNames {{
@@ -39,10 +39,10 @@
     {Recovery::ResumeOnly, "resume-only"},
 }};
 
-/** What a refusal says about the request. */
+/** Whether a refused request may have been executed. */
 enum class Outcome {
-    NotRun,  ///< No byte went to an endpoint, or every endpoint said that it did not start.
-    Unknown, ///< Anything else.
+    NotRun,  ///< No byte was sent, or every endpoint reported that it did not start.
+    Unknown, ///< It may have been executed, in part or whole.
 };
 
 inline constexpr std::array<EnumName<Outcome>, 2> OutcomeNames {{
@@ -50,15 +50,16 @@
     {Outcome::Unknown, "unknown"},
 }};
 
+/** Why the relay refused a request. */
 enum class RefusalCause {
-    Admission,            ///< Shares, queue or deadline, as admission said.
-    NoEndpoint,           ///< Nothing can take the request.
-    RetryBudgetExhausted, ///< The instance's retry budget is spent.
-    AttemptLimitReached,  ///< This request's own limit of attempts is reached.
-    DeadlinePassed,       ///< The answer would be worth nothing now.
-    ConnectionLost,       ///< After a byte of a call that must not be sent twice.
-    ResponseInterrupted,  ///< The endpoint failed while its answer was being passed on.
-    StreamGone, ///< The engine does not have the stream, and there is no prompt to go on from.
+    Admission,            ///< Refused by admission: account share, queue limit or deadline.
+    NoEndpoint,           ///< No endpoint can take the request.
+    RetryBudgetExhausted, ///< The instance's retry budget is exhausted.
+    AttemptLimitReached,  ///< The request reached MachineLimits::maxAttempts_.
+    DeadlinePassed,       ///< The request's deadline passed before its response was complete.
+    ConnectionLost, ///< Lost after bytes may have been sent, and the request cannot be recovered.
+    ResponseInterrupted, ///< The endpoint failed after part of its response was forwarded.
+    StreamGone,          ///< The engine no longer has the stream, and the prompt is not known.
 };
 
 inline constexpr std::array<EnumName<RefusalCause>, 8> RefusalCauseNames {{
@@ -72,25 +73,25 @@
     {RefusalCause::StreamGone, "stream-forgotten"},
 }};
 
-/** Spans that the machine turns into deadlines, and counts. */
+/** Timeouts and limits of one request. */
 struct MachineLimits
 {
-    Duration inactivityTimeout_ =
-        millis(1'000); ///< Between two tokens, before the stream is probed.
-    Duration endpointSearchTimeout_ =
-        millis(15'000); ///< For an endpoint to continue a begun stream on.
-    Duration endpointSearchInterval_ = millis(100); ///< Between two searches for one.
-    Duration retryAt_ = millis(1'000); ///< What a refusal says when nothing better is known.
+    /** Time without a token after which the engine is checked. */
+    Duration inactivityTimeout_ = millis(1'000);
+    /** How long to search for an endpoint that can continue a stream. */
+    Duration endpointSearchTimeout_ = millis(15'000);
+    Duration endpointSearchInterval_ = millis(100); ///< Between two searches for an endpoint.
+    Duration retryAt_ = millis(1'000); ///< Default retry delay that a refusal gives the caller.
     int maxAttempts_ = 6;
-    int maxProbesWithoutToken_ = 5; ///< Resumes in a row that brought no token.
+    int maxProbesWithoutToken_ = 5; ///< Consecutive resumes that brought no token.
 };
 
-/** A stream that an engine has already. */
+/** Identifies a stream that an engine is generating. */
 struct StreamLocation
 {
     EndpointId endpoint_;
     AttemptId attempt_;
-    std::int64_t base_ = 0; ///< Offset in the whole answer of the engine's token 0.
+    std::int64_t base_ = 0; ///< Offset in the whole response of the attempt's token 0.
 };
 
 struct RequestSpec
@@ -98,11 +99,11 @@
     RequestId request_;
     Recovery recovery_ = Recovery::Once;
     TimePoint deadline_ {};
-    /** Set when the caller named no deadline: each token moves the deadline on by this. */
+    /** Set when the caller gave no deadline: each token moves the deadline to now plus this. */
     std::optional<Duration> deadlineExtension_ {};
-    std::int64_t maxTokens_ = 0; ///< Of the whole answer. Streams only.
-    std::int64_t delivered_ = 0; ///< Tokens that the caller has already.
-    std::optional<StreamLocation> resumeAt_ {};
+    std::int64_t maxTokens_ = 0;                ///< Of the whole response. Streams only.
+    std::int64_t delivered_ = 0;                ///< Tokens that the caller already has.
+    std::optional<StreamLocation> resumeAt_ {}; ///< Set: resume this stream first.
 };
 
 // Events ---------------------------------------------------------------------------------------
@@ -116,8 +117,8 @@
 struct EndpointChosen
 {
     EndpointId endpoint_;
-    std::optional<EndpointId> prefill_ {};
-    TimePoint firstToken_ {}; ///< Estimate.
+    std::optional<EndpointId> prefill_ {}; ///< Engine that prefills first, if any.
+    TimePoint firstToken_ {};              ///< Estimated time of the first token.
 };
 struct NoEndpoint
 {
@@ -129,9 +130,9 @@
 };
 
 enum class PrefillStatus {
-    Ready,   ///< The KV cache can be fetched.
-    NotSent, ///< No byte left, or the engine did not start.
-    Failed,  ///< Anything else.
+    Ready,   ///< The KV cache can be fetched from the prefill engine.
+    NotSent, ///< No byte was sent, or the engine reported that it did not start.
+    Failed,  ///< Any other failure; the engine may have started.
 };
 struct PrefillFinished
 {
@@ -139,62 +140,62 @@
     PrefillStatus status_ = PrefillStatus::Failed;
 };
 
-/** What an endpoint's status line and headers mean. */
+/** Meaning of an endpoint's status line and headers. */
 enum class HeadKind {
-    Accepted,       ///< The answer follows.
-    NotRun,         ///< It did not start the request, and says so.
-    StreamNotFound, ///< It does not have the stream that was to be resumed.
-    Failed,         ///< It failed; it may have run something.
-    Final,          ///< An answer that another endpoint would give too, such as a 400.
+    Accepted,       ///< The response body follows.
+    NotRun,         ///< The endpoint reported that it did not start the request.
+    StreamNotFound, ///< The engine does not have the stream to be resumed.
+    Failed,         ///< The endpoint failed and may have executed the request.
+    Final,          ///< A response that every endpoint would give, such as a 400.
 };
 struct HeadReceived
 {
     ConnectionNumber connection_ = 0;
     HeadKind kind_ = HeadKind::Failed;
-    /** When the endpoint says to come back, for NotRun. */
+    /** From Retry-After; used with NotRun. */
     std::optional<TimePoint> retryAt_ {};
 };
 
-/** What came of CheckEngine. */
+/** Result of CheckEngine. */
 struct EngineChecked
 {
     ConnectionNumber connection_ = 0;
     bool alive_ = false;
 };
 
-/** offset_ counts from the beginning of the engine's own stream. */
+/** Tokens arrived from the engine. */
 struct TokensReceived
 {
     ConnectionNumber connection_ = 0;
-    std::int64_t offset_ = 0;
+    std::int64_t offset_ = 0; ///< In the engine's own stream.
     std::int64_t count_ = 1;
 };
 
-/** The first bytes of an endpoint's plain answer went to the caller. */
+/** The first bytes of a service's response were forwarded to the caller. */
 struct ResponseForwarded
 {
     ConnectionNumber connection_ = 0;
 };
-/** The endpoint's answer is whole. */
+/** The endpoint's response is complete. */
 struct ResponseEnded
 {
     ConnectionNumber connection_ = 0;
 };
-/** Could not connect, was cut, or the endpoint said something it should not say. */
+/** Connecting failed, the connection was lost, or the endpoint sent an invalid response. */
 struct ConnectionLost
 {
     ConnectionNumber connection_ = 0;
-    bool anythingSent_ = true; ///< False: not a byte of the request can have left.
+    bool anythingSent_ = true; ///< False: no byte of the request can have been sent.
 };
 struct CallerGone
 {
     /**
-     * The path to the caller is silent, but the caller did not hang up: it may already go on with
-     * the stream through another instance, so the stream is not cancelled.
+     * Writing to the caller failed, but the caller did not close its connection. It may already be
+     * resuming the stream through another instance, so the stream is not cancelled.
      */
     bool mayReconnect_ = false;
 };
-/** wakeAt() is reached. */
+/** The time of wakeAt() was reached. */
 struct TimePassed
 { };
 
@@ -205,30 +206,30 @@
 
 // Actions --------------------------------------------------------------------------------------
 
-/** Answer with EndpointChosen, NoEndpoint or, when budgeted_, RetryBudgetExhausted. */
+/** Results in EndpointChosen, NoEndpoint or, when budgeted_, RetryBudgetExhausted. */
 struct ChooseEndpoint
 {
     AttemptId attempt_;
     std::vector<EndpointId> excluded_ {};
-    bool budgeted_ = false; ///< Take one retry from the instance's budget first.
+    bool budgeted_ = false; ///< Consume one retry from the instance's budget first.
 };
-/** Prefill at an engine that hands its KV cache over. Answer with PrefillFinished. */
+/** Prefill on an engine that transfers its KV cache. Results in PrefillFinished. */
 struct Prefill
 {
     ConnectionNumber connection_ = 0;
     AttemptId attempt_;
     EndpointId endpoint_;
 };
-/** Close the old connection; on a new one send the request, with what was delivered already. */
+/** Close the old connection and send the request, with the text delivered so far, on a new one. */
 struct SendRequest
 {
     ConnectionNumber connection_ = 0;
     AttemptId attempt_;
     EndpointId endpoint_;
-    std::int64_t base_ = 0;     ///< Tokens delivered so far: the engine's token 0 is this one.
-    bool afterPrefill_ = false; ///< With what the prefill engine answered.
+    std::int64_t base_ = 0;     ///< Tokens delivered so far: the offset of this attempt's token 0.
+    bool afterPrefill_ = false; ///< Include the prefill engine's KV transfer parameters.
 };
-/** Close the old connection; on a new one ask the engine for its stream from offset_ on. */
+/** Close the old connection and request the stream from offset_ on a new one. */
 struct ResumeStream
 {
     ConnectionNumber connection_ = 0;
@@ -237,49 +238,49 @@
     std::int64_t offset_ = 0; ///< In the engine's own stream.
 };
 /**
- * Close the old connection; on a new one ask the engine for anything, such as its load, and answer
- * with EngineChecked. Its silence on one connection can mean that the connection is lost, that the
- * engine is, or that the answer takes long.
+ * Close the old connection and send a health check on a new one. Results in EngineChecked. A stream
+ * without tokens can mean a lost connection, a failed engine or a slow response; the check tells
+ * whether the engine is alive.
  */
 struct CheckEngine
 {
     ConnectionNumber connection_ = 0;
     EndpointId endpoint_;
 };
-/** Pass the tokens of the event just handed in to the caller. */
+/** Deliver the tokens of the current event to the caller. */
 struct Deliver
 {
-    std::int64_t offset_ = 0; ///< In the whole answer.
+    std::int64_t offset_ = 0; ///< In the whole response.
     std::int64_t count_ = 1;
 };
-/** Pass the endpoint's answer on as it is. */
+/** Forward the endpoint's response unchanged. */
 struct ForwardResponse
 {
     ConnectionNumber connection_ = 0;
 };
-/** Tell an engine that nobody waits for the attempt any more. */
+/** Cancel the attempt on its engine. */
 struct Cancel
 {
     AttemptId attempt_;
     EndpointId endpoint_;
 };
-/** The attempt is over for the router. */
+/** Report the end of the attempt to the router. */
 struct AttemptEnded
 {
     AttemptId attempt_;
     bool succeeded_ = false; ///< False: the endpoint failed.
 };
-/** Final: the caller has, or now gets, its whole answer. */
+/** Final: complete the response to the caller. */
 struct Finish
 { };
-/** Final: tell the caller at once, with when to come back. */
+/** Final: send the caller an error that says when to retry. */
 struct Refuse
 {
     Outcome outcome_ = Outcome::Unknown;
     RefusalCause cause_ = RefusalCause::NoEndpoint;
     TimePoint retryAt_ {};
 };
-/** Final: there is nobody to answer. */
+/** Final: the caller is gone; send nothing. */
 struct Abandon
 { };
 
@@ -288,26 +289,27 @@
                  ForwardResponse, Cancel, AttemptEnded, Finish, Refuse, Abandon>;
 using Actions = std::vector<Action>;
 
-/** One request. Every run of events ends in exactly one final action. */
+/** State of one request. Returns exactly one final action: Finish, Refuse or Abandon. */
 class RequestMachine
 {
 public:
     class Builder;
 
-    /** The first actions; none when the machine waits for Admitted. */
+    /** Returns the first actions; none while the machine waits for Admitted. */
     Actions start(TimePoint now);
+    /** Handles one event and returns the actions to perform; none after the final action. */
     Actions on(const Event &event, TimePoint now);
 
-    /** When TimePassed is due. */
+    /** When the driver must send TimePassed. */
     TimePoint wakeAt() const noexcept;
     bool finished() const noexcept { return phase_ == Phase::Over; }
-    /** Tokens of the whole answer that were delivered. */
+    /** Tokens delivered so far, of the whole response. */
     std::int64_t delivered() const noexcept { return nextOffset_; }
-    /** Whether the endpoint may have begun the request, or any earlier one did. */
+    /** Whether any endpoint may have started the request. */
     bool mayHaveRun() const noexcept { return earlierAttemptMayRun_ || attemptMayRun_; }
-    /** Events that were dropped because they came from an old connection or too late. */
+    /** Number of events dropped because they belong to an old connection or state. */
     std::uint64_t staleEvents() const noexcept { return staleEvents_; }
-    /** Where the current stream is, for a resume token. */
+    /** Location of the current stream, for a resume token. */
     StreamLocation streamLocation() const;
     int attempts() const noexcept { return attempts_; }
     int resumes() const noexcept { return resumes_; }
@@ -316,14 +318,14 @@
     enum class Phase {
         Admitting,
         Choosing,
-        AwaitingEndpoint, ///< Of a begun stream: nothing could take it a moment ago.
+        AwaitingEndpoint, ///< No endpoint can continue the stream; waits for the next search.
         Prefilling,
         AwaitingHead,
         Answering,
         CheckingEngine,
         Over,
     };
-    /** Where a rule of recovery goes on. */
+    /** Handles a failed attempt, by Recovery. */
     using RecoveryRule = void (RequestMachine::*)(TimePoint now, Actions &out);
 
     explicit RequestMachine(RequestSpec spec, MachineLimits limits);
@@ -384,17 +386,17 @@
     ConnectionNumber connection_ = 0;
     TimePoint deadline_ {};
     TimePoint inactivityDeadline_ = TimePoint::max();
-    TimePoint endpointSearchDeadline_ = TimePoint::max(); ///< Give up the search for an endpoint.
-    TimePoint nextSearchAt_ = TimePoint::max();           ///< The next search.
-    TimePoint firstToken_ {};                             ///< Estimate for the current attempt.
-    TimePoint notRunUntil_ {};    ///< When the last endpoint that refused says to come back.
-    std::int64_t base_ = 0;       ///< Offset in the whole answer of the attempt's token 0.
-    std::int64_t nextOffset_ = 0; ///< Offset in the whole answer of the token wanted next.
+    TimePoint endpointSearchDeadline_ = TimePoint::max(); ///< End of the search for an endpoint.
+    TimePoint nextSearchAt_ = TimePoint::max();           ///< Time of the next search.
+    TimePoint firstToken_ {};                             ///< Estimated first token of the attempt.
+    TimePoint notRunUntil_ {};    ///< Latest Retry-After of a NotRun response.
+    std::int64_t base_ = 0;       ///< Offset in the whole response of the attempt's token 0.
+    std::int64_t nextOffset_ = 0; ///< Offset in the whole response of the next token.
     int attempts_ = 0;
     int resumes_ = 0;
     int probesWithoutToken_ = 0;
-    int freeRetries_ = 0;
-    bool attemptOpen_ = false; ///< The router waits for AttemptEnded.
+    int freeRetries_ = 0;      ///< Retries that did not count against the retry budget.
+    bool attemptOpen_ = false; ///< AttemptEnded has not been returned yet.
     bool attemptMayRun_ = false;
     bool earlierAttemptMayRun_ = false;
     bool probing_ = false;  ///< The current connection resumes a stream.
--- a/libs/relay/include/almondridge/relay/relay.h
+++ b/libs/relay/include/almondridge/relay/relay.h
@@ -1,6 +1,6 @@
 /**
- * The life of a caller's request on one entry instance: from the first byte to the last.
- * machine.h has the decisions as a pure state machine; this is the part that does the I/O.
+ * Serves callers' requests on one entry instance: admission, attempts at endpoints, and responses.
+ * machine.h holds the decisions as a state machine without I/O; the relay performs the I/O.
  */
 #pragma once
 
@@ -17,12 +17,12 @@
 
 namespace almondridge::relay {
 
-/** What a claim of an idempotency key came to. */
+/** Result of claiming or looking up an idempotency key. */
 enum class ClaimStatus {
-    Claimed,        ///< This request is the first: run it.
-    Finished,       ///< Ran before; status_ and body_ are its stored outcome.
-    Unknown,        ///< Claimed before, outcome not known: never run it again.
-    LogUnavailable, ///< Neither could be found out: nothing was claimed by this call.
+    Claimed,        ///< First request with this key: execute it.
+    Finished,       ///< Executed before; httpStatus_ and body_ hold its stored outcome.
+    Unknown,        ///< Claimed before with unknown outcome: never execute it again.
+    LogUnavailable, ///< The control log could not be read; this call claimed nothing.
 };
 
 struct ClaimAnswer
@@ -32,23 +32,25 @@
     std::string body_;
 };
 
-/** Idempotency keys; over the control log in the product. Thread-safe. */
+/** Store of idempotency keys, in production the control log. Thread-safe. */
 class KeyClaims
 {
 public:
     virtual ~KeyClaims() = default;
+    /** Claims the key for request, or returns what an earlier claim led to. */
     virtual ClaimAnswer claim(const std::string &key, const RequestId &request,
                               TimePoint deadline) = 0;
     /** Looks a key up without claiming it. */
     virtual ClaimAnswer lookUp(const std::string &key, TimePoint deadline) = 0;
+    /** Stores the outcome of a claimed request. */
     virtual void finish(const std::string &key, const RequestId &request, int httpStatus,
                         const std::string &body) = 0;
 };
 
-/** The fleet in force, or null. Thread-safe. */
+/** Returns the fleet configuration in force, or null. Thread-safe. */
 using FleetSource = std::function<std::shared_ptr<const fleet::Fleet>()>;
 
-/** What was asked of a model, for the planner. */
+/** Tokens requested of a model, for the planner. */
 struct ModelDemand
 {
     ModelId model_;
@@ -56,6 +58,8 @@
     double decodeTokens_ = 0;
 };
 
+/** Serves the requests of callers. Thread-safe; handle() runs on the thread of the caller's
+ * connection. */
 class Relay
 {
 public:
@@ -66,28 +70,29 @@
     Relay &operator=(const Relay &) = delete;
 
     /**
-     * Answers /v1/... and the paths of services. False when path is none of them; the caller
-     * then answers 404.
+     * Serves /v1/... and the paths of services. Returns false, without a response, for any other
+     * path.
      */
     bool handle(net::ServerExchange &exchange);
 
-    /** The router under its lock, for reports, announcements and estimates. */
+    /** Calls function with the router locked, for load reports, announcements and estimates. */
     void withRouter(const std::function<void(routing::Router &)> &function);
     /**
-     * Waits until no request is on its way out to the endpoint. After it was closed in the router,
-     * none follows: only then may another instance be told that it gets no new work from here.
-     * False at deadline.
+     * Waits until no request is being sent to the endpoint; false at deadline. Once the endpoint is
+     * closed in the router no further send begins, so after this call the instance may confirm to
+     * others that it sends the endpoint no new work.
      */
     bool waitForSends(const EndpointId &endpoint, TimePoint deadline);
+    /** Applies a new fleet configuration. */
     void onFleet(std::shared_ptr<const fleet::Fleet> fleet);
-    /** Tokens asked for since the last call, per model. */
+    /** Tokens requested since the last call, per model. */
     std::vector<ModelDemand> takeDemand();
 
-    /** New requests are refused as not run from now on; those in work go on. */
+    /** Refuses new requests as not run from now on; active requests continue. */
     void stopAccepting();
-    /** Requests in work. */
+    /** Number of requests being served. */
     int activeRequests() const noexcept;
-    /** Waits until no request is in work. False at deadline. */
+    /** Waits until no request is being served. False at deadline. */
     bool waitIdle(TimePoint deadline);
 
 private:
--- a/libs/relay/src/calldispatcher.cpp
+++ b/libs/relay/src/calldispatcher.cpp
@@ -20,11 +20,11 @@
 constexpr std::string_view StreamPrefix = "/v1/streams/";
 constexpr std::string_view ModelScope = "models";
 constexpr std::size_t MaxRequestIdBytes = 128;
-/** A later deadline is taken for this one: it must not overflow the clock's numbers. */
+/** Later deadlines are reduced to this one, so that they cannot overflow TimePoint. */
 constexpr std::int64_t MaxDeadlineMillis = 7 * 86'400'000LL;
 constexpr Duration DefaultRetryDelay = millis(1'000);
 
-/** The caller's name for its request where it may stand in a header, else our own. */
+/** The caller's request id if it is safe in a header, else the generated one. */
 std::string responseIdFor(std::string_view given, const RequestId &generated)
 {
     const bool isAllowed = std::all_of(given.begin(), given.end(), [](unsigned char character) {
@@ -89,7 +89,7 @@
 void CallDispatcher::refuse(const Refusal &refusal)
 {
     if (!bodyRead_ && exchange_.method() != "GET" && exchange_.method() != "HEAD") {
-        // What is left of the body would be read as the caller's next request.
+        // The unread rest of the body would be parsed as the caller's next request.
         exchange_.closeAfterAnswer();
     }
     const TimePoint now = BootClock::now();
@@ -154,7 +154,7 @@
                 "see docs/PROTOCOLS.md for the paths");
 }
 
-// What all calls share --------------------------------------------------------------------------
+// Common to all calls ---------------------------------------------------------------------------
 
 Result<CallInfo> CallDispatcher::parseCallInfo()
 {
@@ -179,7 +179,7 @@
         wall, parseNumber("X-Request-Deadline-Ms", text, std::numeric_limits<std::int64_t>::max()));
     const std::int64_t left = std::min(wall - wallMillis(), MaxDeadlineMillis);
     info.deadline_ = started_ + millis(std::max<std::int64_t>(left, 0));
-    info.deadlineNamed_ = true;
+    info.hasCallerDeadline_ = true;
     return {};
 }
 
@@ -218,12 +218,12 @@
     BOOST_LEAF_ASSIGN(task.key_, parseKey(info, ModelScope));
     BOOST_LEAF_AUTO(body, readBody());
     BOOST_LEAF_ASSIGN(task.request_, parseModelRequest(api, body));
-    const auto routed = view_->modelNamed(task.request_.model_.value());
+    const auto routed = view_->findModel(task.request_.model_.value());
     if (!routed) {
         refuseModel(task.request_.model_);
         return {};
     }
-    task.routed_ = *routed;
+    task.routedModel_ = *routed;
     BOOST_LEAF_CHECK(parseResume(info, task));
     if (!refuseExpired(info)) {
         ModelCall(context_, exchange_, info, std::move(task)).serve();
@@ -285,7 +285,7 @@
     task.request_.maxTokens_ = token.maxTokens_;
     task.request_.includeUsage_ = token.includeUsage_;
     task.request_.stream_ = true;
-    task.routed_ = view_->modelNamed(token.model_.value()).value_or(token.model_);
+    task.routedModel_ = view_->findModel(token.model_.value()).value_or(token.model_);
     task.recovery_ = Recovery::ResumeOnly;
     task.resumeAtEngine_ = true;
     task.resume_ = std::move(token);
--- a/libs/relay/src/calldispatcher.h
+++ b/libs/relay/src/calldispatcher.h
@@ -1,6 +1,5 @@
 /**
- * Reads a caller's request, refuses what is wrong with it at once, and starts the call it asks
- * for.
+ * Parses and validates a caller's request, refuses an invalid one, and starts the call.
  */
 #pragma once
 
@@ -10,22 +9,23 @@
 
 namespace almondridge::relay {
 
+/** Dispatches one request by its path. */
 class CallDispatcher
 {
 public:
     CallDispatcher(RelayContext &context, net::ServerExchange &exchange);
 
-    /** Whether the path is one that the relay answers. */
+    /** Whether the relay serves the path. */
     bool handlesPath() const;
     void serve();
     void refuse(const Refusal &refusal);
 
 private:
-    /** Answers one kind of path. A failure says what is wrong with the request; nothing ran. */
+    /** Serves one route. A returned error means that the request is invalid and nothing ran. */
     using Handler = Result<void> (CallDispatcher::*)();
     struct Route
     {
-        std::string_view path_; ///< One that ends in a slash stands for all that begin with it.
+        std::string_view path_; ///< A path that ends in a slash matches as a prefix.
         std::string_view method_;
         Handler handler_;
     };
--- a/libs/relay/src/calldriver.cpp
+++ b/libs/relay/src/calldriver.cpp
@@ -60,9 +60,9 @@
 
 void CallDriver::step()
 {
-    if (!events_.empty()) {
-        const Event event = std::move(events_.front());
-        events_.pop_front();
+    if (!pendingEvents_.empty()) {
+        const Event event = std::move(pendingEvents_.front());
+        pendingEvents_.pop_front();
         feed(event);
     } else if (!endpointExchange_) {
         waitWithoutConnection();
@@ -212,10 +212,10 @@
     if (!newWork) {
         return send();
     }
-    // Between the choice and here the endpoint may have been announced as draining, and this
-    // instance may have confirmed that it sends nothing more: the engine would then be changed
-    // under this request. So the view is looked at again, and who confirms waits for what has
-    // passed here (Relay::waitForSends).
+    // Since it was chosen, the endpoint may have started to drain, and this instance may have
+    // confirmed that it sends no new work; the engine would then be reconfigured during this
+    // request. So availability is checked again here, and the confirmation waits for sends in
+    // progress (Relay::waitForSends).
     if (!context_.router_.beginSend(endpoint)) {
         return false;
     }
@@ -250,7 +250,7 @@
     return {};
 }
 
-// Help for the kinds of calls -------------------------------------------------------------------
+// Helpers for derived classes -------------------------------------------------------------------
 
 void CallDriver::onCallerLost()
 {
@@ -287,14 +287,14 @@
 
 void CallDriver::recordOutcome(CallOutcome outcome, std::string detail)
 {
-    const Duration spent = BootClock::now() - info_.started_;
+    const Duration elapsed = BootClock::now() - info_.started_;
     const std::string name(nameOf(CallOutcomeNames, outcome));
     context_.metrics_.count("requests_total", "outcome=\"" + name + "\"");
-    context_.metrics_.observeSeconds("request_seconds", toSeconds(spent));
+    context_.metrics_.observeSeconds("request_seconds", toSeconds(elapsed));
     const bool refused = outcome == CallOutcome::NotRun || outcome == CallOutcome::Unknown;
     context_.timeline_.add(observe::EventKind::Request,
                            refused ? "request.refused" : "request.finished", info_.id_.value(),
-                           "outcome=" + name + " " + std::move(detail), toMillis(spent));
+                           "outcome=" + name + " " + std::move(detail), toMillis(elapsed));
 }
 
 std::optional<TimePoint> CallDriver::retryAfterOf(const net::ResponseHead &head)
@@ -312,7 +312,7 @@
 
 std::optional<net::Address> CallDriver::addressOf(const EndpointId &endpoint) const
 {
-    // The router may know a newer file than the one that this request began under.
+    // The router may use a newer fleet than the one in force when this request started.
     const std::shared_ptr<const FleetView> view = context_.view();
     const auto &endpoints = view->fleet().endpoints_;
     const auto found = endpoints.find(endpoint);
--- a/libs/relay/src/calldriver.h
+++ b/libs/relay/src/calldriver.h
@@ -1,6 +1,6 @@
 /**
- * Performs the actions of a request's machine over sockets, on the thread of its caller's
- * connection, and hands in the events that come of them.
+ * Performs the actions of a RequestMachine over sockets, on the thread of the caller's connection,
+ * and feeds the resulting events back.
  */
 #pragma once
 
@@ -19,37 +19,38 @@
 
 namespace almondridge::relay {
 
-/** How a call ended, for metrics and the time line. */
+/** Outcome of a call, for metrics and the timeline. */
 enum class CallOutcome {
-    Whole,     ///< The caller has its whole answer.
-    Repeat,    ///< Answered from the stored outcome of its key, or refused for it.
-    NotRun,    ///< Refused; nothing was run.
+    Completed, ///< The caller received the complete response.
+    Duplicate, ///< Answered or refused because of an earlier request with the same key.
+    NotRun,    ///< Refused; nothing ran.
     Unknown,   ///< Refused; something may have run.
-    Abandoned, ///< The caller left.
-    Invalid,   ///< The request was wrong.
+    Abandoned, ///< The caller disconnected.
+    Invalid,   ///< The request was invalid.
 };
 
 inline constexpr std::array<EnumName<CallOutcome>, 6> CallOutcomeNames {{
-    {CallOutcome::Whole, "whole"},
-    {CallOutcome::Repeat, "repeat"},
+    {CallOutcome::Completed, "whole"},
+    {CallOutcome::Duplicate, "repeat"},
     {CallOutcome::NotRun, "not-run"},
     {CallOutcome::Unknown, "unknown"},
     {CallOutcome::Abandoned, "abandoned"},
     {CallOutcome::Invalid, "invalid"},
 }};
 
-/** What is known of a call before its body is read. */
+/** Properties of a call that do not depend on its body. */
 struct CallInfo
 {
     RequestId id_;
-    std::string responseId_; ///< X-Request-Id as the caller gave it, else id_.
+    std::string responseId_; ///< The caller's X-Request-Id if usable, else id_.
     fleet::Account account_;
     TimePoint started_ {};
     TimePoint deadline_ {};
-    bool deadlineNamed_ = false;
+    bool hasCallerDeadline_ = false; ///< deadline_ is from X-Request-Deadline-Ms.
     std::shared_ptr<const FleetView> view_;
 };
 
+/** Base of the two kinds of calls: models and services. */
 class CallDriver
 {
 public:
@@ -60,45 +61,47 @@
 protected:
     CallDriver(RelayContext &context, net::ServerExchange &caller, CallInfo info, RequestSpec spec);
 
-    /** Until the final answer is given. */
+    /** Runs the call until its final action is performed. */
     void run();
-    /** The machine leaves admission with the next step. */
-    void admitted() { events_.emplace_back(Admitted {}); }
-    void push(Event event) { events_.push_back(std::move(event)); }
-    /** Hands one event to the machine and performs what comes of it at once. */
+    /** Queues Admitted, which starts the first attempt. */
+    void pushAdmitted() { pendingEvents_.emplace_back(Admitted {}); }
+    /** Queues an event for the next step. */
+    void push(Event event) { pendingEvents_.push_back(std::move(event)); }
+    /** Passes one event to the machine and performs the resulting actions immediately. */
     void feed(const Event &event);
 
-    // What kinds of calls do differently.
+    // Implemented by each kind of call.
     virtual routing::RouteQuery query() = 0;
     virtual net::Request requestFor(const SendRequest &action) = 0;
     virtual net::Request resumeRequestFor(const ResumeStream &action);
     virtual net::Request prefillRequestFor(const Prefill &action);
-    /** Pushes HeadReceived, after reading the body when the head's meaning needs it. */
+    /** Pushes HeadReceived; reads the body first where its error code is needed. */
     virtual void onHead(const net::ResponseHead &head) = 0;
-    /** Bytes of the current connection's answer. */
+    /** Handles body bytes from the current connection. */
     virtual void onBytes(std::string_view bytes) = 0;
-    /** The current connection's answer ended as HTTP has it. */
+    /** Handles the end of the current connection's response, as HTTP framing defines it. */
     virtual void onEnd() = 0;
     virtual void onLost(bool anythingSent);
     virtual void deliver(const Deliver &action);
-    /** Called now and then while nothing comes. */
+    /** Called after each wait that brought no data. */
     virtual void keepAlive();
     virtual void forwardResponse() = 0;
     virtual void finish() = 0;
     virtual void refuse(const Refusal &refusal) = 0;
     virtual void abandon() = 0;
 
-    /** Sends an error answer. */
+    /** Sends an error response. */
     void respondRefusal(const Refusal &refusal);
-    /** The caller could not be written to. */
+    /** Pushes CallerGone, once, after a write to the caller failed. */
     void onCallerLost();
-    /** The rest of a short answer; empty when it does not come. */
+    /** Reads the rest of a short response body; empty on failure. */
     std::string readShortBody();
-    /** When an endpoint's Retry-After says to come back. */
+    /** The time given by an endpoint's Retry-After header in seconds, if any. */
     static std::optional<TimePoint> retryAfterOf(const net::ResponseHead &head);
     net::Headers responseHeaders() const;
+    /** Adds an event to the timeline. */
     void recordEvent(const char *event, std::string detail);
-    /** Counts the call's end and notes it on the time line. Once a call. */
+    /** Records the outcome in metrics and timeline. Called once per call. */
     void recordOutcome(CallOutcome outcome, std::string detail);
 
     RelayContext &context_;
@@ -106,7 +109,7 @@
     const CallInfo info_;
     RequestMachine machine_;
     ConnectionNumber connection_ = 0;
-    /** What the current connection is for. */
+    /** Purpose of the current connection. */
     enum class ConnectionUse { Request, Resume, Prefill, Check };
     ConnectionUse connectionUse_ = ConnectionUse::Request;
 
@@ -126,12 +129,12 @@
 
     void step();
     void open(ConnectionNumber connection, const EndpointId &endpoint, const net::Request &request);
-    /** False when not a byte of it may leave any more. */
+    /** Sends the request; false on failure or when the endpoint no longer takes new work. */
     bool sendIfAvailable(const EndpointId &endpoint, const net::Request &request);
     void waitWithoutConnection();
     void awaitHead();
     void readBody();
-    /** A wait ended without bytes. */
+    /** Handles a wait that ended without data: checks the caller and the timers. */
     void onNoData(net::ReadStatus status);
     int watchedSocket();
     TimePoint waitUntil() const;
@@ -140,9 +143,9 @@
 
     std::optional<net::HttpExchange> endpointExchange_;
     bool headRead_ = false;
-    std::optional<AttemptId> prefillAttempt_; ///< Open with the router.
-    std::deque<Event> events_;
-    /** Readable without being gone: the caller sent its next request already. */
+    std::optional<AttemptId> prefillAttempt_; ///< Registered with the router and not finished.
+    std::deque<Event> pendingEvents_;
+    /** The caller sent its next request early, so its socket is readable without being closed. */
     bool callerIsPipelining_ = false;
     bool callerKnownGone_ = false;
 };
--- a/libs/relay/src/calldriverwait.cpp
+++ b/libs/relay/src/calldriverwait.cpp
@@ -8,7 +8,7 @@
 namespace almondridge::relay {
 namespace {
 
-/** How often a caller that cannot be polled is looked at. */
+/** Interval at which a caller whose socket cannot be polled is checked. */
 constexpr std::int64_t CallerCheckIntervalMillis = 250;
 constexpr std::size_t ReadBytes = 16'384;
 
@@ -33,7 +33,7 @@
 
 void CallDriver::waitWithoutConnection()
 {
-    // The longest pause without a connection is short, so the caller is looked at between slices.
+    // Waits in short slices, so that the caller is checked also when its socket cannot be polled.
     const TimePoint until =
         std::min(waitUntil(), BootClock::now() + millis(CallerCheckIntervalMillis));
     pollfd entry {watchedSocket(), POLLIN | POLLRDHUP, 0};
@@ -49,7 +49,7 @@
         onNoData(status);
         return;
     }
-    // A head is short: once it begins, the rest is there or the connection is in trouble.
+    // Response heads are short, so the rest must follow within the connect timeout.
     const TimePoint until = BootClock::now() + millis(context_.settings_.connectTimeoutMillis_);
     const auto head = capture([&] { return endpointExchange_->readHead(until); });
     if (head.index() != 0) {
--- a/libs/relay/src/canceller.cpp
+++ b/libs/relay/src/canceller.cpp
@@ -8,7 +8,7 @@
 namespace almondridge::relay {
 namespace {
 
-/** More than one, so that an engine that does not answer holds up no cancel at another. */
+/** More than one, so that an unresponsive engine does not delay cancels on others. */
 constexpr int WorkerCount = 2;
 constexpr int MaxSends = 2;
 constexpr std::size_t MaxQueuedCancels = 4'096;
--- a/libs/relay/src/canceller.h
+++ b/libs/relay/src/canceller.h
@@ -1,5 +1,5 @@
 /**
- * Tells engines that nobody waits for a stream any more, beside the requests' own threads.
+ * Cancels streams on engines in background threads, so that requests do not wait for it.
  */
 #pragma once
 
@@ -16,16 +16,18 @@
 
 namespace almondridge::relay {
 
+/** Queue of cancel requests with its worker threads. Thread-safe. */
 class Canceller
 {
 public:
     Canceller(observe::Metrics &metrics, Duration timeout);
-    /** Sends what is still queued, each for at most the timeout. */
+    /** Sends the queued requests, each with the timeout, and joins the threads. */
     ~Canceller();
     Canceller(const Canceller &) = delete;
     Canceller &operator=(const Canceller &) = delete;
 
-    /** Sends DELETE soon. Never waits. */
+    /** Queues a DELETE of the stream; drops and counts it when the queue is full. Does not block.
+     */
     void cancel(const net::Address &engine, const AttemptId &attempt);
 
 private:
--- a/libs/relay/src/demandcounter.cpp
+++ b/libs/relay/src/demandcounter.cpp
@@ -6,7 +6,7 @@
 namespace almondridge::relay {
 namespace {
 
-/** Weight of one answer in the average: the last twenty or so decide. */
+/** Weight of one response in the moving average, which covers about the last twenty. */
 constexpr double ResponseWeight = 0.05;
 
 } // namespace
@@ -50,8 +50,8 @@
     const std::lock_guard lock(mutex_);
     std::vector<ModelDemand> samples;
     for (auto &[id, model] : models_) {
-        // A correction may come after its expectation was taken; it is carried to the next call
-        // instead of being reported as less than nothing.
+        // A correction can arrive after its expectation was reported. The negative rest is carried
+        // over to the next call, since demand must not be negative.
         ModelDemand sample {id, std::max(model.prefillTokens_, 0.0),
                             std::max(model.decodeTokens_, 0.0)};
         model.prefillTokens_ = std::min(model.prefillTokens_, 0.0);
--- a/libs/relay/src/demandcounter.h
+++ b/libs/relay/src/demandcounter.h
@@ -1,5 +1,5 @@
 /**
- * How many tokens are asked for, per model, and how long answers turn out to be.
+ * Tokens requested per model, and the average length of responses.
  */
 #pragma once
 
@@ -11,19 +11,23 @@
 
 namespace almondridge::relay {
 
+/** Thread-safe. */
 class DemandCounter
 {
 public:
-    /** The answer's expected length for a limit of maxTokens, from the latest answers' shares. */
+    /** Expected output tokens for a limit of maxTokens, from the average share of recent responses.
+     */
     std::int64_t expectedOutput(const ModelId &model, std::int64_t maxTokens) const;
-    /** A request was offered, also when it is refused: the planner weighs demand, not work done. */
+    /** Counts a request, also one that is then refused: the planner needs demand, not throughput.
+     */
     void onRequest(const ModelId &model, std::int64_t promptTokens, std::int64_t expectedOutput);
-    /** An answer is whole. Corrects what was expected of it. */
+    /** Replaces the expected output of a completed response with the actual one. */
     void onCompleted(const ModelId &model, std::int64_t expectedOutput, std::int64_t outputTokens,
                      std::int64_t maxTokens);
-    /** Tokens that an engine had in its cache and did not prefill. */
+    /** Subtracts prompt tokens that an engine had cached and did not prefill. */
     void onCacheHit(const ModelId &model, std::int64_t tokens);
 
+    /** Returns and resets the demand per model. */
     std::vector<ModelDemand> take();
 
 private:
@@ -31,7 +35,7 @@
     {
         double prefillTokens_ = 0;
         double decodeTokens_ = 0;
-        double outputShare_ = 1.0; ///< Of max_tokens, exponentially averaged.
+        double outputShare_ = 1.0; ///< Output tokens / max_tokens, moving average.
     };
 
     mutable std::mutex mutex_;
--- a/libs/relay/src/digest.cpp
+++ b/libs/relay/src/digest.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t GroupBytes = 3;
 constexpr std::size_t GroupCharacters = 4;
 
-const unsigned char *bytesOf(std::string_view text)
+const unsigned char *asUnsigned(std::string_view text)
 {
     return reinterpret_cast<const unsigned char *>(text.data());
 }
@@ -43,7 +43,7 @@
 {
     std::array<unsigned char, EVP_MAX_MD_SIZE> mac {};
     unsigned size = 0;
-    HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), bytesOf(text), text.size(),
+    HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), asUnsigned(text), text.size(),
          mac.data(), &size);
     return {mac.data(), mac.data() + size};
 }
@@ -57,8 +57,8 @@
 std::string toBase64Url(std::string_view bytes)
 {
     std::string text((bytes.size() + GroupBytes - 1) / GroupBytes * GroupCharacters + 1, '\0');
-    const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(text.data()), bytesOf(bytes),
-                                     static_cast<int>(bytes.size()));
+    const int size = EVP_EncodeBlock(reinterpret_cast<unsigned char *>(text.data()),
+                                     asUnsigned(bytes), static_cast<int>(bytes.size()));
     text.resize(static_cast<std::size_t>(size));
     text.resize(text.find_last_not_of('=') + 1);
     replaceCharacters(text, '+', '-', '/', '_');
@@ -77,7 +77,7 @@
     padded.append(padding, '=');
     std::string bytes(padded.size(), '\0');
     const int size = EVP_DecodeBlock(reinterpret_cast<unsigned char *>(bytes.data()),
-                                     bytesOf(padded), static_cast<int>(padded.size()));
+                                     asUnsigned(padded), static_cast<int>(padded.size()));
     if (size < 0) {
         return std::nullopt;
     }
--- a/libs/relay/src/digest.h
+++ b/libs/relay/src/digest.h
@@ -1,5 +1,5 @@
 /**
- * Hashes and text forms of bytes, by OpenSSL.
+ * Hashes and Base64, based on OpenSSL.
  */
 #pragma once
 
@@ -13,12 +13,12 @@
 std::string sha256Hex(std::string_view text);
 /** HMAC-SHA256, raw bytes. */
 std::string hmacSha256(std::string_view key, std::string_view text);
-/** Whether both are the same, in a time that does not depend on where they differ. */
+/** Compares in constant time for strings of equal length. */
 bool constantTimeEqual(std::string_view left, std::string_view right);
 
-/** Base64 with the letters that may stand in a path, without padding. */
+/** Base64url (RFC 4648) without padding. */
 std::string toBase64Url(std::string_view bytes);
-/** nullopt when text is no such form. */
+/** Decodes the output of toBase64Url(); nullopt for invalid text. */
 std::optional<std::string> fromBase64Url(std::string_view text);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/engineevent.h
+++ b/libs/relay/src/engineevent.h
@@ -1,5 +1,5 @@
 /**
- * One event of an engine's stream, read.
+ * Parses the events of an engine's stream.
  */
 #pragma once
 
@@ -13,25 +13,27 @@
 
 namespace almondridge::relay {
 
-/** What an engine counted. */
+/** Token counts that an engine reports. */
 struct TokenUsage
 {
     std::int64_t promptTokens_ = 0;
     std::int64_t completionTokens_ = 0;
-    std::int64_t cachedTokens_ = -1; ///< -1: not told.
+    std::int64_t cachedTokens_ = -1; ///< -1: not reported.
 };
 
+/** Kind of an event. */
 enum class EngineEventKind {
-    Tokens, ///< Carries text, and counts as count_ tokens.
-    Other,  ///< The role of a chat, a finish reason, usage.
-    Done,   ///< The stream is whole.
-    Failed, ///< The engine says that it failed.
+    Tokens, ///< Carries the text of count_ tokens.
+    Other,  ///< A chat role, finish reason or usage without tokens.
+    Done,   ///< End of a complete stream.
+    Failed, ///< The engine reports an error.
 };
 
+/** A parsed event. */
 struct EngineEvent
 {
     EngineEventKind kind_ = EngineEventKind::Other;
-    std::int64_t offset_ = 0;
+    std::int64_t offset_ = 0; ///< Of its first token in the engine's stream.
     std::int64_t count_ = 0;
     std::string text_;
     std::string finishReason_; ///< Empty: not finished.
@@ -39,10 +41,10 @@
     nlohmann::json body_;
 };
 
-/** nullopt: no event that an engine may send. */
+/** Parses the data of one event; nullopt when it is not a valid engine event. */
 std::optional<EngineEvent> parseEngineEvent(Api api, std::string_view data);
 
-/** An engine's error body; empty where it says nothing. */
+/** The error in a response body of an engine; members are empty where it has none. */
 struct EngineError
 {
     std::string code_;
--- a/libs/relay/src/fleetview.cpp
+++ b/libs/relay/src/fleetview.cpp
@@ -15,7 +15,7 @@
                                                 : character;
 }
 
-/** The key of "Bearer KEY", the scheme in any case; empty when there is none. */
+/** The key of "Bearer KEY", with the scheme in any case; empty for anything else. */
 std::string_view bearerKey(std::string_view authorization)
 {
     const bool bearer =
@@ -68,7 +68,7 @@
     return fleet_->accounts_.at(found->second);
 }
 
-std::optional<ModelId> FleetView::modelNamed(const std::string &name) const
+std::optional<ModelId> FleetView::findModel(const std::string &name) const
 {
     const auto found = modelsByName_.find(name);
     return found == modelsByName_.end() ? std::nullopt : std::optional(found->second);
--- a/libs/relay/src/fleetview.h
+++ b/libs/relay/src/fleetview.h
@@ -1,6 +1,6 @@
 /**
- * A fleet in force with what a caller's request is looked up by: keys of accounts, and names of
- * models and adapters.
+ * A fleet in force with indexes for requests: client accounts by API key, and models by name or
+ * adapter name.
  */
 #pragma once
 
@@ -18,6 +18,7 @@
 
 namespace almondridge::relay {
 
+/** Immutable, hence thread-safe. */
 class FleetView
 {
 public:
@@ -27,15 +28,15 @@
     const std::shared_ptr<const fleet::Fleet> &shared() const noexcept { return fleet_; }
 
     /**
-     * The account of an Authorization header; one without a name when the fleet has no accounts.
-     * Unauthorized when the key is missing or of no account.
+     * The client account of an Authorization header; an unnamed one when the fleet has no accounts.
+     * Unauthorized when the key is missing or belongs to no account.
      */
     Result<fleet::Account> accountOf(std::string_view authorization) const;
-    /** The model that a name stands for: its own, or that of an adapter. */
-    std::optional<ModelId> modelNamed(const std::string &name) const;
-    /** How many engines the domain has for the model. */
+    /** Finds a model by its name or by the name of one of its adapters. */
+    std::optional<ModelId> findModel(const std::string &name) const;
+    /** Number of engines for the model in the failure domain. */
     int engineCount(const ModelId &model, const DomainId &domain) const;
-    /** All names that modelNamed() knows, in order. */
+    /** All names that findModel() finds, sorted. */
     std::vector<std::string> modelNames() const;
 
 private:
--- a/libs/relay/src/idempotencykey.cpp
+++ b/libs/relay/src/idempotencykey.cpp
@@ -14,12 +14,12 @@
 
 using DecisionRow = std::array<KeyDecision, 4>;
 
-/** By rule, then by ClaimStatus: Claimed, Finished, Unknown, LogOut. */
+/** By KeyRule, then by ClaimStatus: Claimed, Finished, Unknown, LogUnavailable. */
 constexpr std::array<DecisionRow, 3> Decisions {{
     {KeyDecision::Run, KeyDecision::ReplayStored, KeyDecision::ReplyUnknown,
      KeyDecision::ReplyLogUnavailable},
-    // The one case that runs without a claim. It holds because no later attempt ever runs: one
-    // that finds no claim after the outage says unknown instead of taking that for "never ran".
+    // The only rule that runs without a claim. It is safe because later attempts never run: one
+    // that finds no claim after a log outage replies "unknown" and does not assume "never ran".
     {KeyDecision::Run, KeyDecision::ReplayStored, KeyDecision::ReplyUnknown, KeyDecision::Run},
     {KeyDecision::ReplyUnknown, KeyDecision::ReplayStored, KeyDecision::ReplyUnknown,
      KeyDecision::ReplyUnknown},
@@ -65,7 +65,7 @@
         key.rule_ = attempt == 1 ? KeyRule::FirstAttempt : KeyRule::LaterAttempt;
         kind = "numbered";
     }
-    // A list in JSON, not a joined text: "a/b" + "c" must not be the key of "a" + "b/c".
+    // A JSON list keeps the parts apart: "a/b" + "c" must not equal "a" + "b/c".
     key.scopedKey_ = json {account.value(), scope, kind, headers.key_}.dump(
         -1, ' ', false, json::error_handler_t::replace);
     return std::optional<IdempotencyKey>(std::move(key));
@@ -88,7 +88,7 @@
 {
     const json whole = {{"type", answer.contentType_}, {"body", answer.body_}};
     std::string text = whole.dump(-1, ' ', false, json::error_handler_t::ignore);
-    // What did not come through unharmed, as bytes that are no UTF-8, is left out.
+    // A body that does not survive the round trip, such as bytes that are not UTF-8, is omitted.
     if (answer.body_.size() <= MaxStoredBodyBytes
         && parseStoredResponse(text).body_ == answer.body_) {
         return text;
@@ -104,7 +104,7 @@
     }
     StoredResponse answer;
     answer.contentType_ = stored.value("type", "");
-    answer.whole_ = stored.contains("body");
+    answer.hasBody_ = stored.contains("body");
     answer.body_ = stored.value("body", "");
     return answer;
 }
--- a/libs/relay/src/keyedcall.cpp
+++ b/libs/relay/src/keyedcall.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr Duration DefaultRetryDelay = millis(1'000);
-/** How long a claim may take, by rule: a numbered first attempt need not wait for the log. */
+/** By KeyRule. A numbered first attempt also runs without the log, so it waits less. */
 constexpr std::array<Duration, 3> ClaimTimeouts {millis(2'000), millis(500), millis(2'000)};
 
 Refusal refusalOf(KeyDecision decision, TimePoint now)
--- a/libs/relay/src/keyedcall.h
+++ b/libs/relay/src/keyedcall.h
@@ -1,5 +1,5 @@
 /**
- * The claim, the answer of a repeat, and the stored outcome of one call with a key.
+ * Idempotency of one call: claims its key, responds to duplicates, and stores its outcome.
  */
 #pragma once
 
@@ -14,26 +14,27 @@
 
 namespace almondridge::relay {
 
-/** What a repeat gets instead of a run. */
+/** The response to a request that must not run because of its key. */
 struct DuplicateResponse
 {
     KeyDecision keyDecision_ = KeyDecision::ReplyUnknown;
-    int status_ = 0;                    ///< With ReplayStored.
-    StoredResponse stored_ {};          ///< With ReplayStored.
-    std::optional<Refusal> refusal_ {}; ///< With the others.
+    int status_ = 0;                    ///< For ReplayStored.
+    StoredResponse stored_ {};          ///< For ReplayStored.
+    std::optional<Refusal> refusal_ {}; ///< For the other decisions.
 };
 
+/** The key of one call. Without a key, every call runs and nothing is stored. */
 class KeyedCall
 {
 public:
-    /** Without a key every call runs and nothing is kept. */
     KeyedCall(KeyClaims &claims, std::optional<IdempotencyKey> key, RequestId request);
 
-    /** Whether this call may only look up, so that nothing needs to be admitted for it. */
+    /** Whether this call only looks its key up and never runs, so that it needs no admission. */
     bool isLookupOnly() const noexcept;
-    /** nullopt: the call may run, and its key is claimed as its rule demands. */
+    /** Claims or looks up the key. nullopt: the call may run. */
     std::optional<DuplicateResponse> begin(TimePoint deadline);
-    /** Keeps the outcome of a call that ran; StoredUnknown and StoredNotRun included. */
+    /** Stores the outcome of a call that begin() let run: an HTTP status, StoredUnknown or
+     * StoredNotRun. */
     void end(int status, const StoredResponse &answer);
 
 private:
--- a/libs/relay/src/machine.cpp
+++ b/libs/relay/src/machine.cpp
@@ -89,7 +89,7 @@
     ++attempts_;
     attempt_ = AttemptId(spec_.request_.value() + "." + std::to_string(attempts_));
     phase_ = Phase::Choosing;
-    ++connection_; // What the connection that was left still says is late from now on.
+    ++connection_; // Makes later events of the old connection stale.
     nextSearchAt_ = TimePoint::max();
     inactivityDeadline_ = TimePoint::max();
     out.emplace_back(ChooseEndpoint {attempt_, excluded_, budgeted});
@@ -122,8 +122,8 @@
         ++staleEvents_;
         return;
     }
-    // A stream that an engine lost was accepted; a role change or a restart may give the
-    // endpoint back within seconds. New requests are refused at once instead.
+    // A stream that lost its engine waits, since a role change or a restart may make an endpoint
+    // available within seconds. New requests are refused at once.
     const bool wait = spec_.recovery_ == Recovery::Stream && earlierAttemptMayRun_;
     if (!wait || now >= endpointSearchDeadline_) {
         refuse(RefusalCause::NoEndpoint, std::max(event.retryAt_, notRunUntil_), out);
@@ -172,7 +172,7 @@
 void RequestMachine::send(bool afterPrefill, TimePoint now, Actions &out)
 {
     base_ = nextOffset_;
-    attemptMayRun_ = true; // Until the driver says that not a byte left.
+    attemptMayRun_ = true; // Until the driver reports that no byte was sent.
     probing_ = false;
     accepted_ = false;
     probesWithoutToken_ = 0;
@@ -187,8 +187,8 @@
     probing_ = true;
     accepted_ = false;
     phase_ = Phase::AwaitingHead;
-    // An engine that is alive is slow, not lost: each probe that brings no token waits twice as
-    // long as the one before.
+    // The engine may be alive but slow, so the timeout doubles with each probe that brings no
+    // token.
     inactivityDeadline_ = now + limits_.inactivityTimeout_ * (1 << probesWithoutToken_);
     out.emplace_back(ResumeStream {++connection_, attempt_, endpoint_, nextOffset_ - base_});
 }
@@ -219,8 +219,8 @@
 void RequestMachine::onNotRun(TimePoint now, Actions &out)
 {
     if (probing_) {
-        // An engine without a free connection refuses to resume in the same words; that says
-        // nothing about the attempt, which may well be running.
+        // An engine without a free connection refuses a resume with the same response, although
+        // the attempt may still be running.
         recover(now, out);
         return;
     }
@@ -258,11 +258,11 @@
     }
     const std::int64_t from = base_ + event.offset_;
     if (from + event.count_ <= nextOffset_) {
-        return; // Delivered before: an engine may begin a resumed stream earlier than asked.
+        return; // Already delivered: an engine may resume earlier than the requested offset.
     }
     if (from != nextOffset_) {
-        // Tokens are missing in between. Delivering on would leave a hole in the caller's answer,
-        // so the stream is asked for again from the token that is wanted.
+        // Tokens are missing. Delivering these would leave a gap in the caller's response, so the
+        // stream is resumed from the next undelivered token.
         recover(now, out);
         return;
     }
--- a/libs/relay/src/machinerecovery.cpp
+++ b/libs/relay/src/machinerecovery.cpp
@@ -37,8 +37,8 @@
 
 void RequestMachine::recoverOnce(TimePoint now, Actions &out)
 {
-    // A second sending could run the call twice: the first may have been taken and only its
-    // answer lost. So it is sent again only when not a byte of it left this process.
+    // The endpoint may have executed the call and only the response was lost, so resending could
+    // execute it twice. It is resent only when no byte of it was sent.
     if (attemptMayRun_) {
         refuse(responseForwarded_ ? RefusalCause::ResponseInterrupted
                                   : RefusalCause::ConnectionLost,
@@ -68,8 +68,8 @@
 
 void RequestMachine::recoverResumeOnly(TimePoint now, Actions &out)
 {
-    // One lost connection proves nothing about the engine: something between the ends may have
-    // cut it. That a new one fails too before the engine accepted does.
+    // A single lost connection may be a network fault. The engine counts as failed when a resume
+    // on a new connection fails before the engine accepts it.
     const bool failedAgain = probing_ && !accepted_;
     if (failedAgain || probeLimitReached()) {
         abandonEngine(now, out);
@@ -121,7 +121,7 @@
     earlierAttemptMayRun_ |= attemptMayRun_;
     attemptMayRun_ = false;
     if (streams() && nextOffset_ >= spec_.maxTokens_) {
-        finish(out); // Only the end of the stream was lost, not a token.
+        finish(out); // Only the end of the stream was lost; all tokens were delivered.
         return;
     }
     if (attempts_ >= limits_.maxAttempts_) {
@@ -129,16 +129,17 @@
                out);
         return;
     }
-    // The budget keeps retries from feeding an overload. A first move that cost no endpoint any
-    // work cannot do that, and to give up a begun answer would waste more than to go on.
+    // The retry budget keeps retries from amplifying an overload. A first retry after an attempt
+    // that no endpoint started adds no load, and refusing a partly delivered response would waste
+    // more work than continuing it, so neither counts against the budget.
     const bool firstFreeRetry = !costly && freeRetries_++ == 0;
     choose(!hasDeliveredTokens() && !firstFreeRetry, out);
 }
 
 void RequestMachine::handle(const CallerGone &event, TimePoint /*now*/, Actions &out)
 {
-    // A call that must not be repeated goes on without its caller, who will ask for the outcome
-    // by its key; to cut it would leave the outcome unknown.
+    // A non-idempotent call continues without its caller, which can look up the outcome by its
+    // idempotency key. Aborting it would leave the outcome unknown.
     if (spec_.recovery_ == Recovery::Once && attemptMayRun_) {
         return;
     }
@@ -203,8 +204,8 @@
 
 bool RequestMachine::isStale(ConnectionNumber connection)
 {
-    // An old connection can still speak after its stream went on elsewhere: its tokens would be
-    // delivered twice, its end would cut the answer. The number tells it from the current one.
+    // An old connection can still deliver data after its stream moved to a new one: its tokens
+    // would be delivered twice, and its end would truncate the response.
     const bool stale = connection != connection_;
     staleEvents_ += stale ? 1 : 0;
     return stale;
@@ -227,7 +228,7 @@
 
 TimePoint RequestMachine::firstTokenDeadline(TimePoint now) const noexcept
 {
-    // Twice the estimate: a probe that is not needed costs the engine little, but not nothing.
+    // Twice the estimate, because an unnecessary probe costs the engine some work.
     const Duration wait = std::max(firstToken_ - now, Duration::zero());
     return now + wait * 2 + limits_.inactivityTimeout_;
 }
--- a/libs/relay/src/modelcall.cpp
+++ b/libs/relay/src/modelcall.cpp
@@ -18,7 +18,7 @@
     spec.request_ = info.id_;
     spec.recovery_ = task.recovery_;
     spec.deadline_ = info.deadline_;
-    if (!info.deadlineNamed_) {
+    if (!info.hasCallerDeadline_) {
         spec.deadlineExtension_ = millis(settings.requestDeadlineMillis_);
     }
     spec.maxTokens_ = task.request_.maxTokens_;
@@ -45,7 +45,7 @@
     return format;
 }
 
-/** Statuses that another engine would give too: the request itself is at fault. */
+/** Whether the request itself is at fault, so that every engine would respond with this status. */
 bool isRequestFault(int status)
 {
     constexpr std::array<int, 4> RetryableStatuses {404, 408, 425, 429};
@@ -61,15 +61,16 @@
     : CallDriver(context, caller, info, specFor(info, task, context.settings_))
     , task_(std::move(task))
     , format_(formatFor(info_, task_))
-    , keyed_(context.claims_, task_.key_, info_.id_)
-    , text_(task_.request_.resumeText_)
+    , keyedCall_(context.claims_, task_.key_, info_.id_)
+    , deliveredText_(task_.request_.resumeText_)
 {
     format_.headers_ = responseHeaders();
     response_ =
         task_.request_.stream_ ? makeStreamedResponse(format_) : makeBufferedResponse(format_);
     promptTokens_ = routing::estimateTokens(task_.request_.promptText_);
     prefixHashes_ = routing::prefixHashes(task_.request_.promptText_, PrefixBlockTokens);
-    expectedOutput_ = context_.demand_.expectedOutput(task_.routed_, task_.request_.maxTokens_);
+    expectedOutput_ =
+        context_.demand_.expectedOutput(task_.routedModel_, task_.request_.maxTokens_);
 }
 
 ModelCall::~ModelCall()
@@ -82,24 +83,25 @@
 
 void ModelCall::serve()
 {
-    if (keyed_.isLookupOnly()) {
+    if (keyedCall_.isLookupOnly()) {
         claimKey();
         return;
     }
     if (task_.resumeAtEngine_) {
         recordEvent("request.accepted",
                     "rule=resume-token endpoint=" + task_.resume_->location_.endpoint_.value());
-        response_->resumeToken(serializeResumeToken(*task_.resume_, context_.settings_.peerKey_));
+        response_->setResumeToken(
+            serializeResumeToken(*task_.resume_, context_.settings_.peerKey_));
         run();
         return;
     }
-    context_.demand_.onRequest(task_.routed_, promptTokens_, expectedOutput_);
+    context_.demand_.onRequest(task_.routedModel_, promptTokens_, expectedOutput_);
     if (!admit()) {
         return;
     }
     if (claimKey()) {
         context_.admission_.firstAttempt();
-        admitted();
+        pushAdmitted();
         run();
     }
 }
@@ -111,7 +113,7 @@
     const std::int64_t decode = expectedOutput_ * info_.view_->fleet().policy_.interTokenMillis_;
     admission::Offer offer;
     offer.account_ = info_.account_.id_;
-    offer.model_ = task_.routed_;
+    offer.model_ = task_.routedModel_;
     offer.tokens_ = promptTokens_ + expectedOutput_;
     offer.priority_ = info_.account_.priority_;
     offer.deadline_ = info_.deadline_;
@@ -121,8 +123,8 @@
 
 bool ModelCall::admit()
 {
-    context_.updateAdmissionCapacity(task_.routed_);
-    caller_.callerSocket(); // Found here, not under admission's lock.
+    context_.updateAdmissionCapacity(task_.routedModel_);
+    caller_.callerSocket(); // Resolved here, since admit() calls callerGone() with its lock held.
     const auto decision =
         context_.admission_.admit(offer(), [this] { return caller_.callerGone(); });
     if (!decision) {
@@ -136,13 +138,13 @@
     }
     ticket_ = decision->ticket_;
     recordEvent("request.accepted", "account=" + info_.account_.id_.value() + " model="
-                                        + task_.routed_.value() + " " + decision->details_);
+                                        + task_.routedModel_.value() + " " + decision->details_);
     return true;
 }
 
 bool ModelCall::claimKey()
 {
-    const std::optional<DuplicateResponse> duplicate = keyed_.begin(info_.deadline_);
+    const std::optional<DuplicateResponse> duplicate = keyedCall_.begin(info_.deadline_);
     if (duplicate) {
         respondToDuplicate(*duplicate);
     }
@@ -151,7 +153,7 @@
 
 void ModelCall::respondToDuplicate(const DuplicateResponse &duplicate)
 {
-    recordOutcome(CallOutcome::Repeat,
+    recordOutcome(CallOutcome::Duplicate,
                   "verdict=" + std::string(nameOf(KeyDecisionNames, duplicate.keyDecision_)));
     if (duplicate.refusal_) {
         respondRefusal(*duplicate.refusal_);
@@ -159,7 +161,7 @@
     }
     ResponseFormat format = format_;
     format.headers_.push_back({"Idempotent-Replayed", "true"});
-    if (!duplicate.stored_.whole_) {
+    if (!duplicate.stored_.hasBody_) {
         format.headers_.push_back({"X-Stored-Body", "omitted"});
     }
     respondStored(caller_, format, task_.request_.stream_, duplicate);
@@ -171,7 +173,7 @@
 {
     const std::int64_t delivered = machine_.delivered();
     routing::RouteQuery query;
-    query.model_ = task_.routed_;
+    query.model_ = task_.routedModel_;
     query.prefixHashes_ = prefixHashes_;
     query.promptTokens_ = promptTokens_ + delivered;
     query.outputTokens_ = std::max<std::int64_t>(expectedOutput_ - delivered, 1);
@@ -187,7 +189,7 @@
     request.headers_ = {{"Content-Type", "application/json"},
                         {"X-Request-Id", attempt.value()},
                         {"X-Priority", std::to_string(info_.account_.priority_)}};
-    if (info_.deadlineNamed_) {
+    if (info_.hasCallerDeadline_) {
         const std::int64_t left = millisUntil(info_.deadline_, BootClock::now());
         request.headers_.push_back({"X-Request-Deadline-Ms", std::to_string(wallMillis() + left)});
     }
@@ -197,20 +199,20 @@
 
 net::Request ModelCall::requestFor(const SendRequest &action)
 {
-    events_ = SseReader();
+    sseReader_ = SseReader();
     AttemptState state;
-    state.deliveredText_ = text_;
+    state.deliveredText_ = deliveredText_;
     state.deliveredTokens_ = action.base_;
     if (action.afterPrefill_) {
         state.kvTransfer_ = kvTransfer_;
     }
-    response_->resumeToken(resumeToken());
+    response_->setResumeToken(currentResumeToken());
     return engineRequest(action.attempt_, engineBody(task_.request_, state));
 }
 
 net::Request ModelCall::resumeRequestFor(const ResumeStream &action)
 {
-    events_ = SseReader();
+    sseReader_ = SseReader();
     net::Request request;
     request.path_ =
         "/v1/streams/" + action.attempt_.value() + "?offset=" + std::to_string(action.offset_);
@@ -220,7 +222,7 @@
 net::Request ModelCall::prefillRequestFor(const Prefill &action)
 {
     prefillBody_.clear();
-    return engineRequest(action.attempt_, prefillBody(task_.request_, text_));
+    return engineRequest(action.attempt_, prefillBody(task_.request_, deliveredText_));
 }
 
 void ModelCall::onLost(bool anythingSent)
@@ -229,7 +231,7 @@
         push(PrefillFinished {connection_,
                               anythingSent ? PrefillStatus::Failed : PrefillStatus::NotSent});
     } else if (!finishReason_.empty()) {
-        push(ResponseEnded {connection_}); // Only the mark of the end was lost.
+        push(ResponseEnded {connection_}); // Only the [DONE] event was lost.
     } else {
         push(ConnectionLost {connection_, anythingSent});
     }
@@ -284,10 +286,10 @@
         return;
     }
     const ConnectionNumber connection = connection_;
-    bool parsed = events_.append(bytes);
-    while (parsed && connection == connection_ && !machine_.finished() && events_.hasEvent()) {
+    bool parsed = sseReader_.append(bytes);
+    while (parsed && connection == connection_ && !machine_.finished() && sseReader_.hasEvent()) {
         std::optional<EngineEvent> event =
-            parseEngineEvent(task_.request_.api_, events_.takeEvent());
+            parseEngineEvent(task_.request_.api_, sseReader_.takeEvent());
         parsed = event && event->kind_ != EngineEventKind::Failed;
         if (parsed) {
             onEvent(std::move(*event));
@@ -316,9 +318,9 @@
         return;
     }
     const ConnectionNumber connection = connection_;
-    current_ = &event;
+    currentEvent_ = &event;
     feed(TokensReceived {connection, event.offset_, event.count_});
-    current_ = nullptr;
+    currentEvent_ = nullptr;
     if (connection == connection_ && !event.finishReason_.empty()) {
         finishReason_ = event.finishReason_;
     }
@@ -327,7 +329,7 @@
 void ModelCall::onEnd()
 {
     if (connectionUse_ != ConnectionUse::Prefill) {
-        onLost(true); // The end of the answer without its [DONE]: the engine stopped in between.
+        onLost(true); // The response ended without [DONE]: the engine stopped midway.
         return;
     }
     const json answer = json::parse(prefillBody_, nullptr, false);
@@ -341,7 +343,7 @@
     const bool first = !usage_;
     usage_ = usage;
     if (first && usage.cachedTokens_ > 0) {
-        context_.demand_.onCacheHit(task_.routed_, usage.cachedTokens_);
+        context_.demand_.onCacheHit(task_.routedModel_, usage.cachedTokens_);
     }
     if (usage.cachedTokens_ >= 0) {
         context_.router_.firstToken(machine_.streamLocation().attempt_, usage.cachedTokens_);
--- a/libs/relay/src/modelcall.h
+++ b/libs/relay/src/modelcall.h
@@ -1,5 +1,5 @@
 /**
- * One call to a model: admission, attempts at engines, and the caller's answer.
+ * One call to a model: admission, attempts on engines, and the caller's response.
  */
 #pragma once
 
@@ -16,14 +16,15 @@
 
 namespace almondridge::relay {
 
-/** What a call to a model is about. */
+/** Parameters of a call to a model. */
 struct ModelTask
 {
     ModelRequest request_;
-    ModelId routed_; ///< The model whose engines serve the name in the request.
+    ModelId routedModel_; ///< The model that serves the requested name, which may be an adapter's.
     std::optional<ResumeToken> resume_ {};
     std::int64_t resumeOffset_ = 0;
-    bool resumeAtEngine_ = false; ///< The token's engine can have all that follows resumeOffset_.
+    bool resumeAtEngine_ =
+        false; ///< The stream of resume_ covers all tokens from resumeOffset_ on.
     Recovery recovery_ = Recovery::Stream;
     std::optional<IdempotencyKey> key_ {};
 };
@@ -33,7 +34,7 @@
 public:
     ModelCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
               ModelTask task);
-    /** Gives the place in admission back, whatever ended the call. */
+    /** Releases the admission ticket. */
     ~ModelCall() override;
     ModelCall(const ModelCall &) = delete;
     ModelCall &operator=(const ModelCall &) = delete;
@@ -67,27 +68,27 @@
     void onTokenTime(std::int64_t count);
     void respondEngineRefusal();
     ResponseEnd responseEnd() const;
-    std::string resumeToken() const;
+    std::string currentResumeToken() const;
     net::Request engineRequest(const AttemptId &attempt, std::string body) const;
 
     ModelTask task_;
     ResponseFormat format_;
     std::unique_ptr<ModelResponse> response_;
-    KeyedCall keyed_;
+    KeyedCall keyedCall_;
     admission::Ticket ticket_ = 0;
     std::int64_t promptTokens_ = 0;
     std::int64_t expectedOutput_ = 0;
     std::vector<std::uint64_t> prefixHashes_;
 
-    SseReader events_;
-    EngineEvent *current_ = nullptr; ///< The event that Deliver is about.
-    std::string text_;               ///< Delivered so far.
+    SseReader sseReader_;
+    EngineEvent *currentEvent_ = nullptr; ///< The event whose tokens Deliver refers to.
+    std::string deliveredText_;           ///< Text delivered so far.
     std::string finishReason_;
     std::optional<TokenUsage> usage_;
     std::string prefillBody_;
     nlohmann::json kvTransfer_;
-    std::optional<net::Response> engineRefusal_; ///< An engine's own refusal.
-    AttemptId firstTokenOf_; ///< The attempt whose first token the router was told of.
+    std::optional<net::Response> engineRefusal_; ///< An engine's final error response.
+    AttemptId firstTokenAttempt_; ///< Last attempt whose first token was reported to the router.
     TimePoint lastToken_ {};
     TimePoint keepAliveAt_ {};
 };
--- a/libs/relay/src/modelcallresponse.cpp
+++ b/libs/relay/src/modelcallresponse.cpp
@@ -7,8 +7,8 @@
 namespace almondridge::relay {
 void ModelCall::deliver(const Deliver &action)
 {
-    text_ += current_->text_;
-    response_->token(*current_, action.offset_);
+    deliveredText_ += currentEvent_->text_;
+    response_->onTokens(*currentEvent_, action.offset_);
     onTokenTime(action.count_);
 }
 
@@ -17,8 +17,8 @@
     const TimePoint now = BootClock::now();
     context_.metrics_.count("tokens_total", {}, static_cast<std::uint64_t>(count));
     const AttemptId attempt = machine_.streamLocation().attempt_;
-    if (firstTokenOf_ != attempt) {
-        firstTokenOf_ = attempt;
+    if (firstTokenAttempt_ != attempt) {
+        firstTokenAttempt_ = attempt;
         context_.router_.firstToken(attempt, -1);
     }
     if (lastToken_ == TimePoint()) {
@@ -31,8 +31,8 @@
 
 void ModelCall::keepAlive()
 {
-    // A caller that hears nothing takes its connection for lost and comes again, which would
-    // cancel the stream that is being saved here. Said seldom; a token counts as said.
+    // Without data the caller would assume a lost connection and reconnect, which would cancel the
+    // stream that is being recovered. A token counts as a keep-alive.
     const Duration interval = millis(context_.settings_.interTokenTimeoutMillis_ * 2);
     const TimePoint now = BootClock::now();
     if (now < std::max(keepAliveAt_, lastToken_ + interval)) {
@@ -44,7 +44,7 @@
     }
 }
 
-std::string ModelCall::resumeToken() const
+std::string ModelCall::currentResumeToken() const
 {
     ResumeToken token;
     token.location_ = machine_.streamLocation();
@@ -62,9 +62,9 @@
 ResponseEnd ModelCall::responseEnd() const
 {
     ResponseEnd end;
-    end.text_ = text_;
+    end.text_ = deliveredText_;
     end.finishReason_ = finishReason_.empty() ? "length" : finishReason_;
-    // A continuing engine counts the delivered tokens as its prompt.
+    // An engine that continues a stream counts the delivered tokens as part of its prompt.
     const std::int64_t base = machine_.streamLocation().base_;
     end.usage_ = usage_.value_or(TokenUsage {promptTokens_ + base, 0, -1});
     end.usage_.promptTokens_ -= base;
@@ -74,7 +74,7 @@
 
 void ModelCall::forwardResponse()
 {
-    // A final answer of an engine was read whole with its head; finish() sends it.
+    // kindOf() already read an engine's final error response; finish() sends it.
 }
 
 void ModelCall::finish()
@@ -85,10 +85,10 @@
     }
     const ResponseEnd end = responseEnd();
     const bool written = response_->finish(caller_, end);
-    keyed_.end(200, {"application/json", completeBody(format_, end), true});
-    context_.demand_.onCompleted(task_.routed_, expectedOutput_, machine_.delivered(),
+    keyedCall_.end(200, {"application/json", completeBody(format_, end), true});
+    context_.demand_.onCompleted(task_.routedModel_, expectedOutput_, machine_.delivered(),
                                  task_.request_.maxTokens_);
-    recordOutcome(written ? CallOutcome::Whole : CallOutcome::Abandoned,
+    recordOutcome(written ? CallOutcome::Completed : CallOutcome::Abandoned,
                   "why=" + end.finishReason_ + " tokens=" + std::to_string(machine_.delivered()));
 }
 
@@ -102,7 +102,7 @@
     refusal.remedy_ = "change the request";
     refusal.outcome_ = Outcome::Unknown;
     respondRefusal(refusal);
-    keyed_.end(StoredUnknown, {});
+    keyedCall_.end(StoredUnknown, {});
     recordOutcome(CallOutcome::Unknown, "why=engine-status-" + std::to_string(refusal.status_));
 }
 
@@ -112,14 +112,14 @@
         respondRefusal(refusal);
     }
     const bool notRun = refusal.outcome_ == Outcome::NotRun;
-    keyed_.end(notRun ? StoredNotRun : StoredUnknown, {});
+    keyedCall_.end(notRun ? StoredNotRun : StoredUnknown, {});
     recordOutcome(notRun ? CallOutcome::NotRun : CallOutcome::Unknown,
                   "why=" + refusal.code_ + " tokens=" + std::to_string(machine_.delivered()));
 }
 
 void ModelCall::abandon()
 {
-    keyed_.end(machine_.mayHaveRun() ? StoredUnknown : StoredNotRun, {});
+    keyedCall_.end(machine_.mayHaveRun() ? StoredUnknown : StoredNotRun, {});
     recordOutcome(CallOutcome::Abandoned,
                   "why=caller-gone tokens=" + std::to_string(machine_.delivered()));
 }
--- a/libs/relay/src/modelrequest.cpp
+++ b/libs/relay/src/modelrequest.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::int64_t DefaultMaxTokens = 16;
 constexpr std::int64_t MaxTokensLimit = 1 << 20;
-/** Deeper bodies are refused: writing JSON again recurses, and must not exhaust the stack. */
+/** Deeper bodies are refused, because serializing JSON recurses and could exhaust the stack. */
 constexpr int MaxDepth = 64;
 constexpr std::size_t MaxShownValueBytes = 40;
 
@@ -25,7 +25,7 @@
     return text;
 }
 
-/** Reads fields of a body and collects what is wrong with them. */
+/** Reads the fields of a body and collects their errors. */
 class BodyReader
 {
 public:
@@ -92,7 +92,7 @@
     std::vector<FieldError> errors_;
 };
 
-/** Parses text, refusing what is nested too deep. Discarded when it is not such JSON. */
+/** Parses JSON up to MaxDepth. Returns a discarded value for invalid or deeper text. */
 json parseBounded(std::string_view text)
 {
     bool tooDeep = false;
@@ -104,7 +104,8 @@
     return tooDeep ? json(json::value_t::discarded) : body;
 }
 
-/** A message's text: a string, or the text parts of a list joined by one space. */
+/** Appends a message's text: a string, or a list of text parts joined by spaces. False if invalid.
+ */
 bool appendContent(const json &content, std::string &text)
 {
     if (content.is_string()) {
@@ -142,7 +143,7 @@
     return text;
 }
 
-/** What would make the answer not one text that can be resumed by offsets. */
+/** Rejects options whose response is not a single text that can be resumed by offset. */
 void rejectUnsupported(BodyReader &reader, bool stream)
 {
     for (const char *name : {"n", "best_of"}) {
@@ -197,7 +198,7 @@
     return newName > 0 ? newName : oldName;
 }
 
-/** The message list with delivered text as the beginning of the assistant's answer. */
+/** Adds the delivered text to the messages as the beginning of the assistant's response. */
 void continueChat(json &body, std::string_view delivered)
 {
     json &messages = body["messages"];
--- a/libs/relay/src/modelrequest.h
+++ b/libs/relay/src/modelrequest.h
@@ -1,5 +1,5 @@
 /**
- * A caller's request to a model: reading, checking, and writing it for an engine.
+ * A caller's request to a model: parsing, validation, and the body sent to an engine.
  */
 #pragma once
 
@@ -13,6 +13,7 @@
 
 namespace almondridge::relay {
 
+/** The completion API that a request uses. */
 enum class Api { Completions, Chat };
 
 inline constexpr std::array<EnumName<Api>, 2> ApiNames {{
@@ -20,35 +21,36 @@
     {Api::Chat, "chat"},
 }};
 
-/** The path of the calls, the same towards callers and engines. */
+/** The request path, the same for callers and engines. */
 std::string_view pathOf(Api api) noexcept;
 
+/** A validated request to a model. */
 struct ModelRequest
 {
     Api api_ = Api::Completions;
     ModelId model_;
-    std::string promptText_; ///< Of a chat: the messages' texts joined by one space.
+    std::string promptText_; ///< For a chat, the messages' texts joined by spaces.
     std::int64_t maxTokens_ = 0;
     bool stream_ = false;
     bool includeUsage_ = false;
-    std::string resumeText_; ///< Delivered before; the caller goes on from there.
-    nlohmann::json body_;    ///< As sent, but for resume_text.
+    std::string resumeText_; ///< Text that the caller received before it resumed.
+    nlohmann::json body_;    ///< The JSON body without resume_text.
 };
 
-/** InvalidInput with every wrong field. */
+/** Parses and validates a body. InvalidInput lists every invalid field. */
 Result<ModelRequest> parseModelRequest(Api api, std::string_view body);
 
-/** What one sending to an engine adds to the request. */
+/** State of earlier attempts that an attempt adds to the request. */
 struct AttemptState
 {
     std::string_view deliveredText_;
     std::int64_t deliveredTokens_ = 0;
-    nlohmann::json kvTransfer_ {}; ///< From a prefill engine; null: none.
+    nlohmann::json kvTransfer_ {}; ///< KV transfer parameters of a prefill engine, or null.
 };
 
-/** The body for an engine: always streamed and with usage, so that it can be resumed. */
+/** The body for an engine; always requests a stream with usage, so that it can be resumed. */
 std::string engineBody(const ModelRequest &request, const AttemptState &state);
-/** The body for an engine that only prefills and hands the KV cache over. */
+/** The body for an engine that only prefills and transfers its KV cache. */
 std::string prefillBody(const ModelRequest &request, std::string_view deliveredText);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/modelresponse.cpp
+++ b/libs/relay/src/modelresponse.cpp
@@ -35,7 +35,7 @@
     return body;
 }
 
-/** The choices of an event that no engine sent, of which only the finish reason matters. */
+/** The choices of a generated event that carries only a finish reason. */
 json finishChoices(const ResponseFormat &format, const std::string &reason)
 {
     json choice = {{"index", 0}, {"finish_reason", reason}};
@@ -47,7 +47,7 @@
     return json::array({std::move(choice)});
 }
 
-/** The fields that all events of an answer share, as text: it is sent with each token. */
+/** The JSON fields shared by all events, serialized once because every token repeats them. */
 std::string eventHead(const ResponseFormat &format)
 {
     const json fields = {{"id", format.id_},
@@ -59,7 +59,7 @@
     return text;
 }
 
-/** A continuing engine names the role again with its first token; callers have it. */
+/** Removes the role, which a continuing engine repeats with its first token. */
 void dropRole(json &body)
 {
     json &choice = body["choices"].front();
@@ -76,23 +76,23 @@
         , head_(eventHead(format_))
     { }
 
-    void token(EngineEvent &event, std::int64_t offset) override
+    void onTokens(EngineEvent &event, std::int64_t offset) override
     {
         if (tokenSeen_) {
             dropRole(event.body_);
         }
         tokenSeen_ = true;
         finishSent_ |= !event.finishReason_.empty();
-        pending_ += head_;
-        pending_ += ",\"offset\":";
-        pending_ += std::to_string(offset);
+        buffer_ += head_;
+        buffer_ += ",\"offset\":";
+        buffer_ += std::to_string(offset);
         appendChoices(event.body_["choices"]);
     }
 
     void onOtherEvent(EngineEvent &event) override
     {
-        // An engine that continues or resumes begins with the role again, which the caller has;
-        // usage is told once, at the end and for the whole answer.
+        // Engines repeat the role when they continue or resume a stream; the caller gets it once.
+        // Usage is sent once, at the end, for the whole response.
         const bool finish = !event.finishReason_.empty() && !std::exchange(finishSent_, true);
         const bool role = event.finishReason_.empty() && !tokenSeen_ && !roleSent_
                           && event.body_.contains("choices") && !event.body_["choices"].empty();
@@ -100,66 +100,66 @@
             roleSent_ = true;
         }
         if (finish || role) {
-            pending_ += head_;
+            buffer_ += head_;
             appendChoices(event.body_["choices"]);
         }
     }
 
-    void resumeToken(std::string token) override { resumeToken_ = std::move(token); }
+    void setResumeToken(std::string token) override { resumeToken_ = std::move(token); }
 
     bool flush(net::ServerExchange &caller) override
     {
-        if (pending_.empty()) {
+        if (buffer_.empty()) {
             return true;
         }
-        return begin(caller) && caller.writeChunk(std::exchange(pending_, {}));
+        return begin(caller) && caller.writeChunk(std::exchange(buffer_, {}));
     }
 
     bool keepAlive(net::ServerExchange &caller) override
     {
-        return !begun_ || caller.writeChunk(": waiting for the engine\n\n");
+        return !started_ || caller.writeChunk(": waiting for the engine\n\n");
     }
 
     bool finish(net::ServerExchange &caller, const ResponseEnd &end) override
     {
         if (!finishSent_) {
-            pending_ += head_;
+            buffer_ += head_;
             appendChoices(finishChoices(format_, end.finishReason_));
         }
         if (format_.includeUsage_) {
-            pending_ += head_ + ",\"usage\":" + usageJson(end.usage_).dump();
+            buffer_ += head_ + ",\"usage\":" + usageJson(end.usage_).dump();
             appendChoices(json::array());
         }
-        pending_ += "data: [DONE]\n\n";
+        buffer_ += "data: [DONE]\n\n";
         return flush(caller) && caller.endStream();
     }
 
     bool refuse(net::ServerExchange &caller, const Refusal &refusal) override
     {
-        if (!begun_) {
+        if (!started_) {
             return false;
         }
-        pending_ += "data: " + errorBody(refusal, BootClock::now()) + "\n\n";
+        buffer_ += "data: " + errorBody(refusal, BootClock::now()) + "\n\n";
         flush(caller);
         caller.endStream();
         return true;
     }
 
 private:
-    /** Ends an event that was begun with its head. */
+    /** Completes an event whose head is in the buffer. */
     void appendChoices(const json &choices)
     {
-        if (begun_ && !resumeToken_.empty()) {
-            pending_ += ",\"resume_token\":\"" + std::exchange(resumeToken_, {}) + '"';
+        if (started_ && !resumeToken_.empty()) {
+            buffer_ += ",\"resume_token\":\"" + std::exchange(resumeToken_, {}) + '"';
         }
-        pending_ += ",\"choices\":";
-        pending_ += choices.dump();
-        pending_ += "}\n\n";
+        buffer_ += ",\"choices\":";
+        buffer_ += choices.dump();
+        buffer_ += "}\n\n";
     }
 
     bool begin(net::ServerExchange &caller)
     {
-        if (std::exchange(begun_, true)) {
+        if (std::exchange(started_, true)) {
             return true;
         }
         net::Headers headers = format_.headers_;
@@ -172,9 +172,9 @@
 
     ResponseFormat format_;
     std::string head_;
-    std::string pending_;
+    std::string buffer_;
     std::string resumeToken_;
-    bool begun_ = false;
+    bool started_ = false;
     bool tokenSeen_ = false;
     bool roleSent_ = false;
     bool finishSent_ = false;
@@ -187,9 +187,9 @@
         : format_(std::move(format))
     { }
 
-    void token(EngineEvent & /*event*/, std::int64_t /*offset*/) override { }
+    void onTokens(EngineEvent & /*event*/, std::int64_t /*offset*/) override { }
     void onOtherEvent(EngineEvent & /*event*/) override { }
-    void resumeToken(std::string /*token*/) override { }
+    void setResumeToken(std::string /*token*/) override { }
     bool flush(net::ServerExchange & /*caller*/) override { return true; }
     bool keepAlive(net::ServerExchange & /*caller*/) override { return true; }
 
@@ -247,7 +247,7 @@
     EngineEvent event;
     event.body_["choices"] = json::array({std::move(replayedChoice)});
     StreamedResponse answer(format);
-    answer.token(event, 0);
+    answer.onTokens(event, 0);
     answer.finish(caller, {"", choice.value("finish_reason", "stop"), {}});
 }
 
--- a/libs/relay/src/modelresponse.h
+++ b/libs/relay/src/modelresponse.h
@@ -1,5 +1,5 @@
 /**
- * The two forms in which a caller gets a model's answer: as a stream of events, or whole.
+ * The two formats of a model's response to its caller: a stream of events, or one complete body.
  */
 #pragma once
 
@@ -14,18 +14,18 @@
 
 namespace almondridge::relay {
 
-/** What every event and body of one answer repeats. */
+/** The fields repeated in every event and body of one response. */
 struct ResponseFormat
 {
     Api api_ = Api::Completions;
     std::string id_;
-    std::string model_; ///< As the caller named it.
-    std::int64_t createdSeconds_ = 0;
+    std::string model_;               ///< The name in the request.
+    std::int64_t createdSeconds_ = 0; ///< Wall clock, seconds since the epoch.
     bool includeUsage_ = false;
     net::Headers headers_ {};
 };
 
-/** How an answer ends. */
+/** The text and final fields of a complete response. */
 struct ResponseEnd
 {
     std::string text_;
@@ -33,34 +33,35 @@
     TokenUsage usage_;
 };
 
-/** The body of a whole answer. */
+/** The JSON body of a complete response. */
 std::string completeBody(const ResponseFormat &format, const ResponseEnd &end);
 
+/** Writes the response of one model call. */
 class ModelResponse
 {
 public:
     virtual ~ModelResponse() = default;
 
-    /** Takes an event whose tokens are the next ones; offset is in the whole answer. */
-    virtual void token(EngineEvent &event, std::int64_t offset) = 0;
-    /** Takes an event without tokens. */
+    /** Buffers an event with the next tokens; offset counts from the start of the response. */
+    virtual void onTokens(EngineEvent &event, std::int64_t offset) = 0;
+    /** Buffers an event without tokens, if the caller needs it. */
     virtual void onOtherEvent(EngineEvent &event) = 0;
     /**
-     * Callers of a stream get it in the headers or, once begun, with the next event; the one
-     * before is then of no use any more.
+     * Sets the resume token to send: in the headers or, once the stream has started, with the next
+     * event. It replaces the previous token.
      */
-    virtual void resumeToken(std::string token) = 0;
-    /** Sends what was taken, in one write. False when the caller cannot be written to. */
+    virtual void setResumeToken(std::string token) = 0;
+    /** Sends the buffered events in one write. False when writing to the caller fails. */
     virtual bool flush(net::ServerExchange &caller) = 0;
-    /** Says on a begun stream that there is nothing yet. False when the caller is gone. */
+    /** Sends a comment on a started stream. False when writing to the caller fails. */
     virtual bool keepAlive(net::ServerExchange &caller) = 0;
-    /** Sends what is left, and the end. */
+    /** Sends the rest and ends the response. False when writing to the caller fails. */
     virtual bool finish(net::ServerExchange &caller, const ResponseEnd &end) = 0;
-    /** Ends a begun stream by an error. False when nothing was begun. */
+    /** Ends a started stream with an error event. False when nothing has been sent. */
     virtual bool refuse(net::ServerExchange &caller, const Refusal &refusal) = 0;
 };
 
-/** Answers with a stored whole body: as it is, or as a stream of one event. */
+/** Responds with a stored body: unchanged, or as a stream with one token event. */
 void respondStored(net::ServerExchange &caller, const ResponseFormat &format, bool stream,
                    const DuplicateResponse &duplicate);
 
--- a/libs/relay/src/refusal.cpp
+++ b/libs/relay/src/refusal.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t MillisPerSecond = 1'000;
 constexpr int FirstServerStatus = 500;
 
-/** One row of a table that turns a reason into an answer. */
+/** Maps a reason to its error response. */
 template <typename Reason>
 struct RefusalRow
 {
@@ -116,7 +116,7 @@
 {
     Refusal refusal;
     refusal.code_ = "internal";
-    // A fault of our own may have come after the request had left.
+    // An internal error may occur after the request was sent to an endpoint.
     refusal.outcome_ = Outcome::Unknown;
     refusal.message_ = error.message_;
     refusal.remedy_ = error.remedy_;
@@ -150,7 +150,7 @@
     if (refusal.retryAt_) {
         error["retry_after_ms"] = millisToWait(refusal, now);
     }
-    // Messages may quote a caller's bytes, which need not be UTF-8.
+    // Messages may quote bytes of the request that are not valid UTF-8.
     return json {{"error", std::move(error)}}.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/libs/relay/src/refusal.h
+++ b/libs/relay/src/refusal.h
@@ -1,6 +1,5 @@
 /**
- * What a caller is told when its request is not answered: status, outcome, remedy, and when to
- * come back.
+ * Error responses to callers: status, outcome, remedy, and when to retry.
  */
 #pragma once
 
@@ -14,6 +13,7 @@
 
 namespace almondridge::relay {
 
+/** An error response. */
 struct Refusal
 {
     int status_ = 500;
@@ -21,20 +21,20 @@
     std::string message_;
     std::string remedy_;
     Outcome outcome_ = Outcome::NotRun;
-    std::optional<TimePoint> retryAt_ {}; ///< Empty: a later try would end the same.
-    std::vector<FieldError> fields_ {};
+    std::optional<TimePoint> retryAt_ {}; ///< Empty: a retry would fail the same way.
+    std::vector<FieldError> fields_ {};   ///< Invalid fields of the request.
 };
 
-/** For what the machine gave up on. */
+/** For a request that the state machine refused. */
 Refusal refusalFor(const Refuse &refuse);
-/** For what admission refused. */
+/** For a request that admission refused. */
 Refusal refusalFor(const admission::Decision &decision);
-/** For a request that could not be read or is wrong: not run. Faults of our own: unknown. */
+/** For an error: NotRun when the request is invalid or incomplete, Unknown for internal errors. */
 Refusal refusalFor(const Error &error);
 
-/** The error body of docs/PROTOCOLS.md. */
+/** The JSON error body described in docs/PROTOCOLS.md. */
 std::string errorBody(const Refusal &refusal, TimePoint now);
-/** X-Outcome, and Retry-After when coming back is worth it. */
+/** X-Outcome, and Retry-After (whole seconds, rounded up) when retryAt_ is set. */
 net::Headers refusalHeaders(const Refusal &refusal, TimePoint now);
 
 } // namespace almondridge::relay
--- a/libs/relay/src/relay.cpp
+++ b/libs/relay/src/relay.cpp
@@ -25,7 +25,7 @@
         : context_(std::move(settings), claims, metrics, timeline, std::move(source))
     { }
 
-    /** Takes a place among the requests in work, or says why there is none. */
+    /** Counts a new active request, or returns the refusal when it is not accepted. */
     std::optional<Refusal> enter();
     void leave();
 
--- a/libs/relay/src/relaycontext.cpp
+++ b/libs/relay/src/relaycontext.cpp
@@ -17,7 +17,7 @@
     return text;
 }
 
-/** The instance's name with what may not stand in a path replaced. */
+/** The instance's name with characters that are not allowed in a path replaced by '_'. */
 std::string pathSafe(const std::string &name)
 {
     std::string safe = name;
@@ -47,8 +47,8 @@
 
 RequestIdGenerator::RequestIdGenerator(const InstanceId &instance)
 {
-    // An instance that was replaced under the same name must not reuse the names of its
-    // predecessor's requests: an engine may still have their streams.
+    // A restarted instance with the same name must not reuse its predecessor's request ids, because
+    // an engine may still hold their streams.
     std::random_device source;
     const std::uint64_t incarnation = (static_cast<std::uint64_t>(source()) << 32U) | source();
     prefix_ = pathSafe(instance.value()) + "-" + hex(incarnation) + "-";
--- a/libs/relay/src/relaycontext.h
+++ b/libs/relay/src/relaycontext.h
@@ -1,5 +1,5 @@
 /**
- * What all requests of one relay share.
+ * State shared by all requests of one relay.
  */
 #pragma once
 
@@ -19,7 +19,7 @@
 
 namespace almondridge::relay {
 
-/** Names for requests, unique over all instances and all lives of one. */
+/** Generates request ids, unique across instances and their restarts. */
 class RequestIdGenerator
 {
 public:
@@ -31,19 +31,21 @@
     std::atomic<std::uint64_t> last_ {0};
 };
 
+/** The shared state. Thread-safe. */
 struct RelayContext
 {
     RelayContext(fleet::Settings settings, KeyClaims &claims, observe::Metrics &metrics,
                  observe::Timeline &timeline, FleetSource source);
 
-    /** The fleet in force, or null. */
+    /** The fleet in force, or null. Applies a new fleet from the source first. */
     std::shared_ptr<const FleetView> view();
-    /** Tells admission what the router knows of the model's engines. */
+    /** Passes the router's capacity estimate for the model to admission. */
     void updateAdmissionCapacity(const ModelId &model);
+    /** Applies a fleet to the router, admission and view(). */
     void setFleet(std::shared_ptr<const fleet::Fleet> fleet);
 
 private:
-    // Before the rest, whose threads use them until they are joined.
+    // Declared first, hence destroyed last: threads of later members use them until joined.
     std::mutex viewMutex_;
     std::shared_ptr<const FleetView> view_;
 
--- a/libs/relay/src/resumetoken.cpp
+++ b/libs/relay/src/resumetoken.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-/** Keeps these proofs apart from the peers', which are made with the same key. */
+/** Separates these signatures from those of peer messages, which use the same key. */
 constexpr std::string_view SigningContext = "almondridge resume token\n";
 
 std::string signatureOf(std::string_view payload, std::string_view sharedKey)
@@ -56,7 +56,7 @@
         || !constantTimeEqual(*signature, signatureOf(*payload, sharedKey))) {
         return invalidToken();
     }
-    // Signed by an instance of ours, so the fields have their types.
+    // The signature shows that an entry instance wrote the fields, so their types are right.
     const json fields = json::parse(*payload);
     ResumeToken token;
     token.location_.endpoint_ = EndpointId(fields.at(0).get<std::string>());
--- a/libs/relay/src/servicecall.cpp
+++ b/libs/relay/src/servicecall.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 /**
- * Answers up to this are held until they are whole, so that an idempotent call whose endpoint
- * dies in the middle is answered by another one unseen by the caller.
+ * Responses up to this size are buffered until complete, so that an idempotent call whose endpoint
+ * fails midway can be retried on another one without the caller noticing.
  */
 constexpr std::size_t MaxBufferedBytes = 262'144;
 
@@ -28,7 +28,7 @@
     return low;
 }
 
-/** Whether a comma-separated list of header names has name. */
+/** Whether a comma-separated list of header names contains name (lower case). */
 bool containsToken(std::string_view list, std::string_view name)
 {
     while (!list.empty()) {
@@ -76,12 +76,12 @@
                          ServiceTask task)
     : CallDriver(context, caller, info, specFor(info, task))
     , task_(std::move(task))
-    , keyed_(context.claims_, task_.key_, info_.id_)
+    , keyedCall_(context.claims_, task_.key_, info_.id_)
 { }
 
 void ServiceCall::serve()
 {
-    if (const std::optional<DuplicateResponse> duplicate = keyed_.begin(info_.deadline_)) {
+    if (const std::optional<DuplicateResponse> duplicate = keyedCall_.begin(info_.deadline_)) {
         respondToDuplicate(*duplicate);
         return;
     }
@@ -89,13 +89,13 @@
                 "service=" + task_.service_.value() + " method=" + task_.method_
                     + " recovery=" + std::string(nameOf(RecoveryNames, task_.recovery_)));
     context_.admission_.firstAttempt();
-    admitted();
+    pushAdmitted();
     run();
 }
 
 void ServiceCall::respondToDuplicate(const DuplicateResponse &duplicate)
 {
-    recordOutcome(CallOutcome::Repeat,
+    recordOutcome(CallOutcome::Duplicate,
                   "verdict=" + std::string(nameOf(KeyDecisionNames, duplicate.keyDecision_)));
     if (duplicate.refusal_) {
         respondRefusal(*duplicate.refusal_);
@@ -103,7 +103,7 @@
     }
     net::Headers headers = responseHeaders();
     headers.push_back({"Idempotent-Replayed", "true"});
-    if (!duplicate.stored_.whole_) {
+    if (!duplicate.stored_.hasBody_) {
         headers.push_back({"X-Stored-Body", "omitted"});
     }
     caller_.respond(duplicate.status_, duplicate.stored_.contentType_, duplicate.stored_.body_,
@@ -140,7 +140,7 @@
 
 void ServiceCall::forwardResponse()
 {
-    // Events come one by one over a long time; held until the end they would be of no use.
+    // Events must reach the caller as they arrive, so event streams are not buffered.
     if (contentType().starts_with("text/event-stream")) {
         startForwarding();
     }
@@ -150,7 +150,7 @@
 {
     forwarding_ = true;
     feed(ResponseForwarded {connection_});
-    // A broken answer can only be told from a whole one by a connection that closes early.
+    // Only an early close of the connection shows the caller that a response is incomplete.
     caller_.closeAfterAnswer();
     const bool written = caller_.beginStream(head_.status_, contentType(), callerHeaders())
                          && (body_.empty() || caller_.writeChunk(body_));
@@ -187,8 +187,9 @@
     } else {
         written = caller_.respond(head_.status_, contentType(), body_, callerHeaders());
     }
-    keyed_.end(head_.status_, {contentType(), forwarding_ ? std::string() : body_, !forwarding_});
-    recordOutcome(written ? CallOutcome::Whole : CallOutcome::Abandoned,
+    keyedCall_.end(head_.status_,
+                   {contentType(), forwarding_ ? std::string() : body_, !forwarding_});
+    recordOutcome(written ? CallOutcome::Completed : CallOutcome::Abandoned,
                   "status=" + std::to_string(head_.status_));
 }
 
@@ -197,7 +198,7 @@
     Refusal refusal = given;
     const bool unknown = refusal.outcome_ == Outcome::Unknown;
     if (unknown && task_.recovery_ == Recovery::Once && !task_.key_) {
-        // Clients come back by themselves after Retry-After; here that could run the call twice.
+        // Clients retry automatically after Retry-After, which could execute the call twice.
         refusal.retryAt_.reset();
         refusal.remedy_ = "find out whether it took effect; next time send an Idempotency-Key, "
                           "with which a repeat is safe";
@@ -206,13 +207,13 @@
         respondRefusal(refusal);
     }
     const bool notRun = refusal.outcome_ == Outcome::NotRun;
-    keyed_.end(notRun ? StoredNotRun : StoredUnknown, {});
+    keyedCall_.end(notRun ? StoredNotRun : StoredUnknown, {});
     recordOutcome(notRun ? CallOutcome::NotRun : CallOutcome::Unknown, "why=" + refusal.code_);
 }
 
 void ServiceCall::abandon()
 {
-    keyed_.end(machine_.mayHaveRun() ? StoredUnknown : StoredNotRun, {});
+    keyedCall_.end(machine_.mayHaveRun() ? StoredUnknown : StoredNotRun, {});
     recordOutcome(CallOutcome::Abandoned, "why=caller-gone");
 }
 
--- a/libs/relay/src/servicecall.h
+++ b/libs/relay/src/servicecall.h
@@ -1,5 +1,5 @@
 /**
- * One call to a plain service: passed to an endpoint as it is, and its answer back.
+ * One call to a service: forwards the request to an endpoint and the response to the caller.
  */
 #pragma once
 
@@ -11,18 +11,19 @@
 
 namespace almondridge::relay {
 
+/** Parameters of a call to a service. */
 struct ServiceTask
 {
     ServiceId service_;
     std::string method_;
-    std::string path_; ///< In the service, with the query.
+    std::string path_; ///< Path below the service's prefix, with the query.
     net::Headers headers_;
     std::string body_;
     Recovery recovery_ = Recovery::Once;
     std::optional<IdempotencyKey> key_ {};
 };
 
-/** Headers without those that are about one connection only, and without those named. */
+/** The headers without hop-by-hop headers and without those in excluded (lower case). */
 net::Headers endToEndHeaders(const net::Headers &headers,
                              std::initializer_list<std::string_view> excluded);
 
@@ -50,10 +51,10 @@
     std::string contentType() const;
 
     ServiceTask task_;
-    KeyedCall keyed_;
+    KeyedCall keyedCall_;
     net::ResponseHead head_;
-    std::string body_;        ///< Of the answer, until it is passed on in pieces.
-    bool forwarding_ = false; ///< The answer goes to the caller in pieces.
+    std::string body_;        ///< Buffered response body, until streaming starts.
+    bool forwarding_ = false; ///< The response is being streamed to the caller.
 };
 
 } // namespace almondridge::relay
--- a/libs/relay/src/ssereader.h
+++ b/libs/relay/src/ssereader.h
@@ -1,5 +1,5 @@
 /**
- * Server-sent events out of a stream of bytes that is cut anywhere.
+ * Incremental parser for server-sent events.
  */
 #pragma once
 
@@ -10,16 +10,16 @@
 
 namespace almondridge::relay {
 
-/** Collects bytes and gives the data of whole events. Holds at most one unfinished event. */
+/** Collects bytes, which may be split anywhere, and returns the data of complete events. */
 class SseReader
 {
 public:
     explicit SseReader(std::size_t maxEventBytes = DefaultMaxEventBytes);
 
-    /** False when an event is longer than the limit: the sender speaks something else. */
+    /** Adds bytes. False when an event exceeds the limit. */
     bool append(std::string_view bytes);
     bool hasEvent() const noexcept { return !events_.empty(); }
-    /** The data of the next whole event; only when hasEvent(). */
+    /** Returns the data of the next complete event. Requires hasEvent(). */
     std::string takeEvent();
 
     static constexpr std::size_t DefaultMaxEventBytes = 262'144;
--- a/libs/relay/src/synchronized.cpp
+++ b/libs/relay/src/synchronized.cpp
@@ -7,11 +7,11 @@
 namespace almondridge::relay {
 namespace {
 
-/** How often a waiting thread looks whether its caller is still there. */
+/** How often a waiting thread checks whether its caller has disconnected. */
 constexpr auto CallerCheckInterval = std::chrono::milliseconds(250);
-/** How often the room for queued requests is looked at when nothing ends meanwhile. */
+/** Longest time between two attempts to release queued requests. */
 constexpr std::int64_t MaxReleasePauseMillis = 50;
-/** The difference in prompt that a rate is taken from. */
+/** Prompt length from which the prefill rate is estimated. */
 constexpr std::int64_t RateSampleTokens = 1'000;
 
 } // namespace
@@ -29,7 +29,7 @@
     if (choice) {
         routing::RouteQuery load = query;
         if (choice->prefill_) {
-            load.promptTokens_ = 0; // Prefilled elsewhere; Prefill dispatches that part.
+            load.promptTokens_ = 0; // The Prefill action dispatches the prompt to another engine.
         }
         router_.onDispatched(attempt, choice->endpoint_, load, now);
     }
--- a/libs/relay/src/synchronized.h
+++ b/libs/relay/src/synchronized.h
@@ -1,5 +1,5 @@
 /**
- * Router and admission for many threads: each under a lock of its own, never both at once.
+ * Thread-safe access to the router and to admission. Each has its own mutex; no thread holds both.
  */
 #pragma once
 
@@ -16,35 +16,38 @@
 
 namespace almondridge::relay {
 
-/** The room that the router sees for a model in this domain. */
+/** Capacity for a model in this failure domain, as the router estimates it. */
 struct Capacity
 {
-    Duration firstTokenWait_ {}; ///< Of an empty prompt.
-    double tokensPerSecond_ = 0; ///< Prefill, of all its engines.
-    double spareShare_ = 0;
+    Duration firstTokenWait_ {}; ///< Estimated time to the first token of an empty prompt.
+    double tokensPerSecond_ = 0; ///< Prefill rate of all the model's engines.
+    double spareShare_ = 0;      ///< From routing::Router::spareShare().
 };
 
+/** A router behind a mutex. Thread-safe. */
 class SynchronizedRouter
 {
 public:
     explicit SynchronizedRouter(routing::Router router);
 
-    /** Chooses and counts the attempt in one step, so that no other request sees it missing. */
+    /** Chooses an endpoint and registers the attempt atomically, so that concurrent choices count
+     * it. */
     std::optional<routing::RouteChoice> dispatch(const AttemptId &attempt,
                                                  const routing::RouteQuery &query);
     void firstToken(const AttemptId &attempt, std::int64_t cachedTokens);
     void finished(const AttemptId &attempt, bool succeeded);
     /**
-     * Takes leave to send to the endpoint, which may have been closed since it was chosen. False:
-     * choose again. Each true is followed by endSend().
+     * Begins a send to the endpoint. Returns false when it was closed after it was chosen; the
+     * caller must then choose again. Each true must be followed by endSend().
      */
     bool beginSend(const EndpointId &endpoint);
     void endSend(const EndpointId &endpoint);
-    /** Waits until nothing is being sent to the endpoint. False at deadline. */
+    /** Waits until no send to the endpoint is in progress. False at deadline. */
     bool waitForSends(const EndpointId &endpoint, TimePoint deadline);
 
-    /** nullopt when no endpoint takes the model's requests. */
+    /** Estimates the capacity; nullopt when no endpoint takes the model's requests. */
     std::optional<Capacity> capacityOf(const ModelId &model, int engines);
+    /** Calls function with the router locked. */
     void with(const std::function<void(routing::Router &)> &function);
 
 private:
@@ -54,9 +57,10 @@
     std::condition_variable sendsFinished_;
 };
 
-/** Feeds admission with the room that the router sees for a model; called without a lock. */
+/** Updates admission with the current capacity for a model; called without a lock held. */
 using CapacitySource = std::function<void(const ModelId &)>;
 
+/** Admission behind a mutex, with a thread that releases queued requests. Thread-safe. */
 class SynchronizedAdmission
 {
 public:
@@ -65,10 +69,11 @@
     SynchronizedAdmission(const SynchronizedAdmission &) = delete;
     SynchronizedAdmission &operator=(const SynchronizedAdmission &) = delete;
 
-    /** Called now and then for each model that has waiting requests. Set before the first offer. */
+    /** Source called regularly for each model with queued requests. Set it before the first offer.
+     */
     void setCapacitySource(CapacitySource source);
 
-    /** Waits in the queue as long as admission says. nullopt: callerGone said so meanwhile. */
+    /** Blocks until admission decides on the offer. nullopt when callerGone returned true. */
     std::optional<admission::Decision> admit(const admission::Offer &offer,
                                              const std::function<bool()> &callerGone);
     void finished(admission::Ticket ticket, std::int64_t tokens);
@@ -78,7 +83,7 @@
     void with(const std::function<void(admission::Admission &)> &function);
 
 private:
-    /** A thread that waits for its ticket's turn. */
+    /** A thread waiting for the decision on its ticket. */
     struct Waiter
     {
         std::condition_variable turn_;
--- a/libs/relay/tests/synchronizedtest.cpp
+++ b/libs/relay/tests/synchronizedtest.cpp
@@ -43,11 +43,12 @@
     });
     BOOST_TEST(!sharedRouter.beginSend(choice->endpoint_));
     BOOST_TEST(!sharedRouter.waitForSends(choice->endpoint_, BootClock::now()));
-    std::atomic<bool> waited = false;
-    std::thread confirming([&] { waited = sharedRouter.waitForSends(choice->endpoint_, soon()); });
+    std::atomic<bool> sendsFinished = false;
+    std::thread confirming(
+        [&] { sendsFinished = sharedRouter.waitForSends(choice->endpoint_, soon()); });
     sharedRouter.endSend(choice->endpoint_);
     confirming.join();
-    BOOST_TEST(waited.load());
+    BOOST_TEST(sendsFinished.load());
     BOOST_TEST(!sharedRouter.dispatch(AttemptId("b"), queryFor("m")).has_value());
 }
 
