--- a/libs/relay/tests/badinputtest.cpp
+++ b/libs/relay/tests/badinputtest.cpp
@@ -62,7 +62,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(BadInput, AuthenticatedRelay)
 
-BOOST_AUTO_TEST_CASE(eachWrongBodyGetsItsOwnRefusalAndNothingRuns)
+BOOST_AUTO_TEST_CASE(invalidBodiesAreRefusedAndNothingRuns)
 {
     struct Row
     {
@@ -112,7 +112,7 @@
     BOOST_TEST(engine_.bodies().empty());
 }
 
-BOOST_AUTO_TEST_CASE(wrongHeadersAndKeysAreRefused)
+BOOST_AUTO_TEST_CASE(invalidHeadersAndKeysAreRefused)
 {
     const std::string body = R"({"model":"m","prompt":"a"})";
     const auto with = [&](net::Headers headers) {
@@ -135,11 +135,9 @@
     BOOST_TEST(relay_.call({"GET", "/v1/models", {}, {}}).status_ == 401);
 }
 
-// A caller that stops in the middle of its body would hold a place for ever, or half a request
-// would run.
-// The caller sends half of what it announced and goes silent, or closes.
-// Cause: taking what came for the whole.
-BOOST_AUTO_TEST_CASE(aHalfSentOrSlowBodyIsRefused)
+// Guards against a slot held for ever, or a truncated request executed, when a caller sends only
+// half of the announced body and then stalls or closes.
+BOOST_AUTO_TEST_CASE(incompleteOrSlowBodyIsRefused)
 {
     fleet::Settings settings = RelayServer::settingsOf("i1");
     settings.callerTimeoutMillis_ = 300;
@@ -180,7 +178,7 @@
     BOOST_TEST(relay.relay_->waitIdle(soon()));
 }
 
-BOOST_AUTO_TEST_CASE(mutatedBodiesAreReadOrRefusedAndWhatIsReadCanBeWritten)
+BOOST_AUTO_TEST_CASE(mutatedBodiesAreParsedOrRefusedAndParsedOnesCanBeSerialized)
 {
     std::mt19937 random(11);
     const std::string seed =
@@ -198,7 +196,7 @@
     BOOST_TEST(read > 100);
 }
 
-BOOST_AUTO_TEST_CASE(mutatedEventsOfAnEngineAreReadOrRefused)
+BOOST_AUTO_TEST_CASE(mutatedEngineEventsAreParsedOrRejected)
 {
     std::mt19937 random(13);
     const std::string seed =
--- a/libs/relay/tests/fakes.cpp
+++ b/libs/relay/tests/fakes.cpp
@@ -188,10 +188,10 @@
     }
 }
 
-void FakeClaims::setLogUnavailable(bool out)
+void FakeClaims::setLogUnavailable(bool unavailable)
 {
     const std::lock_guard lock(mutex_);
-    logUnavailable_ = out;
+    logUnavailable_ = unavailable;
 }
 
 fleet::Settings RelayServer::settingsOf(const std::string &instance)
--- a/libs/relay/tests/fakes.h
+++ b/libs/relay/tests/fakes.h
@@ -1,6 +1,5 @@
 /**
- * Small fakes for the tests of the relay: an engine, a service, idempotency keys, and a relay
- * behind a server.
+ * Fakes for the relay's tests: an engine, a store of idempotency keys, and a relay behind a server.
  */
 #pragma once
 
@@ -26,18 +25,18 @@
     return BootClock::now() + millis(30'000);
 }
 
-/** What an endpoint does wrong with the next requests. */
+/** Faults that a FakeEngine injects into its next requests. */
 struct Fault
 {
-    int disconnectAfter_ = -1;  ///< Tokens; then the connection is cut.
-    int stallAfter_ = -1;       ///< Tokens; then nothing more comes on this connection.
-    bool stallResumed_ = false; ///< Resumed streams say nothing either.
-    bool streamsLost_ = false;  ///< Resumed streams are answered with 404.
+    int disconnectAfter_ = -1;  ///< Tokens after which the connection is closed; -1: never.
+    int stallAfter_ = -1;       ///< Tokens after which the connection stalls; -1: never.
+    bool stallResumed_ = false; ///< Resumed streams stall too.
+    bool streamsLost_ = false;  ///< Resume requests get a 404.
     int status_ = 200;
     std::string errorBody_ = "{}";
 };
 
-/** Says, after a prompt of N words that begins with "a", the words aN aN+1 and so on. */
+/** For a prompt of N words that begins with "a", generates the words aN, aN+1 and so on. */
 class FakeEngine
 {
 public:
@@ -47,7 +46,7 @@
     void setFault(Fault fault);
     /** The bodies of all requests so far. */
     std::vector<json> bodies();
-    /** Waits until so many cancels came; their attempts. */
+    /** Waits for that many cancel requests and returns their attempt ids. */
     std::vector<std::string> cancels(std::size_t atLeast);
 
 private:
@@ -75,7 +74,7 @@
     net::HttpServer server_;
 };
 
-/** Claims in memory, with the log's outages. */
+/** An in-memory store of claims that can simulate an outage of the control log. */
 class FakeClaims : public KeyClaims
 {
 public:
@@ -83,7 +82,7 @@
     ClaimAnswer lookUp(const std::string &key, TimePoint) override;
     void finish(const std::string &key, const RequestId &request, int status,
                 const std::string &body) override;
-    void setLogUnavailable(bool out);
+    void setLogUnavailable(bool unavailable);
 
 private:
     ClaimAnswer find(const std::string &key) const;
@@ -93,7 +92,7 @@
     std::map<std::string, ClaimAnswer> claims_;
 };
 
-/** A relay behind a server, as callers see it. */
+/** A relay behind an HTTP server. */
 class RelayServer
 {
 public:
@@ -114,14 +113,14 @@
     net::HttpServer server_;
 };
 
-/** A fleet of one domain with the model "m", which these engines serve. */
+/** A fleet of one failure domain whose model "m" is served by these engines. */
 fleet::FleetBuilder fleetOf(const std::vector<FakeEngine *> &engines);
 
 /** The data of each event of a streamed body. */
 std::vector<std::string> eventsOf(const std::string &body);
-/** The text that a streamed or whole answer gives; checks that offsets rise one by one. */
+/** The text of a streamed or buffered response; marks offsets that are not consecutive by <gap>. */
 std::string textOf(const net::Response &response);
-/** "a" and 5, 3 give " a5 a6 a7". */
+/** words("a", 5, 3) returns " a5 a6 a7". */
 std::string words(const std::string &first, int from, int count);
 
 } // namespace almondridge::relay::test
--- a/libs/relay/tests/machinetest.cpp
+++ b/libs/relay/tests/machinetest.cpp
@@ -11,7 +11,7 @@
 const EndpointId First("e1");
 const EndpointId Second("e2");
 
-/** A machine with its clock, and what it did last. */
+/** A machine with a manual clock and the actions of its last event. */
 struct Run
 {
     explicit Run(Recovery recovery, std::int64_t maxTokens = 10)
@@ -49,14 +49,14 @@
                          || std::holds_alternative<Abandon>(action);
     }
 
-    /** Lets the time pass until the machine asks to be woken. */
+    /** Advances the clock to wakeAt() and sends TimePassed. */
     Run &advanceToWake()
     {
         now_ = machine_.wakeAt();
         return (*this)(TimePassed {});
     }
 
-    /** To the point where an endpoint has the request. */
+    /** Chooses the endpoint for the request, which the machine then sends. */
     Run &sentTo(const EndpointId &endpoint)
     {
         (*this)(EndpointChosen {endpoint, std::nullopt, now_ + millis(100)});
@@ -80,7 +80,7 @@
         connection_ = lastAction<ResumeStream>()->connection_;
         return (*this)(HeadReceived {connection_, HeadKind::Accepted, {}});
     }
-    /** After a silence: the engine answers a check, and its stream is resumed. */
+    /** Lets the inactivity timeout pass and reports that the engine is alive. */
     Run &checkedAlive()
     {
         advanceToWake();
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_SUITE(Machine)
 
-BOOST_AUTO_TEST_CASE(aStreamIsDeliveredAndFinishedOnce)
+BOOST_AUTO_TEST_CASE(streamIsDeliveredAndFinishedOnce)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 10);
@@ -139,11 +139,9 @@
     BOOST_TEST(run.machine_.staleEvents() == 2U);
 }
 
-// A user would see an answer with a hole, or a repeated sentence, in the middle.
-// The engine crashes after four tokens and forgets its streams; another one continues from
-// prompt and delivered text, and its tokens count from 0 again.
-// Cause: an engine's own offsets taken for those of the whole answer.
-BOOST_AUTO_TEST_CASE(anEngineThatDiesMidStreamIsContinuedElsewhereWithoutGapOrRepeat)
+// Guards against gaps and duplicates in a response that another engine continues: its offsets
+// restart at 0, so they must not be taken for offsets in the whole response.
+BOOST_AUTO_TEST_CASE(streamOfACrashedEngineContinuesOnAnotherWithoutGapOrDuplicate)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 4);
@@ -163,10 +161,9 @@
     BOOST_TEST(run.deliveredAllOnce(10));
 }
 
-// A user would watch an answer stop for good although engine and network are well.
-// Something between the ends forgets an open connection; new ones work.
-// Cause: a silent connection tells nothing, so only a new one can find out.
-BOOST_AUTO_TEST_CASE(aSilentStreamIsResumedOnANewConnectionOfTheSameAttempt)
+// Guards against a response that stalls for ever because a middlebox dropped the connection without
+// closing it. Only a new connection can show that the engine is alive.
+BOOST_AUTO_TEST_CASE(stalledStreamResumesOnANewConnectionOfTheSameAttempt)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 3);
@@ -175,7 +172,7 @@
     BOOST_TEST(run.lastAction<ResumeStream>()->offset_ == 3);
     BOOST_TEST(run.lastAction<ResumeStream>()->endpoint_ == First);
     run.resumed();
-    // The engine begins a little earlier than asked, and the old connection wakes up.
+    // The engine resumes earlier than requested, and the old connection delivers late events.
     run.tokens(1, 4);
     run(TokensReceived {old, 5, 1});
     run(ResponseEnded {old});
@@ -187,10 +184,9 @@
     BOOST_TEST(run.deliveredAllOnce(10));
 }
 
-// A user would wait for a stream that nobody works on.
-// The whole engine stops answering: its streams are silent and a check is too.
-// Cause: waiting for an engine that is gone as if it were slow.
-BOOST_AUTO_TEST_CASE(anEngineThatAnswersNoCheckIsLeftAndCancelled)
+// Guards against waiting for a failed engine as if it were slow: both its stream and the health
+// check time out.
+BOOST_AUTO_TEST_CASE(engineThatFailsItsHealthCheckIsCancelledAndReplaced)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 2).advanceToWake();
@@ -200,10 +196,9 @@
     BOOST_TEST(run.lastAction<ChooseEndpoint>());
 }
 
-// A user would see the same question prefilled again and again while an engine is only slow.
-// The engine is alive and has the stream, but a long prefill goes before it.
-// Cause: impatience. Each probe waits longer, and only many of them in a row give up.
-BOOST_AUTO_TEST_CASE(aSlowEngineIsGivenTwiceTheTimeWithEachProbe)
+// Guards against prefilling a prompt again and again while its engine is only slow, such as behind
+// a long prefill. Each probe waits longer, and only several in a row without a token give up.
+BOOST_AUTO_TEST_CASE(timeoutDoublesWithEachProbeOfASlowEngine)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 1);
@@ -218,7 +213,7 @@
     BOOST_TEST(run.lastAction<ChooseEndpoint>());
 }
 
-BOOST_AUTO_TEST_CASE(tokensMissingInBetweenAreAskedForAgain)
+BOOST_AUTO_TEST_CASE(missingTokensAreRequestedAgain)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 2);
@@ -230,7 +225,7 @@
     BOOST_TEST(run.deliveredAllOnce(10));
 }
 
-BOOST_AUTO_TEST_CASE(aStreamThatLostOnlyItsEndIsWhole)
+BOOST_AUTO_TEST_CASE(streamThatLostOnlyItsEndIsComplete)
 {
     Run run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 10);
@@ -239,10 +234,10 @@
     BOOST_TEST(run.lastAction<Finish>());
 }
 
-// A user would be told that a request was not run, send it again, and have it run twice.
-// Each row is a first endpoint's behaviour; then nothing else can take the request.
-// Cause: taking silence or a lost connection for a refusal.
-BOOST_AUTO_TEST_CASE(notRunIsSaidOnlyWhenNothingCanHaveRun)
+// Guards against a double execution: a caller that is told "not run" sends the request again. A
+// timeout or a lost connection must not count as a refusal. Each row is the first endpoint's
+// behaviour; no other endpoint is available.
+BOOST_AUTO_TEST_CASE(notRunIsReportedOnlyWhenNothingCanHaveRun)
 {
     struct Row
     {
@@ -276,10 +271,9 @@
     }
 }
 
-// A user would pay two interpreters for one booking.
-// The confirmation leaves, the connection breaks before the answer, and it is sent again.
-// Cause: a retry of a call that may have run already.
-BOOST_AUTO_TEST_CASE(aNonIdempotentCallIsNeverSentAgainAfterAByteMayHaveLeft)
+// Guards against executing a non-idempotent call twice: the connection breaks after the request was
+// sent and before its response, and the endpoint may have executed it.
+BOOST_AUTO_TEST_CASE(nonIdempotentCallIsNotResentOnceAByteMayHaveBeenSent)
 {
     Run lost(Recovery::Once);
     lost(Admitted {}).sentTo(First);
@@ -308,7 +302,7 @@
     BOOST_TEST(refused.lastAction<ChooseEndpoint>());
 }
 
-BOOST_AUTO_TEST_CASE(anIdempotentCallIsSentAgainUntilItsAnswerIsPassedOn)
+BOOST_AUTO_TEST_CASE(idempotentCallIsRetriedUntilItsResponseIsForwarded)
 {
     Run run(Recovery::Repeat);
     run(Admitted {}).acceptedBy(First);
@@ -321,9 +315,8 @@
     BOOST_TEST(run.refused(Outcome::Unknown, RefusalCause::ResponseInterrupted));
 }
 
-// Engines in an overload would get even more requests, each failed one several times.
-// Every endpoint fails; each request tries all of them.
-// Cause: retries without a bound. A first move that cost nothing is free, others are not.
+// Guards against retries that amplify an overload when every endpoint fails. A first retry after an
+// attempt that did not start is free; others consume the retry budget.
 BOOST_AUTO_TEST_CASE(retriesAreBoundedByTheBudgetAndByTheRequestsOwnLimit)
 {
     Run run(Recovery::Repeat);
@@ -344,35 +337,32 @@
     BOOST_TEST(run.refused(Outcome::NotRun, RefusalCause::AttemptLimitReached));
 }
 
-// A family's half-read plan would break off although an engine is back two seconds later.
-// The only engine restarts in the middle of a stream.
-// Cause: refusing a begun answer as fast as a new request.
-BOOST_AUTO_TEST_CASE(aBegunStreamWaitsForAnEndpointAndANewRequestDoesNot)
+// Guards against breaking off a partly delivered response while its only engine restarts, which
+// takes seconds. A new request is refused at once instead.
+BOOST_AUTO_TEST_CASE(startedStreamWaitsForAnEndpointAndANewRequestDoesNot)
 {
-    Run fresh(Recovery::Stream);
-    fresh(Admitted {})(NoEndpoint {fresh.now_ + millis(10)});
-    BOOST_TEST(fresh.refused(Outcome::NotRun, RefusalCause::NoEndpoint));
-
-    Run begun(Recovery::Stream);
-    begun(Admitted {}).acceptedBy(First).tokens(0, 1);
-    begun(ConnectionLost {begun.connection_, true});
-    begun(ConnectionLost {begun.lastAction<ResumeStream>()->connection_, false});
-    Run hopeless = begun;
-    begun(NoEndpoint {}).advanceToWake();
-    BOOST_TEST(begun.lastAction<ChooseEndpoint>()->excluded_.empty());
-    begun.acceptedBy(First).tokens(0, 9);
-    BOOST_TEST(begun.deliveredAllOnce(10));
-    while (!hopeless(NoEndpoint {hopeless.now_ + millis(10)}).machine_.finished()) {
-        hopeless.advanceToWake();
+    Run newRequest(Recovery::Stream);
+    newRequest(Admitted {})(NoEndpoint {newRequest.now_ + millis(10)});
+    BOOST_TEST(newRequest.refused(Outcome::NotRun, RefusalCause::NoEndpoint));
+
+    Run started(Recovery::Stream);
+    started(Admitted {}).acceptedBy(First).tokens(0, 1);
+    started(ConnectionLost {started.connection_, true});
+    started(ConnectionLost {started.lastAction<ResumeStream>()->connection_, false});
+    Run withoutEndpoint = started;
+    started(NoEndpoint {}).advanceToWake();
+    BOOST_TEST(started.lastAction<ChooseEndpoint>()->excluded_.empty());
+    started.acceptedBy(First).tokens(0, 9);
+    BOOST_TEST(started.deliveredAllOnce(10));
+    while (!withoutEndpoint(NoEndpoint {withoutEndpoint.now_ + millis(10)}).machine_.finished()) {
+        withoutEndpoint.advanceToWake();
     }
-    BOOST_TEST(hopeless.refused(Outcome::Unknown, RefusalCause::NoEndpoint));
+    BOOST_TEST(withoutEndpoint.refused(Outcome::Unknown, RefusalCause::NoEndpoint));
 }
 
-// Engines would go on for callers who closed their page.
-// The caller leaves while tokens come; while only the path to it is silent, it may already go on
-// through another instance, and its stream must live.
-// Cause: nobody tells the engine, or everybody does.
-BOOST_AUTO_TEST_CASE(aCallerThatLeavesCancelsItsStreamAndASilentOneDoesNot)
+// Guards against engines that generate for callers that closed their connection. When only writing
+// to the caller fails, it may already resume through another instance, so the stream must continue.
+BOOST_AUTO_TEST_CASE(disconnectedCallerCancelsItsStreamAndAFailedWriteDoesNot)
 {
     Run gone(Recovery::Stream);
     gone(Admitted {}).acceptedBy(First).tokens(0, 1);
@@ -391,7 +381,7 @@
     BOOST_TEST(!confirmation.machine_.finished());
 }
 
-BOOST_AUTO_TEST_CASE(aFailedPrefillFallsBackToTheDecodingEngine)
+BOOST_AUTO_TEST_CASE(failedPrefillFallsBackToTheDecodeEngine)
 {
     for (const PrefillStatus status :
          {PrefillStatus::Ready, PrefillStatus::NotSent, PrefillStatus::Failed}) {
@@ -414,7 +404,7 @@
     BOOST_TEST(!slow.lastAction<SendRequest>()->afterPrefill_);
 }
 
-BOOST_AUTO_TEST_CASE(aResumedStreamThatItsEngineForgotIsRefusedAsUnknown)
+BOOST_AUTO_TEST_CASE(resumedStreamThatItsEngineLostIsRefusedAsUnknown)
 {
     RequestSpec spec = Run::specOf(Recovery::ResumeOnly, 10);
     spec.delivered_ = 6;
@@ -429,7 +419,7 @@
     BOOST_TEST((std::get<Refuse>(refused.at(0)).outcome_ == Outcome::Unknown));
 }
 
-BOOST_AUTO_TEST_CASE(withoutANamedDeadlineEveryTokenMovesTheDeadline)
+BOOST_AUTO_TEST_CASE(withoutACallerDeadlineEveryTokenExtendsTheDeadline)
 {
     RequestSpec spec = Run::specOf(Recovery::Stream, 1'000);
     spec.deadlineExtension_ = millis(60'000);
@@ -443,7 +433,7 @@
     BOOST_TEST(run.deliveredAllOnce(200));
 }
 
-/** What must hold of any run, kept beside the machine from what went in and came out. */
+/** Checks invariants from the events and actions, independently of the machine. */
 struct InvariantChecker
 {
     void before(const Event &event)
@@ -453,7 +443,7 @@
         const bool notSent = lost && lost->connection_ == sendConnection_ && !lost->anythingSent_;
         const bool notRun =
             head && head->connection_ == sendConnection_ && head->kind_ == HeadKind::NotRun;
-        // Only the first word counts: what was accepted cannot be unsaid.
+        // Only the first response to a send counts: an accepted request stays accepted.
         mayBeRunning_ = mayBeRunning_ && !(awaitingFirstReply_ && (notSent || notRun));
         awaitingFirstReply_ =
             awaitingFirstReply_ && !(head && head->connection_ == sendConnection_);
@@ -474,7 +464,7 @@
     }
 
     ConnectionNumber sendConnection_ = 0;
-    int duplicateSends_ = 0; ///< Sent although an earlier sending may have run.
+    int duplicateSends_ = 0; ///< Sends made although an earlier one may have run.
     bool mayBeRunning_ = false;
     bool awaitingFirstReply_ = false;
     bool mayHaveRun_ = false;
@@ -495,9 +485,9 @@
     return events[static_cast<std::size_t>(pick(static_cast<int>(events.size())))];
 }
 
-// Whatever comes in whatever order: at most one final answer, no token twice or left out, no
-// not-run after a byte that counts, and no second sending of what must not be repeated.
-BOOST_AUTO_TEST_CASE(anyOrderOfEventsKeepsThePromises)
+// Invariants for random event orders: at most one final action, no token twice or missing, no "not
+// run" once a request may have run, and no resend of a non-idempotent call that may have run.
+BOOST_AUTO_TEST_CASE(anyOrderOfEventsKeepsTheInvariants)
 {
     std::mt19937 random(7);
     for (int round = 0; round < 20'000; ++round) {
--- a/libs/relay/tests/servicetest.cpp
+++ b/libs/relay/tests/servicetest.cpp
@@ -12,7 +12,7 @@
 
 enum class Behaviour { Answer, Cut, NotRun, Large };
 
-/** A booking service that counts its runs. */
+/** A service that counts how often it executes a call. */
 struct FakeService
 {
     std::string address() const { return "127.0.0.1:" + std::to_string(server_.port()); }
@@ -97,7 +97,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Services, BookingFixture)
 
-BOOST_AUTO_TEST_CASE(aCallIsPassedOnAndItsAnswerBack)
+BOOST_AUTO_TEST_CASE(requestAndResponseAreForwarded)
 {
     const net::Response answer =
         confirm({{"X-Trace", "t"}, {"X-Request-Id", "mine"}, {"Connection", "X-Gone"}});
@@ -109,10 +109,9 @@
     BOOST_TEST(confirm().body_.size() == 1'000'000U);
 }
 
-// Both parents would get two confirmations with different times.
-// The endpoint takes the call and dies in the middle of its answer.
-// Cause: a retry of a call that may have run.
-BOOST_AUTO_TEST_CASE(aNonIdempotentCallRunsOnceEvenIfItsAnswerBreaks)
+// Guards against executing a non-idempotent call twice: the endpoint executes it and fails in the
+// middle of its response.
+BOOST_AUTO_TEST_CASE(nonIdempotentCallRunsOnceEvenIfItsResponseBreaksOff)
 {
     setBoth(Behaviour::Cut);
     const net::Response answer = confirm();
@@ -122,7 +121,7 @@
     BOOST_TEST(runs() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(anIdempotentCallIsAnsweredByTheOtherEndpoint)
+BOOST_AUTO_TEST_CASE(idempotentCallIsRetriedOnTheOtherEndpoint)
 {
     one_.behaviour_ = Behaviour::Cut;
     for (int round = 0; round < 4; ++round) {
@@ -130,7 +129,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEndpointsNotRunPermitsAnotherAndIsPassedOnWhenAllSayIt)
+BOOST_AUTO_TEST_CASE(notRunPermitsARetryAndIsReportedWhenAllEndpointsSendIt)
 {
     one_.behaviour_ = Behaviour::NotRun;
     for (int round = 0; round < 4; ++round) {
@@ -144,10 +143,9 @@
     BOOST_TEST(runs() == 4);
 }
 
-// An organiser would pay two interpreters after pressing the button twice.
-// The first answer is lost on its way to the caller, who repeats with the same key.
-// Cause: a repeat taken for a new request.
-BOOST_AUTO_TEST_CASE(aRepeatWithTheSameKeyGetsTheStoredOutcome)
+// Guards against executing a duplicate as a new request: the first response is lost on its way to
+// the caller, which retries with the same key.
+BOOST_AUTO_TEST_CASE(duplicateWithTheSameKeyGetsTheStoredOutcome)
 {
     const net::Headers key {{"Idempotency-Key", "k1"}};
     const net::Response first = confirm(key);
@@ -171,11 +169,9 @@
     BOOST_TEST(runs() == 2);
 }
 
-// Two confirmations would go out around an outage of the log.
-// The first attempt runs without a claim, its instance dies, the log comes back, and the caller
-// repeats: there is no claim to be found.
-// Cause: taking "no claim" for "never ran".
-BOOST_AUTO_TEST_CASE(withTheLogOutKindAIsRefusedAndKindBRunsItsFirstAttemptOnly)
+// Guards against a double execution around an outage of the control log. The first numbered attempt
+// runs without a claim, so a later attempt finds none and must not conclude that it never ran.
+BOOST_AUTO_TEST_CASE(withoutTheLogAnUnnumberedKeyIsRefusedAndANumberedOneRunsItsFirstAttemptOnly)
 {
     claims_.setLogUnavailable(true);
     const net::Response refused = confirm({{"Idempotency-Key", "k1"}});
@@ -184,7 +180,8 @@
     BOOST_TEST(!net::headerValue(refused.headers_, "Retry-After").empty());
     BOOST_TEST(runs() == 0);
     BOOST_TEST(confirm({{"Idempotency-Key", "k1"}, {"X-Attempt", "1"}}).status_ == 201);
-    BOOST_TEST(relay_.relay_->waitIdle(soon())); // Its outcome comes after its answer, and is lost.
+    BOOST_TEST(relay_.relay_->waitIdle(
+        soon())); // The outcome is stored after the response; here it is lost.
     BOOST_TEST(runs() == 1);
     for (const bool out : {true, false}) {
         claims_.setLogUnavailable(out);
@@ -194,7 +191,7 @@
     BOOST_TEST(runs() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(keysOfAccountsServicesAndKindsAreKeptApart)
+BOOST_AUTO_TEST_CASE(keysOfAccountsServicesAndKindsAreDistinct)
 {
     const auto keyOf = [](const char *account, const char *scope, const char *attempt) {
         return parseIdempotencyKey({"k", attempt}, AccountId(account), scope).value()->scopedKey_;
@@ -210,13 +207,13 @@
     BOOST_TEST(keyOf("a", "s", "1") == keyOf("a", "s", "2"));
 }
 
-BOOST_AUTO_TEST_CASE(everyRuleAndClaimHasItsVerdict)
+BOOST_AUTO_TEST_CASE(everyRuleAndClaimStatusHasItsDecision)
 {
     using enum KeyDecision;
     struct Row
     {
         KeyRule rule_;
-        std::array<KeyDecision, 4> decisions_; ///< Claimed, Finished, Unknown, LogOut
+        std::array<KeyDecision, 4> decisions_; ///< Claimed, Finished, Unknown, LogUnavailable
     };
     const std::vector<Row> rows {
         {KeyRule::Claim, {Run, ReplayStored, ReplyUnknown, ReplyLogUnavailable}},
@@ -234,7 +231,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aKeyedCompletionIsRunOnceAndItsRepeatReadsTheSame)
+BOOST_AUTO_TEST_CASE(keyedCompletionRunsOnceAndItsDuplicateGetsTheSameResponse)
 {
     json body = {{"model", "m"}, {"prompt", "a"}, {"max_tokens", 3}};
     const net::Headers key {{"Idempotency-Key", "k1"}};
--- a/libs/relay/tests/streamtest.cpp
+++ b/libs/relay/tests/streamtest.cpp
@@ -19,7 +19,7 @@
 /** Two engines behind one relay. */
 struct TwoEngines
 {
-    /** Puts the fault on the engine that gets the next request, whichever it is. */
+    /** Sets the fault on both engines, since either may get the next request. */
     void setFaultOnBoth(const Fault &fault)
     {
         one_.setFault(fault);
@@ -37,7 +37,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Streams, TwoEngines)
 
-BOOST_AUTO_TEST_CASE(completionsComeStreamedOrWhole)
+BOOST_AUTO_TEST_CASE(completionsAreStreamedOrBuffered)
 {
     const net::Response streamed =
         relay_.post("/v1/completions", completion("a b", 20, true), {{"X-Request-Id", "mine"}});
@@ -56,7 +56,7 @@
     BOOST_TEST(relay_.metrics_.counter("requests_total", "outcome=\"whole\"") == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(aChatIsAnsweredInTheChatsShape)
+BOOST_AUTO_TEST_CASE(chatResponsesHaveTheChatFormat)
 {
     json chat = {{"model", "m"}, {"messages", {{{"role", "user"}, {"content", "a"}}}}};
     const net::Response whole = relay_.post("/v1/chat/completions", chat);
@@ -70,10 +70,9 @@
     BOOST_TEST(json::parse(events[events.size() - 2])["usage"]["completion_tokens"] == 16);
 }
 
-// A family would read half a plan, or one sentence twice.
-// The engine dies after five tokens of a stream and comes back without it.
-// Cause: an answer bound to one engine and one connection.
-BOOST_AUTO_TEST_CASE(anEngineThatDiesMidStreamLeavesAWholeAnswer)
+// Guards against truncated or duplicated text: the engine fails after five tokens and restarts
+// without the stream, so another attempt must continue the response.
+BOOST_AUTO_TEST_CASE(engineFailureMidStreamYieldsACompleteResponse)
 {
     for (const bool stream : {true, false}) {
         Fault fault;
@@ -91,7 +90,7 @@
     BOOST_TEST((*continued)["max_tokens"] == 3);
 }
 
-BOOST_AUTO_TEST_CASE(aChatIsContinuedAsABegunAnswer)
+BOOST_AUTO_TEST_CASE(chatIsContinuedAsAPartialAssistantMessage)
 {
     Fault fault;
     fault.disconnectAfter_ = 5;
@@ -112,10 +111,9 @@
     BOOST_TEST((*continued)["add_generation_prompt"] == false);
 }
 
-// A user would watch an answer stand still for good.
-// After five tokens the connection to the engine goes silent; new ones work.
-// Cause: waiting on the old connection, which will never say anything.
-BOOST_AUTO_TEST_CASE(aSilentConnectionIsReplacedAndNothingRunsTwice)
+// Guards against a response that stalls for ever: the connection to the engine stops delivering
+// after five tokens, while new connections work.
+BOOST_AUTO_TEST_CASE(stalledConnectionIsReplacedAndNothingRunsTwice)
 {
     Fault fault;
     fault.stallAfter_ = 5;
@@ -126,10 +124,9 @@
     BOOST_TEST(requests() == 1U);
 }
 
-// A caller would take its connection for lost and come again, which cancels its own stream.
-// The engine says nothing for long; the instance is busy saving the stream.
-// Cause: an instance that is as silent as its engine.
-BOOST_AUTO_TEST_CASE(aCallerOfASilentStreamHearsThatItIsWaitedFor)
+// Guards against a caller that assumes a lost connection and reconnects, which cancels its own
+// stream, while the instance is recovering the stream of a stalled engine.
+BOOST_AUTO_TEST_CASE(callerOfAStalledStreamGetsKeepAlives)
 {
     Fault fault;
     fault.stallAfter_ = 1;
@@ -149,10 +146,9 @@
     BOOST_TEST(relay_.relay_->waitIdle(soon()));
 }
 
-// Engines would work for callers who closed their page.
-// The caller hangs up after its first token, while the engine is silent.
-// Cause: a lost caller is only seen when something is written to it.
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpCancelsItsStreamAtOnce)
+// Guards against engines that generate for callers that closed their connection. The engine is
+// stalled, so the disconnect must be noticed without a write to the caller.
+BOOST_AUTO_TEST_CASE(disconnectedCallerCancelsItsStreamAtOnce)
 {
     Fault fault;
     fault.stallAfter_ = 1;
@@ -171,7 +167,7 @@
     BOOST_TEST(relay_.metrics_.counter("requests_total", "outcome=\"abandoned\"") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatSendsItsNextRequestEarlyIsNotTakenForGone)
+BOOST_AUTO_TEST_CASE(pipeliningCallerIsNotTreatedAsDisconnected)
 {
     Fault fault;
     fault.stallAfter_ = 2;
@@ -185,11 +181,9 @@
     BOOST_TEST(textOf(answer) == words("a", 1, 5));
 }
 
-// A mediator would get another family's summary.
-// Many callers at once, engines that die or go silent in the middle, answers resumed and
-// continued in any order.
-// Cause: answers matched to callers by anything but request and attempt.
-BOOST_AUTO_TEST_CASE(answersOfManyCallersAreNeverCrossed)
+// Guards against a caller that gets another caller's text: many concurrent calls on engines that
+// fail or stall midway, with responses resumed and continued in any order.
+BOOST_AUTO_TEST_CASE(responsesOfConcurrentCallersAreNotMixedUp)
 {
     Fault fault;
     fault.disconnectAfter_ = 3;
@@ -214,7 +208,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatDidNotStartIsFollowedByAnother)
+BOOST_AUTO_TEST_CASE(requestThatAnEngineDidNotStartIsRetriedOnAnother)
 {
     Fault fault;
     fault.status_ = 503;
@@ -231,10 +225,9 @@
     BOOST_TEST(!net::headerValue(refused.headers_, "Retry-After").empty());
 }
 
-// A user would start again from nothing when the instance that serves it is replaced.
-// The instance dies in the middle of a stream; the caller knows another one and its token.
-// Cause: a stream that lives in one instance's memory.
-BOOST_AUTO_TEST_CASE(aResumeTokenIsHonouredByAnyInstance)
+// Guards against losing a stream with its instance: the instance fails midway, and the caller
+// presents its resume token to another one.
+BOOST_AUTO_TEST_CASE(resumeTokenWorksOnAnyInstance)
 {
     RelayServer other(fleetOf({&one_, &two_}), claims_, RelayServer::settingsOf("i2"));
     const net::Response answer = relay_.post("/v1/completions", completion("a", 8, true));
@@ -264,7 +257,7 @@
     BOOST_TEST(other.post("/v1/completions", body, headers).status_ == 400);
 }
 
-BOOST_AUTO_TEST_CASE(whatCannotBeEndedWholeEndsWithAnErrorEvent)
+BOOST_AUTO_TEST_CASE(streamThatCannotBeCompletedEndsWithAnErrorEvent)
 {
     Fault fault;
     fault.disconnectAfter_ = 2;
@@ -278,7 +271,7 @@
     BOOST_TEST(last["error"]["retry_after_ms"].get<int>() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(aStoppingInstanceRefusesNewRequestsAndEndsThoseInWork)
+BOOST_AUTO_TEST_CASE(stoppingInstanceRefusesNewRequestsAndCompletesActiveOnes)
 {
     Fault fault;
     fault.stallAfter_ = 1;
--- a/libs/relay/tests/synchronizedtest.cpp
+++ b/libs/relay/tests/synchronizedtest.cpp
@@ -24,12 +24,12 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(Gates)
+BOOST_AUTO_TEST_SUITE(Synchronized)
 
-// A request would be cut by a planned change although this instance had confirmed the drain.
-// The request chooses the engine; the drain is announced and confirmed; then the request leaves.
-// Cause: choice and send under two views. Who confirms waits for what is just leaving.
-BOOST_AUTO_TEST_CASE(nothingLeavesForAnEndpointThatWasClosedAfterTheChoice)
+// Guards against sending to an endpoint after this instance confirmed its drain: the drain is
+// announced between the choice of the endpoint and the send. The confirmation waits for sends in
+// progress.
+BOOST_AUTO_TEST_CASE(nothingIsSentToAnEndpointThatWasClosedAfterTheChoice)
 {
     FakeEngine engine;
     SynchronizedRouter sharedRouter(routing::Router::Builder().domain(DomainId("d1")).build());
@@ -44,15 +44,15 @@
     BOOST_TEST(!sharedRouter.beginSend(choice->endpoint_));
     BOOST_TEST(!sharedRouter.waitForSends(choice->endpoint_, BootClock::now()));
     std::atomic<bool> sendsFinished = false;
-    std::thread confirming(
+    std::thread confirmation(
         [&] { sendsFinished = sharedRouter.waitForSends(choice->endpoint_, soon()); });
     sharedRouter.endSend(choice->endpoint_);
-    confirming.join();
+    confirmation.join();
     BOOST_TEST(sendsFinished.load());
     BOOST_TEST(!sharedRouter.dispatch(AttemptId("b"), queryFor("m")).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(theMixCountsWhatWasAskedAndIsCorrectedByAnswers)
+BOOST_AUTO_TEST_CASE(demandCountsRequestsAndIsCorrectedByResponses)
 {
     DemandCounter demand;
     const ModelId model("m");
