--- a/libs/app/src/instance.cpp
+++ b/libs/app/src/instance.cpp
@@ -39,7 +39,7 @@
     return relay::ClaimStatus::LogUnavailable;
 }
 
-relay::ClaimAnswer toRelay(const control::KeyClaimAnswer &answer)
+relay::ClaimResult toRelay(const control::KeyClaimAnswer &answer)
 {
     return {toRelay(answer.status_), answer.httpStatus_, answer.body_};
 }
@@ -51,13 +51,13 @@
 
 } // namespace
 
-relay::ClaimAnswer ControlKeyClaims::claim(const std::string &key, const RequestId &request,
+relay::ClaimResult ControlKeyClaims::claim(const std::string &key, const RequestId &request,
                                            TimePoint deadline)
 {
     return toRelay(claims_.claim(key, request, deadline));
 }
 
-relay::ClaimAnswer ControlKeyClaims::lookUp(const std::string &key, TimePoint deadline)
+relay::ClaimResult ControlKeyClaims::lookUp(const std::string &key, TimePoint deadline)
 {
     return toRelay(claims_.lookUp(key, deadline));
 }
--- a/libs/app/src/instanceparts.h
+++ b/libs/app/src/instanceparts.h
@@ -34,9 +34,9 @@
     explicit ControlKeyClaims(control::LogKeyClaims &claims)
         : claims_(claims)
     { }
-    relay::ClaimAnswer claim(const std::string &key, const RequestId &request,
+    relay::ClaimResult claim(const std::string &key, const RequestId &request,
                              TimePoint deadline) override;
-    relay::ClaimAnswer lookUp(const std::string &key, TimePoint deadline) override;
+    relay::ClaimResult lookUp(const std::string &key, TimePoint deadline) override;
     void finish(const std::string &key, const RequestId &request, int httpStatus,
                 const std::string &body) override;
 
--- a/libs/relay/include/almondridge/relay/relay.h
+++ b/libs/relay/include/almondridge/relay/relay.h
@@ -25,7 +25,7 @@
     LogUnavailable, ///< The control log could not be read; this call claimed nothing.
 };
 
-struct ClaimAnswer
+struct ClaimResult
 {
     ClaimStatus status_ = ClaimStatus::LogUnavailable;
     int httpStatus_ = 0;
@@ -38,10 +38,10 @@
 public:
     virtual ~KeyClaims() = default;
     /** Claims the key for request, or returns what an earlier claim led to. */
-    virtual ClaimAnswer claim(const std::string &key, const RequestId &request,
+    virtual ClaimResult claim(const std::string &key, const RequestId &request,
                               TimePoint deadline) = 0;
     /** Looks a key up without claiming it. */
-    virtual ClaimAnswer lookUp(const std::string &key, TimePoint deadline) = 0;
+    virtual ClaimResult lookUp(const std::string &key, TimePoint deadline) = 0;
     /** Stores the outcome of a claimed request. */
     virtual void finish(const std::string &key, const RequestId &request, int httpStatus,
                         const std::string &body) = 0;
--- a/libs/relay/src/idempotencykey.cpp
+++ b/libs/relay/src/idempotencykey.cpp
@@ -71,7 +71,7 @@
     return std::optional<IdempotencyKey>(std::move(key));
 }
 
-KeyDecision decideByKey(KeyRule rule, const ClaimAnswer &answer) noexcept
+KeyDecision decideByKey(KeyRule rule, const ClaimResult &answer) noexcept
 {
     const KeyDecision decision =
         Decisions[static_cast<std::size_t>(rule)][static_cast<std::size_t>(answer.status_)];
--- a/libs/relay/src/idempotencykey.h
+++ b/libs/relay/src/idempotencykey.h
@@ -61,7 +61,7 @@
 parseIdempotencyKey(const KeyHeaders &headers, const AccountId &account, std::string_view scope);
 
 /** Decides by the result of the claim, or of the look-up for LaterAttempt. */
-KeyDecision decideByKey(KeyRule rule, const ClaimAnswer &answer) noexcept;
+KeyDecision decideByKey(KeyRule rule, const ClaimResult &answer) noexcept;
 
 /** Stored in place of an HTTP status when there is no response of an endpoint. */
 inline constexpr int StoredUnknown = 0;
--- a/libs/relay/src/keyedcall.cpp
+++ b/libs/relay/src/keyedcall.cpp
@@ -50,7 +50,7 @@
     return key_ && key_->rule_ == KeyRule::LaterAttempt;
 }
 
-ClaimAnswer KeyedCall::claimOrLookUp(TimePoint deadline)
+ClaimResult KeyedCall::claimOrLookUp(TimePoint deadline)
 {
     const Duration timeout = ClaimTimeouts[static_cast<std::size_t>(key_->rule_)];
     const TimePoint until = std::min(deadline, BootClock::now() + timeout);
@@ -63,7 +63,7 @@
     if (!key_) {
         return std::nullopt;
     }
-    const ClaimAnswer answer = claimOrLookUp(deadline);
+    const ClaimResult answer = claimOrLookUp(deadline);
     DuplicateResponse duplicate;
     duplicate.keyDecision_ = decideByKey(key_->rule_, answer);
     if (duplicate.keyDecision_ == KeyDecision::Run) {
--- a/libs/relay/src/keyedcall.h
+++ b/libs/relay/src/keyedcall.h
@@ -38,7 +38,7 @@
     void end(int status, const StoredResponse &answer);
 
 private:
-    ClaimAnswer claimOrLookUp(TimePoint deadline);
+    ClaimResult claimOrLookUp(TimePoint deadline);
 
     KeyClaims &claims_;
     std::optional<IdempotencyKey> key_;
--- a/libs/relay/tests/fakes.cpp
+++ b/libs/relay/tests/fakes.cpp
@@ -154,7 +154,7 @@
     ::poll(&entry, 1, LongestMillis);
 }
 
-ClaimAnswer FakeClaims::find(const std::string &key) const
+ClaimResult FakeClaims::find(const std::string &key) const
 {
     const auto found = claims_.find(key);
     if (found != claims_.end()) {
@@ -163,17 +163,17 @@
     return {logUnavailable_ ? ClaimStatus::LogUnavailable : ClaimStatus::Unknown, 0, {}};
 }
 
-ClaimAnswer FakeClaims::claim(const std::string &key, const RequestId &, TimePoint)
+ClaimResult FakeClaims::claim(const std::string &key, const RequestId &, TimePoint)
 {
     const std::lock_guard lock(mutex_);
     if (logUnavailable_) {
         return {ClaimStatus::LogUnavailable, 0, {}};
     }
-    const bool isNew = claims_.try_emplace(key, ClaimAnswer {ClaimStatus::Unknown, 0, {}}).second;
-    return isNew ? ClaimAnswer {ClaimStatus::Claimed, 0, {}} : claims_[key];
+    const bool isNew = claims_.try_emplace(key, ClaimResult {ClaimStatus::Unknown, 0, {}}).second;
+    return isNew ? ClaimResult {ClaimStatus::Claimed, 0, {}} : claims_[key];
 }
 
-ClaimAnswer FakeClaims::lookUp(const std::string &key, TimePoint)
+ClaimResult FakeClaims::lookUp(const std::string &key, TimePoint)
 {
     const std::lock_guard lock(mutex_);
     return find(key);
--- a/libs/relay/tests/fakes.h
+++ b/libs/relay/tests/fakes.h
@@ -78,18 +78,18 @@
 class FakeClaims : public KeyClaims
 {
 public:
-    ClaimAnswer claim(const std::string &key, const RequestId &request, TimePoint) override;
-    ClaimAnswer lookUp(const std::string &key, TimePoint) override;
+    ClaimResult claim(const std::string &key, const RequestId &request, TimePoint) override;
+    ClaimResult lookUp(const std::string &key, TimePoint) override;
     void finish(const std::string &key, const RequestId &request, int status,
                 const std::string &body) override;
     void setLogUnavailable(bool unavailable);
 
 private:
-    ClaimAnswer find(const std::string &key) const;
+    ClaimResult find(const std::string &key) const;
 
     std::mutex mutex_;
     bool logUnavailable_ = false;
-    std::map<std::string, ClaimAnswer> claims_;
+    std::map<std::string, ClaimResult> claims_;
 };
 
 /** A relay behind an HTTP server. */
--- a/libs/relay/tests/servicetest.cpp
+++ b/libs/relay/tests/servicetest.cpp
@@ -221,7 +221,7 @@
         {KeyRule::LaterAttempt, {ReplyUnknown, ReplayStored, ReplyUnknown, ReplyUnknown}}};
     for (const Row &row : rows) {
         for (std::size_t status = 0; status < row.decisions_.size(); ++status) {
-            const ClaimAnswer answer {static_cast<ClaimStatus>(status), 200, {}};
+            const ClaimResult answer {static_cast<ClaimStatus>(status), 200, {}};
             BOOST_TEST((decideByKey(row.rule_, answer) == row.decisions_[status]));
         }
         BOOST_TEST(
