--- a/libs/relay/include/almondridge/relay/machine.h
+++ b/libs/relay/include/almondridge/relay/machine.h
@@ -81,7 +81,8 @@
     /** How long to search for an endpoint that can continue a stream. */
     Duration endpointSearchTimeout_ = millis(15'000);
     Duration endpointSearchInterval_ = millis(100); ///< Between two searches for an endpoint.
-    Duration retryAt_ = millis(1'000); ///< Default retry delay that a refusal gives the caller.
+    /** Retry delay in refusals when no better estimate is known. */
+    Duration defaultRetryDelay_ = millis(1'000);
     int maxAttempts_ = 6;
     int maxProbesWithoutToken_ = 5; ///< Consecutive resumes that brought no token.
 };
@@ -94,6 +95,7 @@
     std::int64_t base_ = 0; ///< Offset in the whole response of the attempt's token 0.
 };
 
+/** Parameters of one request. */
 struct RequestSpec
 {
     RequestId request_;
@@ -302,7 +304,7 @@
 
     /** When the driver must send TimePassed. */
     TimePoint wakeAt() const noexcept;
-    bool finished() const noexcept { return phase_ == Phase::Over; }
+    bool finished() const noexcept { return phase_ == Phase::Finished; }
     /** Tokens delivered so far, of the whole response. */
     std::int64_t delivered() const noexcept { return nextOffset_; }
     /** Whether any endpoint may have started the request. */
@@ -321,9 +323,9 @@
         AwaitingEndpoint, ///< No endpoint can continue the stream; waits for the next search.
         Prefilling,
         AwaitingHead,
-        Answering,
+        ReceivingResponse,
         CheckingEngine,
-        Over,
+        Finished,
     };
     /** Handles a failed attempt, by Recovery. */
     using RecoveryRule = void (RequestMachine::*)(TimePoint now, Actions &out);
@@ -359,13 +361,13 @@
     void recoverRepeatable(TimePoint now, Actions &out);
     void recoverStream(TimePoint now, Actions &out);
     void recoverResumeOnly(TimePoint now, Actions &out);
-    void closeAttempt(bool succeeded, Actions &out);
+    void endAttempt(bool succeeded, Actions &out);
     void cancelAttempt(Actions &out);
     void finish(Actions &out);
     void refuse(RefusalCause cause, TimePoint retryAt, Actions &out);
 
     bool isStale(ConnectionNumber connection);
-    bool streams() const noexcept;
+    bool isStream() const noexcept;
     bool hasDeliveredTokens() const noexcept;
     bool probeLimitReached() noexcept;
     void checkEngine(TimePoint now, Actions &out);
--- a/libs/relay/include/almondridge/relay/relay.h
+++ b/libs/relay/include/almondridge/relay/relay.h
@@ -58,8 +58,7 @@
     double decodeTokens_ = 0;
 };
 
-/** Serves the requests of callers. Thread-safe; handle() runs on the thread of the caller's
- * connection. */
+/** Serves callers' requests. Thread-safe; handle() runs on the caller's connection thread. */
 class Relay
 {
 public:
--- a/libs/relay/src/calldriver.cpp
+++ b/libs/relay/src/calldriver.cpp
@@ -47,7 +47,7 @@
         step();
     }
     endpointExchange_.reset();
-    closePrefill(true);
+    endPrefill(true);
     context_.metrics_.count("stale_events_total", {}, machine_.staleEvents());
 }
 
@@ -80,7 +80,7 @@
     endpointExchange_.reset();
     const TimePoint now = BootClock::now();
     if (action.budgeted_ && !context_.admission_.takeRetry()) {
-        push(RetryBudgetExhausted {now + MachineLimits().retryAt_});
+        push(RetryBudgetExhausted {now + MachineLimits().defaultRetryDelay_});
         return;
     }
     routing::RouteQuery wanted = query();
@@ -88,7 +88,7 @@
     wanted.random_ = randomNumber();
     const auto choice = context_.router_.dispatch(action.attempt_, wanted);
     if (!choice) {
-        push(NoEndpoint {now + MachineLimits().retryAt_});
+        push(NoEndpoint {now + MachineLimits().defaultRetryDelay_});
         return;
     }
     context_.metrics_.count("attempts_total");
@@ -110,7 +110,7 @@
 
 void CallDriver::perform(const SendRequest &action)
 {
-    closePrefill(action.afterPrefill_);
+    endPrefill(action.afterPrefill_);
     connectionUse_ = ConnectionUse::Request;
     if (action.base_ > 0) {
         context_.metrics_.count("continued_total");
@@ -156,7 +156,7 @@
 
 void CallDriver::perform(const AttemptEnded &action)
 {
-    context_.router_.finished(action.attempt_, action.succeeded_);
+    context_.router_.onFinished(action.attempt_, action.succeeded_);
 }
 
 void CallDriver::perform(const Finish & /*action*/)
@@ -224,10 +224,10 @@
     return sent;
 }
 
-void CallDriver::closePrefill(bool succeeded)
+void CallDriver::endPrefill(bool succeeded)
 {
     if (prefillAttempt_) {
-        context_.router_.finished(*std::exchange(prefillAttempt_, std::nullopt), succeeded);
+        context_.router_.onFinished(*std::exchange(prefillAttempt_, std::nullopt), succeeded);
     }
 }
 
--- a/libs/relay/src/calldriver.h
+++ b/libs/relay/src/calldriver.h
@@ -139,7 +139,7 @@
     int watchedSocket();
     TimePoint waitUntil() const;
     std::optional<net::Address> addressOf(const EndpointId &endpoint) const;
-    void closePrefill(bool succeeded);
+    void endPrefill(bool succeeded);
 
     std::optional<net::HttpExchange> endpointExchange_;
     bool headRead_ = false;
--- a/libs/relay/src/canceller.h
+++ b/libs/relay/src/canceller.h
@@ -26,8 +26,7 @@
     Canceller(const Canceller &) = delete;
     Canceller &operator=(const Canceller &) = delete;
 
-    /** Queues a DELETE of the stream; drops and counts it when the queue is full. Does not block.
-     */
+    /** Queues a DELETE of the stream without blocking. Dropped and counted if the queue is full. */
     void cancel(const net::Address &engine, const AttemptId &attempt);
 
 private:
--- a/libs/relay/src/demandcounter.h
+++ b/libs/relay/src/demandcounter.h
@@ -15,11 +15,9 @@
 class DemandCounter
 {
 public:
-    /** Expected output tokens for a limit of maxTokens, from the average share of recent responses.
-     */
+    /** Expected output tokens for a limit of maxTokens, from the share that responses used. */
     std::int64_t expectedOutput(const ModelId &model, std::int64_t maxTokens) const;
-    /** Counts a request, also one that is then refused: the planner needs demand, not throughput.
-     */
+    /** Counts a request even if it is refused: the planner needs demand, not throughput. */
     void onRequest(const ModelId &model, std::int64_t promptTokens, std::int64_t expectedOutput);
     /** Replaces the expected output of a completed response with the actual one. */
     void onCompleted(const ModelId &model, std::int64_t expectedOutput, std::int64_t outputTokens,
--- a/libs/relay/src/idempotencykey.cpp
+++ b/libs/relay/src/idempotencykey.cpp
@@ -71,29 +71,30 @@
     return std::optional<IdempotencyKey>(std::move(key));
 }
 
-KeyDecision decideByKey(KeyRule rule, const ClaimResult &answer) noexcept
+KeyDecision decideByKey(KeyRule rule, const ClaimResult &claim) noexcept
 {
     const KeyDecision decision =
-        Decisions[static_cast<std::size_t>(rule)][static_cast<std::size_t>(answer.status_)];
+        Decisions[static_cast<std::size_t>(rule)][static_cast<std::size_t>(claim.status_)];
     if (decision != KeyDecision::ReplayStored) {
         return decision;
     }
-    if (answer.httpStatus_ == StoredNotRun) {
+    if (claim.httpStatus_ == StoredNotRun) {
         return KeyDecision::ReplyNotRun;
     }
-    return answer.httpStatus_ == StoredUnknown ? KeyDecision::ReplyUnknown : decision;
+    return claim.httpStatus_ == StoredUnknown ? KeyDecision::ReplyUnknown : decision;
 }
 
-std::string serializeStoredResponse(const StoredResponse &answer)
+std::string serializeStoredResponse(const StoredResponse &response)
 {
-    const json whole = {{"type", answer.contentType_}, {"body", answer.body_}};
+    const json whole = {{"type", response.contentType_}, {"body", response.body_}};
     std::string text = whole.dump(-1, ' ', false, json::error_handler_t::ignore);
     // A body that does not survive the round trip, such as bytes that are not UTF-8, is omitted.
-    if (answer.body_.size() <= MaxStoredBodyBytes
-        && parseStoredResponse(text).body_ == answer.body_) {
+    if (response.body_.size() <= MaxStoredBodyBytes
+        && parseStoredResponse(text).body_ == response.body_) {
         return text;
     }
-    return json {{"type", answer.contentType_}}.dump(-1, ' ', false, json::error_handler_t::ignore);
+    return json {{"type", response.contentType_}}.dump(-1, ' ', false,
+                                                       json::error_handler_t::ignore);
 }
 
 StoredResponse parseStoredResponse(std::string_view text)
@@ -102,11 +103,11 @@
     if (!stored.is_object()) {
         return {};
     }
-    StoredResponse answer;
-    answer.contentType_ = stored.value("type", "");
-    answer.hasBody_ = stored.contains("body");
-    answer.body_ = stored.value("body", "");
-    return answer;
+    StoredResponse response;
+    response.contentType_ = stored.value("type", "");
+    response.hasBody_ = stored.contains("body");
+    response.body_ = stored.value("body", "");
+    return response;
 }
 
 } // namespace almondridge::relay
--- a/libs/relay/src/idempotencykey.h
+++ b/libs/relay/src/idempotencykey.h
@@ -61,7 +61,7 @@
 parseIdempotencyKey(const KeyHeaders &headers, const AccountId &account, std::string_view scope);
 
 /** Decides by the result of the claim, or of the look-up for LaterAttempt. */
-KeyDecision decideByKey(KeyRule rule, const ClaimResult &answer) noexcept;
+KeyDecision decideByKey(KeyRule rule, const ClaimResult &claim) noexcept;
 
 /** Stored in place of an HTTP status when there is no response of an endpoint. */
 inline constexpr int StoredUnknown = 0;
@@ -79,7 +79,7 @@
 inline constexpr std::size_t MaxStoredBodyBytes = 4'096;
 
 /** JSON form; omits the body when it is over MaxStoredBodyBytes or not UTF-8. */
-std::string serializeStoredResponse(const StoredResponse &answer);
+std::string serializeStoredResponse(const StoredResponse &response);
 /** Empty for text that is not a JSON object. */
 StoredResponse parseStoredResponse(std::string_view text);
 
--- a/libs/relay/src/keyedcall.cpp
+++ b/libs/relay/src/keyedcall.cpp
@@ -63,27 +63,27 @@
     if (!key_) {
         return std::nullopt;
     }
-    const ClaimResult answer = claimOrLookUp(deadline);
+    const ClaimResult claim = claimOrLookUp(deadline);
     DuplicateResponse duplicate;
-    duplicate.keyDecision_ = decideByKey(key_->rule_, answer);
+    duplicate.keyDecision_ = decideByKey(key_->rule_, claim);
     if (duplicate.keyDecision_ == KeyDecision::Run) {
-        running_ = true;
+        storesOutcome_ = true;
         return std::nullopt;
     }
     if (duplicate.keyDecision_ == KeyDecision::ReplayStored) {
-        duplicate.status_ = answer.httpStatus_;
-        duplicate.stored_ = parseStoredResponse(answer.body_);
+        duplicate.status_ = claim.httpStatus_;
+        duplicate.stored_ = parseStoredResponse(claim.body_);
     } else {
         duplicate.refusal_ = refusalOf(duplicate.keyDecision_, BootClock::now());
     }
     return duplicate;
 }
 
-void KeyedCall::end(int status, const StoredResponse &answer)
+void KeyedCall::end(int status, const StoredResponse &response)
 {
-    if (std::exchange(running_, false)) {
+    if (std::exchange(storesOutcome_, false)) {
         claims_.finish(key_->scopedKey_, request_, status,
-                       status > 0 ? serializeStoredResponse(answer) : std::string());
+                       status > 0 ? serializeStoredResponse(response) : std::string());
     }
 }
 
--- a/libs/relay/src/keyedcall.h
+++ b/libs/relay/src/keyedcall.h
@@ -33,9 +33,8 @@
     bool isLookupOnly() const noexcept;
     /** Claims or looks up the key. nullopt: the call may run. */
     std::optional<DuplicateResponse> begin(TimePoint deadline);
-    /** Stores the outcome of a call that begin() let run: an HTTP status, StoredUnknown or
-     * StoredNotRun. */
-    void end(int status, const StoredResponse &answer);
+    /** Stores the outcome of a call that ran: an HTTP status, StoredUnknown or StoredNotRun. */
+    void end(int status, const StoredResponse &response);
 
 private:
     ClaimResult claimOrLookUp(TimePoint deadline);
@@ -43,7 +42,7 @@
     KeyClaims &claims_;
     std::optional<IdempotencyKey> key_;
     RequestId request_;
-    bool running_ = false;
+    bool storesOutcome_ = false; ///< begin() let the call run.
 };
 
 } // namespace almondridge::relay
--- a/libs/relay/src/machine.cpp
+++ b/libs/relay/src/machine.cpp
@@ -177,7 +177,7 @@
     accepted_ = false;
     probesWithoutToken_ = 0;
     phase_ = Phase::AwaitingHead;
-    inactivityDeadline_ = streams() ? firstTokenDeadline(now) : TimePoint::max();
+    inactivityDeadline_ = isStream() ? firstTokenDeadline(now) : TimePoint::max();
     out.emplace_back(SendRequest {++connection_, attempt_, endpoint_, base_, afterPrefill});
 }
 
@@ -210,8 +210,8 @@
 void RequestMachine::onAccepted(TimePoint /*now*/, Actions &out)
 {
     accepted_ = true;
-    phase_ = Phase::Answering;
-    if (!streams()) {
+    phase_ = Phase::ReceivingResponse;
+    if (!isStream()) {
         out.emplace_back(ForwardResponse {connection_});
     }
 }
@@ -235,7 +235,7 @@
         return;
     }
     if (spec_.recovery_ == Recovery::ResumeOnly) {
-        refuse(RefusalCause::StreamGone, now + limits_.retryAt_, out);
+        refuse(RefusalCause::StreamGone, now + limits_.defaultRetryDelay_, out);
         return;
     }
     tryAnotherEndpoint(now, out);
@@ -244,7 +244,7 @@
 void RequestMachine::onFinal(TimePoint now, Actions &out)
 {
     if (hasDeliveredTokens()) {
-        refuse(RefusalCause::ResponseInterrupted, now + limits_.retryAt_, out);
+        refuse(RefusalCause::ResponseInterrupted, now + limits_.defaultRetryDelay_, out);
         return;
     }
     out.emplace_back(ForwardResponse {connection_});
@@ -253,7 +253,7 @@
 
 void RequestMachine::handle(const TokensReceived &event, TimePoint now, Actions &out)
 {
-    if (isStale(event.connection_) || phase_ != Phase::Answering) {
+    if (isStale(event.connection_) || phase_ != Phase::ReceivingResponse) {
         return;
     }
     const std::int64_t from = base_ + event.offset_;
--- a/libs/relay/src/machinerecovery.cpp
+++ b/libs/relay/src/machinerecovery.cpp
@@ -42,7 +42,7 @@
     if (attemptMayRun_) {
         refuse(responseForwarded_ ? RefusalCause::ResponseInterrupted
                                   : RefusalCause::ConnectionLost,
-               now + limits_.retryAt_, out);
+               now + limits_.defaultRetryDelay_, out);
         return;
     }
     tryAnotherEndpoint(now, out);
@@ -51,7 +51,7 @@
 void RequestMachine::recoverRepeatable(TimePoint now, Actions &out)
 {
     if (responseForwarded_) {
-        refuse(RefusalCause::ResponseInterrupted, now + limits_.retryAt_, out);
+        refuse(RefusalCause::ResponseInterrupted, now + limits_.defaultRetryDelay_, out);
         return;
     }
     tryAnotherEndpoint(now, out);
@@ -106,7 +106,7 @@
 void RequestMachine::abandonEngine(TimePoint now, Actions &out)
 {
     if (spec_.recovery_ == Recovery::ResumeOnly) {
-        refuse(RefusalCause::ConnectionLost, now + limits_.retryAt_, out);
+        refuse(RefusalCause::ConnectionLost, now + limits_.defaultRetryDelay_, out);
         return;
     }
     cancelAttempt(out);
@@ -115,24 +115,24 @@
 
 void RequestMachine::tryAnotherEndpoint(TimePoint now, Actions &out)
 {
-    const bool costly = attemptMayRun_;
+    const bool mayHaveStarted = attemptMayRun_;
     excluded_.push_back(endpoint_);
-    closeAttempt(false, out);
+    endAttempt(false, out);
     earlierAttemptMayRun_ |= attemptMayRun_;
     attemptMayRun_ = false;
-    if (streams() && nextOffset_ >= spec_.maxTokens_) {
+    if (isStream() && nextOffset_ >= spec_.maxTokens_) {
         finish(out); // Only the end of the stream was lost; all tokens were delivered.
         return;
     }
     if (attempts_ >= limits_.maxAttempts_) {
-        refuse(RefusalCause::AttemptLimitReached, std::max(now + limits_.retryAt_, notRunUntil_),
-               out);
+        refuse(RefusalCause::AttemptLimitReached,
+               std::max(now + limits_.defaultRetryDelay_, notRunUntil_), out);
         return;
     }
     // The retry budget keeps retries from amplifying an overload. A first retry after an attempt
     // that no endpoint started adds no load, and refusing a partly delivered response would waste
     // more work than continuing it, so neither counts against the budget.
-    const bool firstFreeRetry = !costly && freeRetries_++ == 0;
+    const bool firstFreeRetry = !mayHaveStarted && freeRetries_++ == 0;
     choose(!hasDeliveredTokens() && !firstFreeRetry, out);
 }
 
@@ -146,8 +146,8 @@
     if (!event.mayReconnect_) {
         cancelAttempt(out);
     }
-    closeAttempt(true, out);
-    phase_ = Phase::Over;
+    endAttempt(true, out);
+    phase_ = Phase::Finished;
     out.emplace_back(Abandon {});
 }
 
@@ -155,7 +155,7 @@
 {
     if (now >= deadline_) {
         cancelAttempt(out);
-        refuse(RefusalCause::DeadlinePassed, now + limits_.retryAt_, out);
+        refuse(RefusalCause::DeadlinePassed, now + limits_.defaultRetryDelay_, out);
     } else if (now >= nextSearchAt_) {
         choose(false, out);
     } else if (now >= inactivityDeadline_ && phase_ == Phase::Prefilling) {
@@ -171,7 +171,7 @@
 
 void RequestMachine::cancelAttempt(Actions &out)
 {
-    if (!streams() || !attemptMayRun_) {
+    if (!isStream() || !attemptMayRun_) {
         return;
     }
     if (phase_ == Phase::Prefilling) {
@@ -181,7 +181,7 @@
     }
 }
 
-void RequestMachine::closeAttempt(bool succeeded, Actions &out)
+void RequestMachine::endAttempt(bool succeeded, Actions &out)
 {
     if (std::exchange(attemptOpen_, false)) {
         out.emplace_back(AttemptEnded {attempt_, succeeded});
@@ -190,15 +190,15 @@
 
 void RequestMachine::finish(Actions &out)
 {
-    closeAttempt(true, out);
-    phase_ = Phase::Over;
+    endAttempt(true, out);
+    phase_ = Phase::Finished;
     out.emplace_back(Finish {});
 }
 
 void RequestMachine::refuse(RefusalCause cause, TimePoint retryAt, Actions &out)
 {
-    closeAttempt(cause == RefusalCause::DeadlinePassed, out);
-    phase_ = Phase::Over;
+    endAttempt(cause == RefusalCause::DeadlinePassed, out);
+    phase_ = Phase::Finished;
     out.emplace_back(Refuse {mayHaveRun() ? Outcome::Unknown : Outcome::NotRun, cause, retryAt});
 }
 
@@ -211,7 +211,7 @@
     return stale;
 }
 
-bool RequestMachine::streams() const noexcept
+bool RequestMachine::isStream() const noexcept
 {
     return spec_.recovery_ == Recovery::Stream || spec_.recovery_ == Recovery::ResumeOnly;
 }
--- a/libs/relay/src/modelcall.cpp
+++ b/libs/relay/src/modelcall.cpp
@@ -12,7 +12,8 @@
 constexpr std::size_t MaxPrefillBodyBytes = 1 << 20;
 constexpr std::int64_t MillisPerSecond = 1'000;
 
-RequestSpec specFor(const CallInfo &info, const ModelTask &task, const fleet::Settings &settings)
+RequestSpec requestSpecFor(const CallInfo &info, const ModelTask &task,
+                           const fleet::Settings &settings)
 {
     RequestSpec spec;
     spec.request_ = info.id_;
@@ -58,7 +59,7 @@
 
 ModelCall::ModelCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
                      ModelTask task)
-    : CallDriver(context, caller, info, specFor(info, task, context.settings_))
+    : CallDriver(context, caller, info, requestSpecFor(info, task, context.settings_))
     , task_(std::move(task))
     , format_(formatFor(info_, task_))
     , keyedCall_(context.claims_, task_.key_, info_.id_)
@@ -77,7 +78,7 @@
 {
     if (ticket_ != 0) {
         const std::int64_t prompt = machine_.attempts() > 0 ? promptTokens_ : 0;
-        context_.admission_.finished(ticket_, prompt + machine_.delivered());
+        context_.admission_.onFinished(ticket_, prompt + machine_.delivered());
     }
 }
 
@@ -100,7 +101,7 @@
         return;
     }
     if (claimKey()) {
-        context_.admission_.firstAttempt();
+        context_.admission_.onFirstAttempt();
         pushAdmitted();
         run();
     }
@@ -237,7 +238,7 @@
     }
 }
 
-HeadKind ModelCall::kindOf(const net::ResponseHead &head)
+HeadKind ModelCall::headKindOf(const net::ResponseHead &head)
 {
     if (head.status_ == 200) {
         return HeadKind::Accepted;
@@ -245,13 +246,13 @@
     if (connectionUse_ == ConnectionUse::Resume && head.status_ == 404) {
         return HeadKind::StreamNotFound;
     }
-    net::Response answer {head.status_, head.headers_, readShortBody()};
+    net::Response response {head.status_, head.headers_, readShortBody()};
     if (connectionUse_ != ConnectionUse::Resume && head.status_ == 503
-        && parseEngineError(answer.body_).code_ == "not_run") {
+        && parseEngineError(response.body_).code_ == "not_run") {
         return HeadKind::NotRun;
     }
     if (connectionUse_ != ConnectionUse::Resume && isRequestFault(head.status_)) {
-        engineRefusal_ = std::move(answer);
+        engineRefusal_ = std::move(response);
         return HeadKind::Final;
     }
     return HeadKind::Failed;
@@ -263,12 +264,12 @@
         onPrefillHead(head);
         return;
     }
-    push(HeadReceived {connection_, kindOf(head), retryAfterOf(head)});
+    push(HeadReceived {connection_, headKindOf(head), retryAfterOf(head)});
 }
 
 void ModelCall::onPrefillHead(const net::ResponseHead &head)
 {
-    const HeadKind kind = kindOf(head);
+    const HeadKind kind = headKindOf(head);
     if (kind == HeadKind::NotRun) {
         push(PrefillFinished {connection_, PrefillStatus::NotSent});
     } else if (kind != HeadKind::Accepted) {
@@ -332,8 +333,9 @@
         onLost(true); // The response ended without [DONE]: the engine stopped midway.
         return;
     }
-    const json answer = json::parse(prefillBody_, nullptr, false);
-    kvTransfer_ = answer.is_object() ? answer.value("kv_transfer_params", json()) : json();
+    const json prefillResponse = json::parse(prefillBody_, nullptr, false);
+    kvTransfer_ =
+        prefillResponse.is_object() ? prefillResponse.value("kv_transfer_params", json()) : json();
     const bool ready = kvTransfer_.is_object();
     push(PrefillFinished {connection_, ready ? PrefillStatus::Ready : PrefillStatus::Failed});
 }
@@ -346,7 +348,7 @@
         context_.demand_.onCacheHit(task_.routedModel_, usage.cachedTokens_);
     }
     if (usage.cachedTokens_ >= 0) {
-        context_.router_.firstToken(machine_.streamLocation().attempt_, usage.cachedTokens_);
+        context_.router_.onFirstToken(machine_.streamLocation().attempt_, usage.cachedTokens_);
     }
 }
 
--- a/libs/relay/src/modelcall.h
+++ b/libs/relay/src/modelcall.h
@@ -23,8 +23,8 @@
     ModelId routedModel_; ///< The model that serves the requested name, which may be an adapter's.
     std::optional<ResumeToken> resume_ {};
     std::int64_t resumeOffset_ = 0;
-    bool resumeAtEngine_ =
-        false; ///< The stream of resume_ covers all tokens from resumeOffset_ on.
+    /** The stream of resume_ covers all tokens from resumeOffset_ on. */
+    bool resumeAtEngine_ = false;
     Recovery recovery_ = Recovery::Stream;
     std::optional<IdempotencyKey> key_ {};
 };
@@ -62,10 +62,10 @@
     void respondToDuplicate(const DuplicateResponse &duplicate);
     admission::Offer offer() const;
     void onPrefillHead(const net::ResponseHead &head);
-    HeadKind kindOf(const net::ResponseHead &head);
+    HeadKind headKindOf(const net::ResponseHead &head);
     void onEvent(EngineEvent event);
     void onUsage(const TokenUsage &usage);
-    void onTokenTime(std::int64_t count);
+    void recordTokenTiming(std::int64_t count);
     void respondEngineRefusal();
     ResponseEnd responseEnd() const;
     std::string currentResumeToken() const;
@@ -76,8 +76,8 @@
     std::unique_ptr<ModelResponse> response_;
     KeyedCall keyedCall_;
     admission::Ticket ticket_ = 0;
-    std::int64_t promptTokens_ = 0;
-    std::int64_t expectedOutput_ = 0;
+    std::int64_t promptTokens_ = 0;   ///< Estimated from the text.
+    std::int64_t expectedOutput_ = 0; ///< Tokens.
     std::vector<std::uint64_t> prefixHashes_;
 
     SseReader sseReader_;
--- a/libs/relay/src/modelcallresponse.cpp
+++ b/libs/relay/src/modelcallresponse.cpp
@@ -9,17 +9,17 @@
 {
     deliveredText_ += currentEvent_->text_;
     response_->onTokens(*currentEvent_, action.offset_);
-    onTokenTime(action.count_);
+    recordTokenTiming(action.count_);
 }
 
-void ModelCall::onTokenTime(std::int64_t count)
+void ModelCall::recordTokenTiming(std::int64_t count)
 {
     const TimePoint now = BootClock::now();
     context_.metrics_.count("tokens_total", {}, static_cast<std::uint64_t>(count));
     const AttemptId attempt = machine_.streamLocation().attempt_;
     if (firstTokenAttempt_ != attempt) {
         firstTokenAttempt_ = attempt;
-        context_.router_.firstToken(attempt, -1);
+        context_.router_.onFirstToken(attempt, -1);
     }
     if (lastToken_ == TimePoint()) {
         context_.metrics_.observeSeconds("first_token_seconds", toSeconds(now - info_.started_));
@@ -74,7 +74,7 @@
 
 void ModelCall::forwardResponse()
 {
-    // kindOf() already read an engine's final error response; finish() sends it.
+    // headKindOf() already read an engine's final error response; finish() sends it.
 }
 
 void ModelCall::finish()
--- a/libs/relay/src/modelrequest.cpp
+++ b/libs/relay/src/modelrequest.cpp
@@ -104,8 +104,7 @@
     return tooDeep ? json(json::value_t::discarded) : body;
 }
 
-/** Appends a message's text: a string, or a list of text parts joined by spaces. False if invalid.
- */
+/** Appends a message's text: a string, or text parts joined by spaces. False if invalid. */
 bool appendContent(const json &content, std::string &text)
 {
     if (content.is_string()) {
--- a/libs/relay/src/modelresponse.cpp
+++ b/libs/relay/src/modelresponse.cpp
@@ -246,9 +246,9 @@
     }
     EngineEvent event;
     event.body_["choices"] = json::array({std::move(replayedChoice)});
-    StreamedResponse answer(format);
-    answer.onTokens(event, 0);
-    answer.finish(caller, {"", choice.value("finish_reason", "stop"), {}});
+    StreamedResponse response(format);
+    response.onTokens(event, 0);
+    response.finish(caller, {"", choice.value("finish_reason", "stop"), {}});
 }
 
 std::unique_ptr<ModelResponse> makeStreamedResponse(ResponseFormat format)
--- a/libs/relay/src/relaycontext.cpp
+++ b/libs/relay/src/relaycontext.cpp
@@ -79,7 +79,7 @@
     const std::shared_ptr<const FleetView> fleet = view();
     const int engines = fleet ? fleet->engineCount(model, settings_.domain_) : 0;
     if (const auto capacity = router_.capacityOf(model, engines)) {
-        admission_.capacity(model, *capacity);
+        admission_.setCapacity(model, *capacity);
     }
 }
 
--- a/libs/relay/src/servicecall.cpp
+++ b/libs/relay/src/servicecall.cpp
@@ -44,7 +44,7 @@
     return false;
 }
 
-RequestSpec specFor(const CallInfo &info, const ServiceTask &task)
+RequestSpec requestSpecFor(const CallInfo &info, const ServiceTask &task)
 {
     RequestSpec spec;
     spec.request_ = info.id_;
@@ -74,7 +74,7 @@
 
 ServiceCall::ServiceCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
                          ServiceTask task)
-    : CallDriver(context, caller, info, specFor(info, task))
+    : CallDriver(context, caller, info, requestSpecFor(info, task))
     , task_(std::move(task))
     , keyedCall_(context.claims_, task_.key_, info_.id_)
 { }
@@ -88,7 +88,7 @@
     recordEvent("request.accepted",
                 "service=" + task_.service_.value() + " method=" + task_.method_
                     + " recovery=" + std::string(nameOf(RecoveryNames, task_.recovery_)));
-    context_.admission_.firstAttempt();
+    context_.admission_.onFirstAttempt();
     pushAdmitted();
     run();
 }
--- a/libs/relay/src/synchronized.cpp
+++ b/libs/relay/src/synchronized.cpp
@@ -36,13 +36,13 @@
     return choice;
 }
 
-void SynchronizedRouter::firstToken(const AttemptId &attempt, std::int64_t cachedTokens)
+void SynchronizedRouter::onFirstToken(const AttemptId &attempt, std::int64_t cachedTokens)
 {
     const std::lock_guard lock(mutex_);
     router_.onFirstToken(attempt, cachedTokens, BootClock::now());
 }
 
-void SynchronizedRouter::finished(const AttemptId &attempt, bool succeeded)
+void SynchronizedRouter::onFinished(const AttemptId &attempt, bool succeeded)
 {
     const std::lock_guard lock(mutex_);
     router_.onFinished(attempt, succeeded, BootClock::now());
@@ -145,8 +145,8 @@
     waiter.model_ = offer.model_;
     wake_.notify_all();
     while (!waiter.decision_) {
-        const bool decided = waiter.turn_.wait_for(lock, CallerCheckInterval,
-                                                   [&] { return waiter.decision_.has_value(); });
+        const bool decided = waiter.decided_.wait_for(lock, CallerCheckInterval,
+                                                      [&] { return waiter.decision_.has_value(); });
         if (!decided && callerGone()) {
             admission_.onFinished(first.ticket_, 0, BootClock::now());
             waiters_.erase(first.ticket_);
@@ -159,14 +159,14 @@
     return decision;
 }
 
-void SynchronizedAdmission::finished(admission::Ticket ticket, std::int64_t tokens)
+void SynchronizedAdmission::onFinished(admission::Ticket ticket, std::int64_t tokens)
 {
     const std::lock_guard lock(mutex_);
     admission_.onFinished(ticket, tokens, BootClock::now());
     releaseLocked();
 }
 
-void SynchronizedAdmission::capacity(const ModelId &model, const Capacity &capacity)
+void SynchronizedAdmission::setCapacity(const ModelId &model, const Capacity &capacity)
 {
     const std::lock_guard lock(mutex_);
     admission_.onCapacity(model, capacity.firstTokenWait_, capacity.tokensPerSecond_,
@@ -179,7 +179,7 @@
     return admission_.takeRetry(BootClock::now());
 }
 
-void SynchronizedAdmission::firstAttempt()
+void SynchronizedAdmission::onFirstAttempt()
 {
     const std::lock_guard lock(mutex_);
     admission_.onFirstAttempt(BootClock::now());
@@ -197,7 +197,7 @@
         const auto found = waiters_.find(release.ticket_);
         if (found != waiters_.end()) {
             found->second.decision_ = release.decision_;
-            found->second.turn_.notify_one();
+            found->second.decided_.notify_one();
         }
     }
 }
--- a/libs/relay/src/synchronized.h
+++ b/libs/relay/src/synchronized.h
@@ -30,12 +30,11 @@
 public:
     explicit SynchronizedRouter(routing::Router router);
 
-    /** Chooses an endpoint and registers the attempt atomically, so that concurrent choices count
-     * it. */
+    /** Chooses an endpoint and registers the attempt in one step, so that other requests see it. */
     std::optional<routing::RouteChoice> dispatch(const AttemptId &attempt,
                                                  const routing::RouteQuery &query);
-    void firstToken(const AttemptId &attempt, std::int64_t cachedTokens);
-    void finished(const AttemptId &attempt, bool succeeded);
+    void onFirstToken(const AttemptId &attempt, std::int64_t cachedTokens);
+    void onFinished(const AttemptId &attempt, bool succeeded);
     /**
      * Begins a send to the endpoint. Returns false when it was closed after it was chosen; the
      * caller must then choose again. Each true must be followed by endSend().
@@ -69,24 +68,24 @@
     SynchronizedAdmission(const SynchronizedAdmission &) = delete;
     SynchronizedAdmission &operator=(const SynchronizedAdmission &) = delete;
 
-    /** Source called regularly for each model with queued requests. Set it before the first offer.
-     */
+    /** Called regularly for each model with queued requests. Set before the first offer. */
     void setCapacitySource(CapacitySource source);
 
     /** Blocks until admission decides on the offer. nullopt when callerGone returned true. */
     std::optional<admission::Decision> admit(const admission::Offer &offer,
                                              const std::function<bool()> &callerGone);
-    void finished(admission::Ticket ticket, std::int64_t tokens);
-    void capacity(const ModelId &model, const Capacity &capacity);
+    void onFinished(admission::Ticket ticket, std::int64_t tokens);
+    void setCapacity(const ModelId &model, const Capacity &capacity);
+    /** Consumes one retry of the budget; false when it is exhausted. */
     bool takeRetry();
-    void firstAttempt();
+    void onFirstAttempt();
     void with(const std::function<void(admission::Admission &)> &function);
 
 private:
     /** A thread waiting for the decision on its ticket. */
     struct Waiter
     {
-        std::condition_variable turn_;
+        std::condition_variable decided_;
         std::optional<admission::Decision> decision_;
         ModelId model_;
     };
--- a/libs/relay/tests/fakes.h
+++ b/libs/relay/tests/fakes.h
@@ -20,6 +20,7 @@
 
 using nlohmann::json;
 
+/** A deadline that a test only reaches when it fails. */
 inline TimePoint soon()
 {
     return BootClock::now() + millis(30'000);
