--- a/libs/relay/src/idempotencykey.cpp
+++ b/libs/relay/src/idempotencykey.cpp
@@ -86,8 +86,8 @@
 
 std::string serializeStoredResponse(const StoredResponse &response)
 {
-    const json whole = {{"type", response.contentType_}, {"body", response.body_}};
-    std::string text = whole.dump(-1, ' ', false, json::error_handler_t::ignore);
+    const json withBody = {{"type", response.contentType_}, {"body", response.body_}};
+    std::string text = withBody.dump(-1, ' ', false, json::error_handler_t::ignore);
     // A body that does not survive the round trip, such as bytes that are not UTF-8, is omitted.
     if (response.body_.size() <= MaxStoredBodyBytes
         && parseStoredResponse(text).body_ == response.body_) {
--- a/libs/relay/src/modelrequest.cpp
+++ b/libs/relay/src/modelrequest.cpp
@@ -72,9 +72,9 @@
         if (!value) {
             return fallback;
         }
-        const bool whole = value->is_number_integer();
+        const bool isInteger = value->is_number_integer();
         const bool fits =
-            whole
+            isInteger
             && (value->is_number_unsigned()
                     ? value->get<std::uint64_t>() <= static_cast<std::uint64_t>(maximum)
                     : value->get<std::int64_t>() <= maximum);
@@ -202,10 +202,10 @@
 {
     json &messages = body["messages"];
     json &last = messages.back();
-    const bool begun = body.value("continue_final_message", json(false)) == json(true)
-                       && last.value("role", "") == "assistant"
-                       && last.value("content", json()).is_string();
-    if (begun) {
+    const bool endsWithAssistant = body.value("continue_final_message", json(false)) == json(true)
+                                   && last.value("role", "") == "assistant"
+                                   && last.value("content", json()).is_string();
+    if (endsWithAssistant) {
         last["content"] = last["content"].get<std::string>() + std::string(delivered);
     } else {
         messages.push_back({{"role", "assistant"}, {"content", delivered}});
--- a/libs/relay/src/modelresponse.cpp
+++ b/libs/relay/src/modelresponse.cpp
@@ -231,8 +231,8 @@
                    const DuplicateResponse &duplicate)
 {
     const json body = json::parse(duplicate.stored_.body_, nullptr, false);
-    const bool whole = body.is_object() && body.contains("choices");
-    if (!stream || !whole) {
+    const bool isCompletion = body.is_object() && body.contains("choices");
+    if (!stream || !isCompletion) {
         caller.respond(duplicate.status_, duplicate.stored_.contentType_, duplicate.stored_.body_,
                        format.headers_);
         return;
--- a/libs/relay/tests/machinetest.cpp
+++ b/libs/relay/tests/machinetest.cpp
@@ -12,9 +12,9 @@
 const EndpointId Second("e2");
 
 /** A machine with a manual clock and the actions of its last event. */
-struct Run
+struct MachineRun
 {
-    explicit Run(Recovery recovery, std::int64_t maxTokens = 10)
+    explicit MachineRun(Recovery recovery, std::int64_t maxTokens = 10)
         : machine_(RequestMachine::Builder().spec(specOf(recovery, maxTokens)).build())
     { }
 
@@ -28,7 +28,7 @@
         return spec;
     }
 
-    Run &operator()(const Event &event)
+    MachineRun &operator()(const Event &event)
     {
         actions_ = machine_.on(event, now_);
         for (const Action &action : actions_) {
@@ -50,38 +50,38 @@
     }
 
     /** Advances the clock to wakeAt() and sends TimePassed. */
-    Run &advanceToWake()
+    MachineRun &advanceToWake()
     {
         now_ = machine_.wakeAt();
         return (*this)(TimePassed {});
     }
 
     /** Chooses the endpoint for the request, which the machine then sends. */
-    Run &sentTo(const EndpointId &endpoint)
+    MachineRun &sentTo(const EndpointId &endpoint)
     {
         (*this)(EndpointChosen {endpoint, std::nullopt, now_ + millis(100)});
         connection_ = lastAction<SendRequest>()->connection_;
         return *this;
     }
-    Run &acceptedBy(const EndpointId &endpoint)
+    MachineRun &acceptedBy(const EndpointId &endpoint)
     {
         sentTo(endpoint);
         return (*this)(HeadReceived {connection_, HeadKind::Accepted, {}});
     }
-    Run &tokens(std::int64_t from, std::int64_t count)
+    MachineRun &tokens(std::int64_t from, std::int64_t count)
     {
         for (std::int64_t offset = from; offset < from + count; ++offset) {
             (*this)(TokensReceived {connection_, offset, 1});
         }
         return *this;
     }
-    Run &resumed()
+    MachineRun &resumed()
     {
         connection_ = lastAction<ResumeStream>()->connection_;
         return (*this)(HeadReceived {connection_, HeadKind::Accepted, {}});
     }
     /** Lets the inactivity timeout pass and reports that the engine is alive. */
-    Run &checkedAlive()
+    MachineRun &checkedAlive()
     {
         advanceToWake();
         return (*this)(EngineChecked {lastAction<CheckEngine>()->connection_, true});
@@ -127,7 +127,7 @@
 
 BOOST_AUTO_TEST_CASE(streamIsDeliveredAndFinishedOnce)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 10);
     run(ResponseEnded {run.connection_});
     BOOST_TEST(run.lastAction<Finish>());
@@ -143,7 +143,7 @@
 // restart at 0, so they must not be taken for offsets in the whole response.
 BOOST_AUTO_TEST_CASE(streamOfACrashedEngineContinuesOnAnotherWithoutGapOrDuplicate)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 4);
     run(ConnectionLost {run.connection_, true});
     BOOST_TEST(run.lastAction<ResumeStream>()->offset_ == 4);
@@ -165,7 +165,7 @@
 // closing it. Only a new connection can show that the engine is alive.
 BOOST_AUTO_TEST_CASE(stalledStreamResumesOnANewConnectionOfTheSameAttempt)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 3);
     const ConnectionNumber old = run.connection_;
     run.checkedAlive();
@@ -188,7 +188,7 @@
 // check time out.
 BOOST_AUTO_TEST_CASE(engineThatFailsItsHealthCheckIsCancelledAndReplaced)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 2).advanceToWake();
     BOOST_TEST(run.lastAction<CheckEngine>());
     run.advanceToWake();
@@ -200,7 +200,7 @@
 // a long prefill. Each probe waits longer, and only several in a row without a token give up.
 BOOST_AUTO_TEST_CASE(timeoutDoublesWithEachProbeOfASlowEngine)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 1);
     for (int probe = 0; probe < 5; ++probe) {
         run.checkedAlive();
@@ -215,7 +215,7 @@
 
 BOOST_AUTO_TEST_CASE(missingTokensAreRequestedAgain)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 2);
     run(TokensReceived {run.connection_, 5, 1});
     BOOST_TEST(!run.lastAction<Deliver>());
@@ -227,7 +227,7 @@
 
 BOOST_AUTO_TEST_CASE(streamThatLostOnlyItsEndIsComplete)
 {
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run(Admitted {}).acceptedBy(First).tokens(0, 10);
     run(ConnectionLost {run.connection_, true});
     run(HeadReceived {run.lastAction<ResumeStream>()->connection_, HeadKind::StreamNotFound, {}});
@@ -252,7 +252,7 @@
                                  {true, HeadKind::Accepted, Outcome::Unknown}};
     for (const Recovery recovery : {Recovery::Once, Recovery::Repeat}) {
         for (const Row &row : rows) {
-            Run run(recovery);
+            MachineRun run(recovery);
             run(Admitted {});
             run(EndpointChosen {First, std::nullopt, {}});
             run.connection_ = run.lastAction<SendRequest>()->connection_;
@@ -275,28 +275,28 @@
 // sent and before its response, and the endpoint may have executed it.
 BOOST_AUTO_TEST_CASE(nonIdempotentCallIsNotResentOnceAByteMayHaveBeenSent)
 {
-    Run lost(Recovery::Once);
+    MachineRun lost(Recovery::Once);
     lost(Admitted {}).sentTo(First);
     lost(ConnectionLost {lost.connection_, true});
     BOOST_TEST(lost.refused(Outcome::Unknown, RefusalCause::ConnectionLost));
 
-    Run partly(Recovery::Once);
+    MachineRun partly(Recovery::Once);
     partly(Admitted {});
     partly(EndpointChosen {First, std::nullopt, {}});
     partly(ConnectionLost {partly.lastAction<SendRequest>()->connection_, true});
     BOOST_TEST(partly.refused(Outcome::Unknown, RefusalCause::ConnectionLost));
 
-    Run late(Recovery::Once);
+    MachineRun late(Recovery::Once);
     late(Admitted {}).sentTo(First).advanceToWake();
     BOOST_TEST(late.refused(Outcome::Unknown, RefusalCause::DeadlinePassed));
 
-    Run unreached(Recovery::Once);
+    MachineRun unreached(Recovery::Once);
     unreached(Admitted {});
     unreached(EndpointChosen {First, std::nullopt, {}});
     unreached(ConnectionLost {unreached.lastAction<SendRequest>()->connection_, false});
     BOOST_TEST(unreached.lastAction<ChooseEndpoint>());
 
-    Run refused(Recovery::Once);
+    MachineRun refused(Recovery::Once);
     refused(Admitted {}).sentTo(First);
     refused(HeadReceived {refused.connection_, HeadKind::NotRun, {}});
     BOOST_TEST(refused.lastAction<ChooseEndpoint>());
@@ -304,7 +304,7 @@
 
 BOOST_AUTO_TEST_CASE(idempotentCallIsRetriedUntilItsResponseIsForwarded)
 {
-    Run run(Recovery::Repeat);
+    MachineRun run(Recovery::Repeat);
     run(Admitted {}).acceptedBy(First);
     BOOST_TEST(run.lastAction<ForwardResponse>());
     run(ConnectionLost {run.connection_, true});
@@ -319,14 +319,14 @@
 // attempt that did not start is free; others consume the retry budget.
 BOOST_AUTO_TEST_CASE(retriesAreBoundedByTheBudgetAndByTheRequestsOwnLimit)
 {
-    Run run(Recovery::Repeat);
+    MachineRun run(Recovery::Repeat);
     run(Admitted {}).sentTo(First);
     run(HeadReceived {run.connection_, HeadKind::NotRun, run.now_ + millis(9'000)});
     BOOST_TEST(!run.lastAction<ChooseEndpoint>()->budgeted_);
     run.sentTo(Second);
     run(HeadReceived {run.connection_, HeadKind::NotRun, {}});
     BOOST_TEST(run.lastAction<ChooseEndpoint>()->budgeted_);
-    Run spent = run;
+    MachineRun spent = run;
     spent(RetryBudgetExhausted {spent.now_ + millis(100)});
     BOOST_TEST(spent.refused(Outcome::NotRun, RefusalCause::RetryBudgetExhausted));
     BOOST_TEST((spent.lastAction<Refuse>()->retryAt_ == spent.now_ + millis(9'000)));
@@ -341,15 +341,15 @@
 // takes seconds. A new request is refused at once instead.
 BOOST_AUTO_TEST_CASE(startedStreamWaitsForAnEndpointAndANewRequestDoesNot)
 {
-    Run newRequest(Recovery::Stream);
+    MachineRun newRequest(Recovery::Stream);
     newRequest(Admitted {})(NoEndpoint {newRequest.now_ + millis(10)});
     BOOST_TEST(newRequest.refused(Outcome::NotRun, RefusalCause::NoEndpoint));
 
-    Run started(Recovery::Stream);
+    MachineRun started(Recovery::Stream);
     started(Admitted {}).acceptedBy(First).tokens(0, 1);
     started(ConnectionLost {started.connection_, true});
     started(ConnectionLost {started.lastAction<ResumeStream>()->connection_, false});
-    Run withoutEndpoint = started;
+    MachineRun withoutEndpoint = started;
     started(NoEndpoint {}).advanceToWake();
     BOOST_TEST(started.lastAction<ChooseEndpoint>()->excluded_.empty());
     started.acceptedBy(First).tokens(0, 9);
@@ -364,9 +364,9 @@
 // to the caller fails, it may already resume through another instance, so the stream must continue.
 BOOST_AUTO_TEST_CASE(disconnectedCallerCancelsItsStreamAndAFailedWriteDoesNot)
 {
-    Run gone(Recovery::Stream);
+    MachineRun gone(Recovery::Stream);
     gone(Admitted {}).acceptedBy(First).tokens(0, 1);
-    Run silent = gone;
+    MachineRun silent = gone;
     gone(CallerGone {});
     BOOST_TEST((gone.lastAction<Cancel>()->endpoint_ == First));
     BOOST_TEST(gone.lastAction<AttemptEnded>()->succeeded_);
@@ -375,7 +375,7 @@
     BOOST_TEST(!silent.lastAction<Cancel>());
     BOOST_TEST(silent.lastAction<Abandon>());
 
-    Run confirmation(Recovery::Once);
+    MachineRun confirmation(Recovery::Once);
     confirmation(Admitted {}).sentTo(First);
     confirmation(CallerGone {});
     BOOST_TEST(!confirmation.machine_.finished());
@@ -385,7 +385,7 @@
 {
     for (const PrefillStatus status :
          {PrefillStatus::Ready, PrefillStatus::NotSent, PrefillStatus::Failed}) {
-        Run run(Recovery::Stream);
+        MachineRun run(Recovery::Stream);
         run(Admitted {});
         run(EndpointChosen {First, Second, run.now_});
         BOOST_TEST((run.lastAction<Prefill>()->endpoint_ == Second));
@@ -396,7 +396,7 @@
         run(ConnectionLost {run.lastAction<SendRequest>()->connection_, false});
         BOOST_TEST(run.machine_.mayHaveRun() == (status != PrefillStatus::NotSent));
     }
-    Run slow(Recovery::Stream);
+    MachineRun slow(Recovery::Stream);
     slow(Admitted {});
     slow(EndpointChosen {First, Second, slow.now_});
     slow.advanceToWake();
@@ -406,7 +406,7 @@
 
 BOOST_AUTO_TEST_CASE(resumedStreamThatItsEngineLostIsRefusedAsUnknown)
 {
-    RequestSpec spec = Run::specOf(Recovery::ResumeOnly, 10);
+    RequestSpec spec = MachineRun::specOf(Recovery::ResumeOnly, 10);
     spec.delivered_ = 6;
     spec.resumeAt_ = StreamLocation {First, AttemptId("other.2"), 4};
     RequestMachine machine = RequestMachine::Builder().spec(spec).build();
@@ -421,9 +421,9 @@
 
 BOOST_AUTO_TEST_CASE(withoutACallerDeadlineEveryTokenExtendsTheDeadline)
 {
-    RequestSpec spec = Run::specOf(Recovery::Stream, 1'000);
+    RequestSpec spec = MachineRun::specOf(Recovery::Stream, 1'000);
     spec.deadlineExtension_ = millis(60'000);
-    Run run(Recovery::Stream);
+    MachineRun run(Recovery::Stream);
     run.machine_ = RequestMachine::Builder().spec(spec).build();
     run(Admitted {}).acceptedBy(First);
     for (std::int64_t offset = 0; offset < 200; ++offset) {
@@ -448,7 +448,7 @@
         awaitingFirstReply_ =
             awaitingFirstReply_ && !(head && head->connection_ == sendConnection_);
     }
-    bool after(const Run &run)
+    bool after(const MachineRun &run)
     {
         if (const auto *send = run.lastAction<SendRequest>()) {
             duplicateSends_ += mayBeRunning_ ? 1 : 0;
@@ -492,7 +492,7 @@
     std::mt19937 random(7);
     for (int round = 0; round < 20'000; ++round) {
         const auto recovery = static_cast<Recovery>(random() % 3);
-        Run run(recovery, 6);
+        MachineRun run(recovery, 6);
         InvariantChecker checker;
         run(Admitted {});
         for (int step = 0; step < 60 && !run.machine_.finished(); ++step) {
