--- a/libs/app/src/instance.cpp
+++ b/libs/app/src/instance.cpp
@@ -36,10 +36,10 @@
     case control::KeyClaimStatus::LogOut:
         break;
     }
-    return relay::ClaimStatus::LogOut;
+    return relay::ClaimStatus::LogUnavailable;
 }
 
-relay::ClaimAnswer toRelay(const control::KeyClaimAnswer &answer)
+relay::ClaimResult toRelay(const control::KeyClaimAnswer &answer)
 {
     return {toRelay(answer.status_), answer.httpStatus_, answer.body_};
 }
@@ -51,13 +51,13 @@
 
 } // namespace
 
-relay::ClaimAnswer ControlKeyClaims::claim(const std::string &key, const RequestId &request,
+relay::ClaimResult ControlKeyClaims::claim(const std::string &key, const RequestId &request,
                                            TimePoint deadline)
 {
     return toRelay(claims_.claim(key, request, deadline));
 }
 
-relay::ClaimAnswer ControlKeyClaims::lookUp(const std::string &key, TimePoint deadline)
+relay::ClaimResult ControlKeyClaims::lookUp(const std::string &key, TimePoint deadline)
 {
     return toRelay(claims_.lookUp(key, deadline));
 }
@@ -194,7 +194,7 @@
         std::make_unique<Periodic>(millis(FollowListMillis), [this] { followInstanceList(); });
     catchUp_ = std::make_unique<Periodic>(millis(CatchUpMillis), [this] { catchUpFromPeers(); });
     planTimer_ = std::make_unique<Periodic>(millis(PlanMillis), [this] {
-        ledger_.addLocal(relay_->takeMix());
+        ledger_.addLocal(relay_->takeDemand());
         planLoop_->round();
     });
     timeline_.add(EventKind::Instance, "instance.started", settings_.instance_.value());
@@ -351,8 +351,9 @@
         spare = std::max(spare, share.is_number() ? share.get<double>() : 0.0);
     }
     const TimePoint validUntil = now + millis(settings_.heartbeatMillis_) * RoomHeartbeats;
-    relay_->withRouter(
-        [&](routing::Router &router) { router.onDomainCapacity(member.domain_, spare, validUntil); });
+    relay_->withRouter([&](routing::Router &router) {
+        router.onDomainCapacity(member.domain_, spare, validUntil);
+    });
 }
 
 nlohmann::json Instance::Parts::status()
@@ -383,7 +384,7 @@
             {"appends", log_->appends()},
             {"fence", reconciler_->heldFence().value_or(0)},
             {"role_changes", planLoop_->roleChanges()},
-            {"in_work", relay_->inWork()},
+            {"in_work", relay_->activeRequests()},
             {"members", std::move(members)},
             {"withheld", std::move(withheld)},
             {"engines", std::move(progress)}};
--- a/libs/relay/src/canceller.h
+++ b/libs/relay/src/canceller.h
@@ -1,5 +1,5 @@
 /**
- * Tells engines that nobody waits for a stream any more, beside the requests' own threads.
+ * Cancels streams on engines in background threads, so that requests do not wait for it.
  */
 #pragma once
 
@@ -16,34 +16,35 @@
 
 namespace almondridge::relay {
 
+/** Queue of cancel requests with its worker threads. Thread-safe. */
 class Canceller
 {
 public:
     Canceller(observe::Metrics &metrics, Duration timeout);
-    /** Sends what is still queued, each for at most the timeout. */
+    /** Sends the queued requests, each with the timeout, and joins the threads. */
     ~Canceller();
     Canceller(const Canceller &) = delete;
     Canceller &operator=(const Canceller &) = delete;
 
-    /** Sends DELETE soon. Never waits. */
+    /** Queues a DELETE of the stream without blocking. Dropped and counted if the queue is full. */
     void cancel(const net::Address &engine, const AttemptId &attempt);
 
 private:
-    struct Order
+    struct CancelRequest
     {
         net::Address engine_;
         AttemptId attempt_;
-        int tries_ = 0;
+        int sendCount_ = 0;
     };
 
-    void work();
-    bool send(const Order &order);
+    void runWorker();
+    bool send(const CancelRequest &request);
 
     observe::Metrics &metrics_;
     const Duration timeout_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    std::deque<Order> orders_;
+    std::deque<CancelRequest> queue_;
     bool stopping_ = false;
     std::vector<std::thread> workers_;
 };
--- a/libs/relay/src/keyedcall.h
+++ b/libs/relay/src/keyedcall.h
@@ -1,9 +1,9 @@
 /**
- * The claim, the answer of a repeat, and the stored outcome of one call with a key.
+ * Idempotency of one call: claims its key, responds to duplicates, and stores its outcome.
  */
 #pragma once
 
-#include "callerkey.h"
+#include "idempotencykey.h"
 #include "refusal.h"
 
 #include "almondridge/base/time.h"
@@ -14,35 +14,35 @@
 
 namespace almondridge::relay {
 
-/** What a repeat gets instead of a run. */
-struct RepeatAnswer
+/** The response to a request that must not run because of its key. */
+struct DuplicateResponse
 {
-    KeyVerdict verdict_ = KeyVerdict::SayUnknown;
-    int status_ = 0;                    ///< With AnswerStored.
-    StoredAnswer stored_ {};            ///< With AnswerStored.
-    std::optional<Refusal> refusal_ {}; ///< With the others.
+    KeyDecision keyDecision_ = KeyDecision::ReplyUnknown;
+    int status_ = 0;                    ///< For ReplayStored.
+    StoredResponse stored_ {};          ///< For ReplayStored.
+    std::optional<Refusal> refusal_ {}; ///< For the other decisions.
 };
 
+/** The key of one call. Without a key, every call runs and nothing is stored. */
 class KeyedCall
 {
 public:
-    /** Without a key every call runs and nothing is kept. */
-    KeyedCall(KeyClaims &claims, std::optional<CallerKey> key, RequestId request);
+    KeyedCall(KeyClaims &claims, std::optional<IdempotencyKey> key, RequestId request);
 
-    /** Whether this call may only look up, so that nothing needs to be admitted for it. */
-    bool looksUpOnly() const noexcept;
-    /** nullopt: the call may run, and its key is claimed as its rule demands. */
-    std::optional<RepeatAnswer> begin(TimePoint deadline);
-    /** Keeps the outcome of a call that ran; StoredUnknown and StoredNotRun included. */
-    void end(int status, const StoredAnswer &answer);
+    /** Whether this call only looks its key up and never runs, so that it needs no admission. */
+    bool isLookupOnly() const noexcept;
+    /** Claims or looks up the key. nullopt: the call may run. */
+    std::optional<DuplicateResponse> begin(TimePoint deadline);
+    /** Stores the outcome of a call that ran: an HTTP status, StoredUnknown or StoredNotRun. */
+    void end(int status, const StoredResponse &response);
 
 private:
-    ClaimAnswer ask(TimePoint deadline);
+    ClaimResult claimOrLookUp(TimePoint deadline);
 
     KeyClaims &claims_;
-    std::optional<CallerKey> key_;
+    std::optional<IdempotencyKey> key_;
     RequestId request_;
-    bool running_ = false;
+    bool storesOutcome_ = false; ///< begin() let the call run.
 };
 
 } // namespace almondridge::relay
--- a/libs/relay/src/modelcall.h
+++ b/libs/relay/src/modelcall.h
@@ -1,12 +1,12 @@
 /**
- * One call to a model: admission, attempts at engines, and the caller's answer.
+ * One call to a model: admission, attempts on engines, and the caller's response.
  */
 #pragma once
 
 #include "calldriver.h"
 #include "keyedcall.h"
-#include "modelanswer.h"
 #include "modelrequest.h"
+#include "modelresponse.h"
 #include "resumetoken.h"
 #include "ssereader.h"
 
@@ -16,23 +16,25 @@
 
 namespace almondridge::relay {
 
-/** What a call to a model is about. */
+/** Parameters of a call to a model. */
 struct ModelTask
 {
     ModelRequest request_;
-    ModelId routed_; ///< The model whose engines serve the name in the request.
+    ModelId routedModel_; ///< The model that serves the requested name, which may be an adapter's.
     std::optional<ResumeToken> resume_ {};
     std::int64_t resumeOffset_ = 0;
-    bool atEngine_ = false; ///< The token's engine can have all that follows resumeOffset_.
+    /** The stream of resume_ covers all tokens from resumeOffset_ on. */
+    bool resumeAtEngine_ = false;
     Recovery recovery_ = Recovery::Stream;
-    std::optional<CallerKey> key_ {};
+    std::optional<IdempotencyKey> key_ {};
 };
 
 class ModelCall : public CallDriver
 {
 public:
-    ModelCall(RelayParts &parts, net::ServerExchange &caller, const CallInfo &info, ModelTask task);
-    /** Gives the place in admission back, whatever ended the call. */
+    ModelCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
+              ModelTask task);
+    /** Releases the admission ticket. */
     ~ModelCall() override;
     ModelCall(const ModelCall &) = delete;
     ModelCall &operator=(const ModelCall &) = delete;
@@ -50,43 +52,43 @@
     void onLost(bool anythingSent) override;
     void deliver(const Deliver &action) override;
     void keepAlive() override;
-    void passOn() override;
+    void forwardResponse() override;
     void finish() override;
     void refuse(const Refusal &refusal) override;
     void abandon() override;
 
     bool admit();
-    bool passKey();
-    void answerRepeat(const RepeatAnswer &repeat);
+    bool claimKey();
+    void respondToDuplicate(const DuplicateResponse &duplicate);
     admission::Offer offer() const;
     void onPrefillHead(const net::ResponseHead &head);
-    HeadKind kindOf(const net::ResponseHead &head);
+    HeadKind headKindOf(const net::ResponseHead &head);
     void onEvent(EngineEvent event);
     void onUsage(const TokenUsage &usage);
-    void onTokenTime(std::int64_t count);
+    void recordTokenTiming(std::int64_t count);
     void respondEngineRefusal();
-    AnswerEnd answerEnd() const;
-    std::string resumeToken() const;
+    ResponseEnd responseEnd() const;
+    std::string currentResumeToken() const;
     net::Request engineRequest(const AttemptId &attempt, std::string body) const;
 
     ModelTask task_;
-    AnswerForm form_;
-    std::unique_ptr<ModelAnswer> answer_;
-    KeyedCall keyed_;
+    ResponseFormat format_;
+    std::unique_ptr<ModelResponse> response_;
+    KeyedCall keyedCall_;
     admission::Ticket ticket_ = 0;
-    std::int64_t promptTokens_ = 0;
-    std::int64_t expectedOutput_ = 0;
+    std::int64_t promptTokens_ = 0;   ///< Estimated from the text.
+    std::int64_t expectedOutput_ = 0; ///< Tokens.
     std::vector<std::uint64_t> prefixHashes_;
 
-    SseReader events_;
-    EngineEvent *current_ = nullptr; ///< The event that Deliver is about.
-    std::string text_;               ///< Delivered so far.
+    SseReader sseReader_;
+    EngineEvent *currentEvent_ = nullptr; ///< The event whose tokens Deliver refers to.
+    std::string deliveredText_;           ///< Text delivered so far.
     std::string finishReason_;
     std::optional<TokenUsage> usage_;
-    std::string prefillAnswer_;
+    std::string prefillBody_;
     nlohmann::json kvTransfer_;
-    std::optional<net::Response> finalAnswer_; ///< An engine's own refusal.
-    AttemptId firstTokenOf_; ///< The attempt whose first token the router was told of.
+    std::optional<net::Response> engineRefusal_; ///< An engine's final error response.
+    AttemptId firstTokenAttempt_; ///< Last attempt whose first token was reported to the router.
     TimePoint lastToken_ {};
     TimePoint keepAliveAt_ {};
 };
--- a/libs/relay/src/refusal.cpp
+++ b/libs/relay/src/refusal.cpp
@@ -12,7 +12,7 @@
 constexpr std::int64_t MillisPerSecond = 1'000;
 constexpr int FirstServerStatus = 500;
 
-/** One row of a table that turns a reason into an answer. */
+/** Maps a reason to its error response. */
 template <typename Reason>
 struct RefusalRow
 {
@@ -30,17 +30,18 @@
 constexpr std::array<RefusalRow<RefusalCause>, 8> CauseRows {{
     {RefusalCause::Admission, 503, "overloaded", "there is no room", WaitRemedy},
     {RefusalCause::NoEndpoint, 503, "no_endpoint", "no endpoint can take the request", WaitRemedy},
-    {RefusalCause::NoRetryLeft, 503, "no_retry_left",
+    {RefusalCause::RetryBudgetExhausted, 503, "no_retry_left",
      "an endpoint failed and too many requests are being retried", WaitRemedy},
-    {RefusalCause::AttemptsSpent, 503, "attempts_spent", "several endpoints failed", WaitRemedy},
+    {RefusalCause::AttemptLimitReached, 503, "attempts_spent", "several endpoints failed",
+     WaitRemedy},
     {RefusalCause::DeadlinePassed, 504, "deadline_passed", "the deadline of the request passed",
      "give the request a later deadline"},
     {RefusalCause::ConnectionLost, 502, "connection_lost",
      "the connection to the endpoint was lost and the request may not be sent twice",
      UnknownRemedy},
-    {RefusalCause::AnswerBroken, 502, "answer_broken",
+    {RefusalCause::ResponseInterrupted, 502, "answer_broken",
      "the endpoint failed in the middle of its answer", UnknownRemedy},
-    {RefusalCause::StreamForgotten, 410, "stream_forgotten",
+    {RefusalCause::StreamGone, 410, "stream_forgotten",
      "the engine does not have this stream any more",
      "post the request again with X-Resume-Token, X-Resume-Offset and the text so far in "
      "resume_text"},
@@ -115,7 +116,7 @@
 {
     Refusal refusal;
     refusal.code_ = "internal";
-    // A fault of our own may have come after the request had left.
+    // An internal error may occur after the request was sent to an endpoint.
     refusal.outcome_ = Outcome::Unknown;
     refusal.message_ = error.message_;
     refusal.remedy_ = error.remedy_;
@@ -149,7 +150,7 @@
     if (refusal.retryAt_) {
         error["retry_after_ms"] = millisToWait(refusal, now);
     }
-    // Messages may quote a caller's bytes, which need not be UTF-8.
+    // Messages may quote bytes of the request that are not valid UTF-8.
     return json {{"error", std::move(error)}}.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
--- a/libs/relay/src/servicecall.h
+++ b/libs/relay/src/servicecall.h
@@ -1,5 +1,5 @@
 /**
- * One call to a plain service: passed to an endpoint as it is, and its answer back.
+ * One call to a service: forwards the request to an endpoint and the response to the caller.
  */
 #pragma once
 
@@ -11,25 +11,26 @@
 
 namespace almondridge::relay {
 
+/** Parameters of a call to a service. */
 struct ServiceTask
 {
     ServiceId service_;
     std::string method_;
-    std::string path_; ///< In the service, with the query.
+    std::string path_; ///< Path below the service's prefix, with the query.
     net::Headers headers_;
     std::string body_;
     Recovery recovery_ = Recovery::Once;
-    std::optional<CallerKey> key_ {};
+    std::optional<IdempotencyKey> key_ {};
 };
 
-/** Headers without those that are about one connection only, and without those named. */
+/** The headers without hop-by-hop headers and without those in excluded (lower case). */
 net::Headers endToEndHeaders(const net::Headers &headers,
-                             std::initializer_list<std::string_view> without);
+                             std::initializer_list<std::string_view> excluded);
 
 class ServiceCall : public CallDriver
 {
 public:
-    ServiceCall(RelayParts &parts, net::ServerExchange &caller, const CallInfo &info,
+    ServiceCall(RelayContext &context, net::ServerExchange &caller, const CallInfo &info,
                 ServiceTask task);
     void serve();
 
@@ -39,21 +40,21 @@
     void onHead(const net::ResponseHead &head) override;
     void onBytes(std::string_view bytes) override;
     void onEnd() override;
-    void passOn() override;
+    void forwardResponse() override;
     void finish() override;
     void refuse(const Refusal &refusal) override;
     void abandon() override;
 
-    void answerRepeat(const RepeatAnswer &repeat);
-    void beginPassing();
+    void respondToDuplicate(const DuplicateResponse &duplicate);
+    void startForwarding();
     net::Headers callerHeaders() const;
     std::string contentType() const;
 
     ServiceTask task_;
-    KeyedCall keyed_;
+    KeyedCall keyedCall_;
     net::ResponseHead head_;
-    std::string body_;     ///< Of the answer, until it is passed on in pieces.
-    bool passing_ = false; ///< The answer goes to the caller in pieces.
+    std::string body_;        ///< Buffered response body, until streaming starts.
+    bool forwarding_ = false; ///< The response is being streamed to the caller.
 };
 
 } // namespace almondridge::relay
--- a/libs/relay/tests/badinputtest.cpp
+++ b/libs/relay/tests/badinputtest.cpp
@@ -20,7 +20,7 @@
 
 constexpr const char *Key = "the key of kaarna";
 
-struct Front
+struct AuthenticatedRelay
 {
     fleet::FleetBuilder fleet()
     {
@@ -60,9 +60,9 @@
 
 } // namespace
 
-BOOST_FIXTURE_TEST_SUITE(BadInput, Front)
+BOOST_FIXTURE_TEST_SUITE(BadInput, AuthenticatedRelay)
 
-BOOST_AUTO_TEST_CASE(eachWrongBodyGetsItsOwnRefusalAndNothingRuns)
+BOOST_AUTO_TEST_CASE(invalidBodiesAreRefusedAndNothingRuns)
 {
     struct Row
     {
@@ -112,7 +112,7 @@
     BOOST_TEST(engine_.bodies().empty());
 }
 
-BOOST_AUTO_TEST_CASE(wrongHeadersAndKeysAreRefused)
+BOOST_AUTO_TEST_CASE(invalidHeadersAndKeysAreRefused)
 {
     const std::string body = R"({"model":"m","prompt":"a"})";
     const auto with = [&](net::Headers headers) {
@@ -135,11 +135,9 @@
     BOOST_TEST(relay_.call({"GET", "/v1/models", {}, {}}).status_ == 401);
 }
 
-// A caller that stops in the middle of its body would hold a place for ever, or half a request
-// would run.
-// The caller sends half of what it announced and goes silent, or closes.
-// Cause: taking what came for the whole.
-BOOST_AUTO_TEST_CASE(aHalfSentOrSlowBodyIsRefused)
+// Guards against a slot held for ever, or a truncated request executed, when a caller sends only
+// half of the announced body and then stalls or closes.
+BOOST_AUTO_TEST_CASE(incompleteOrSlowBodyIsRefused)
 {
     fleet::Settings settings = RelayServer::settingsOf("i1");
     settings.callerTimeoutMillis_ = 300;
@@ -165,8 +163,8 @@
     settings.maxStreams_ = 1;
     RelayServer relay(fleet(), claims_, settings);
     Fault fault;
-    fault.silentAfter_ = 0;
-    engine_.fault(fault);
+    fault.stallAfter_ = 0;
+    engine_.setFault(fault);
     auto first = net::HttpExchange::connect(relay.address(), soon()).value();
     const std::string body = R"({"model":"m","prompt":"a","stream":true})";
     first.send({"POST", "/v1/completions", {authorization()}, body}, soon()).value();
@@ -180,7 +178,7 @@
     BOOST_TEST(relay.relay_->waitIdle(soon()));
 }
 
-BOOST_AUTO_TEST_CASE(mutatedBodiesAreReadOrRefusedAndWhatIsReadCanBeWritten)
+BOOST_AUTO_TEST_CASE(mutatedBodiesAreParsedOrRefusedAndParsedOnesCanBeSerialized)
 {
     std::mt19937 random(11);
     const std::string seed =
@@ -198,7 +196,7 @@
     BOOST_TEST(read > 100);
 }
 
-BOOST_AUTO_TEST_CASE(mutatedEventsOfAnEngineAreReadOrRefused)
+BOOST_AUTO_TEST_CASE(mutatedEngineEventsAreParsedOrRejected)
 {
     std::mt19937 random(13);
     const std::string seed =
@@ -213,7 +211,7 @@
         bool understood = true;
         for (std::size_t at = 0; at < text.size() && understood;) {
             const std::size_t size = 1 + random() % 40;
-            understood = reader.take(std::string_view(text).substr(at, size));
+            understood = reader.append(std::string_view(text).substr(at, size));
             at += size;
         }
         while (understood && reader.hasEvent()) {
@@ -223,7 +221,7 @@
         BOOST_REQUIRE((round > 0 || events == 3));
     }
     SseReader bounded(512);
-    BOOST_TEST(!bounded.take("data: " + std::string(600, 'x')));
+    BOOST_TEST(!bounded.append("data: " + std::string(600, 'x')));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/relay/tests/streamtest.cpp
+++ b/libs/relay/tests/streamtest.cpp
@@ -19,11 +19,11 @@
 /** Two engines behind one relay. */
 struct TwoEngines
 {
-    /** Puts the fault on the engine that gets the next request, whichever it is. */
-    void faultFirstUsed(const Fault &fault)
+    /** Sets the fault on both engines, since either may get the next request. */
+    void setFaultOnBoth(const Fault &fault)
     {
-        one_.fault(fault);
-        two_.fault(fault);
+        one_.setFault(fault);
+        two_.setFault(fault);
     }
     std::size_t requests() { return one_.bodies().size() + two_.bodies().size(); }
 
@@ -37,7 +37,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(Streams, TwoEngines)
 
-BOOST_AUTO_TEST_CASE(completionsComeStreamedOrWhole)
+BOOST_AUTO_TEST_CASE(completionsAreStreamedOrBuffered)
 {
     const net::Response streamed =
         relay_.post("/v1/completions", completion("a b", 20, true), {{"X-Request-Id", "mine"}});
@@ -56,7 +56,7 @@
     BOOST_TEST(relay_.metrics_.counter("requests_total", "outcome=\"whole\"") == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(aChatIsAnsweredInTheChatsShape)
+BOOST_AUTO_TEST_CASE(chatResponsesHaveTheChatFormat)
 {
     json chat = {{"model", "m"}, {"messages", {{{"role", "user"}, {"content", "a"}}}}};
     const net::Response whole = relay_.post("/v1/chat/completions", chat);
@@ -70,16 +70,15 @@
     BOOST_TEST(json::parse(events[events.size() - 2])["usage"]["completion_tokens"] == 16);
 }
 
-// A family would read half a plan, or one sentence twice.
-// The engine dies after five tokens of a stream and comes back without it.
-// Cause: an answer bound to one engine and one connection.
-BOOST_AUTO_TEST_CASE(anEngineThatDiesMidStreamLeavesAWholeAnswer)
+// Guards against truncated or duplicated text: the engine fails after five tokens and restarts
+// without the stream, so another attempt must continue the response.
+BOOST_AUTO_TEST_CASE(engineFailureMidStreamYieldsACompleteResponse)
 {
     for (const bool stream : {true, false}) {
         Fault fault;
-        fault.dieAfter_ = 5;
-        fault.forget_ = true;
-        faultFirstUsed(fault);
+        fault.disconnectAfter_ = 5;
+        fault.streamsLost_ = true;
+        setFaultOnBoth(fault);
         const net::Response answer = relay_.post("/v1/completions", completion("a", 8, stream));
         BOOST_TEST(textOf(answer) == words("a", 1, 8));
     }
@@ -91,12 +90,12 @@
     BOOST_TEST((*continued)["max_tokens"] == 3);
 }
 
-BOOST_AUTO_TEST_CASE(aChatIsContinuedAsABegunAnswer)
+BOOST_AUTO_TEST_CASE(chatIsContinuedAsAPartialAssistantMessage)
 {
     Fault fault;
-    fault.dieAfter_ = 5;
-    fault.forget_ = true;
-    faultFirstUsed(fault);
+    fault.disconnectAfter_ = 5;
+    fault.streamsLost_ = true;
+    setFaultOnBoth(fault);
     const json chat = {
         {"model", "m"}, {"max_tokens", 8}, {"messages", {{{"role", "user"}, {"content", "a"}}}}};
     BOOST_TEST(textOf(relay_.post("/v1/chat/completions", chat)) == words("a", 1, 8));
@@ -112,29 +111,27 @@
     BOOST_TEST((*continued)["add_generation_prompt"] == false);
 }
 
-// A user would watch an answer stand still for good.
-// After five tokens the connection to the engine goes silent; new ones work.
-// Cause: waiting on the old connection, which will never say anything.
-BOOST_AUTO_TEST_CASE(aSilentConnectionIsReplacedAndNothingRunsTwice)
+// Guards against a response that stalls for ever: the connection to the engine stops delivering
+// after five tokens, while new connections work.
+BOOST_AUTO_TEST_CASE(stalledConnectionIsReplacedAndNothingRunsTwice)
 {
     Fault fault;
-    fault.silentAfter_ = 5;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 5;
+    setFaultOnBoth(fault);
     BOOST_TEST(textOf(relay_.post("/v1/completions", completion("a", 8, true)))
                == words("a", 1, 8));
     BOOST_TEST(relay_.metrics_.counter("resumed_total") == 1U);
     BOOST_TEST(requests() == 1U);
 }
 
-// A caller would take its connection for lost and come again, which cancels its own stream.
-// The engine says nothing for long; the instance is busy saving the stream.
-// Cause: an instance that is as silent as its engine.
-BOOST_AUTO_TEST_CASE(aCallerOfASilentStreamHearsThatItIsWaitedFor)
+// Guards against a caller that assumes a lost connection and reconnects, which cancels its own
+// stream, while the instance is recovering the stream of a stalled engine.
+BOOST_AUTO_TEST_CASE(callerOfAStalledStreamGetsKeepAlives)
 {
     Fault fault;
-    fault.silentAfter_ = 1;
-    fault.silentAgain_ = true;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 1;
+    fault.stallResumed_ = true;
+    setFaultOnBoth(fault);
     auto caller = net::HttpExchange::connect(relay_.address(), soon()).value();
     caller.send({"POST", "/v1/completions", {}, completion("a", 8, true).dump()}, soon()).value();
     caller.readHead(soon()).value();
@@ -149,14 +146,13 @@
     BOOST_TEST(relay_.relay_->waitIdle(soon()));
 }
 
-// Engines would work for callers who closed their page.
-// The caller hangs up after its first token, while the engine is silent.
-// Cause: a lost caller is only seen when something is written to it.
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpCancelsItsStreamAtOnce)
+// Guards against engines that generate for callers that closed their connection. The engine is
+// stalled, so the disconnect must be noticed without a write to the caller.
+BOOST_AUTO_TEST_CASE(disconnectedCallerCancelsItsStreamAtOnce)
 {
     Fault fault;
-    fault.silentAfter_ = 1;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 1;
+    setFaultOnBoth(fault);
     {
         auto caller = net::HttpExchange::connect(relay_.address(), soon()).value();
         caller.send({"POST", "/v1/completions", {}, completion("a", 8, true).dump()}, soon())
@@ -171,11 +167,11 @@
     BOOST_TEST(relay_.metrics_.counter("requests_total", "outcome=\"abandoned\"") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatSendsItsNextRequestEarlyIsNotTakenForGone)
+BOOST_AUTO_TEST_CASE(pipeliningCallerIsNotTreatedAsDisconnected)
 {
     Fault fault;
-    fault.silentAfter_ = 2;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 2;
+    setFaultOnBoth(fault);
     auto caller = net::HttpExchange::connect(relay_.address(), soon()).value();
     caller.send({"POST", "/v1/completions", {}, completion("a", 5, true).dump()}, soon()).value();
     const std::string next = "GET /v1/models HTTP/1.1\r\nHost: a\r\n\r\n";
@@ -185,18 +181,16 @@
     BOOST_TEST(textOf(answer) == words("a", 1, 5));
 }
 
-// A mediator would get another family's summary.
-// Many callers at once, engines that die or go silent in the middle, answers resumed and
-// continued in any order.
-// Cause: answers matched to callers by anything but request and attempt.
-BOOST_AUTO_TEST_CASE(answersOfManyCallersAreNeverCrossed)
+// Guards against a caller that gets another caller's text: many concurrent calls on engines that
+// fail or stall midway, with responses resumed and continued in any order.
+BOOST_AUTO_TEST_CASE(responsesOfConcurrentCallersAreNotMixedUp)
 {
     Fault fault;
-    fault.dieAfter_ = 3;
-    one_.fault(fault);
-    fault.dieAfter_ = -1;
-    fault.silentAfter_ = 4;
-    two_.fault(fault);
+    fault.disconnectAfter_ = 3;
+    one_.setFault(fault);
+    fault.disconnectAfter_ = -1;
+    fault.stallAfter_ = 4;
+    two_.setFault(fault);
     std::vector<std::thread> callers;
     std::array<std::string, 12> texts;
     for (std::size_t index = 0; index < texts.size(); ++index) {
@@ -214,27 +208,26 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatDidNotStartIsFollowedByAnother)
+BOOST_AUTO_TEST_CASE(requestThatAnEngineDidNotStartIsRetriedOnAnother)
 {
     Fault fault;
     fault.status_ = 503;
     fault.errorBody_ = R"({"error":{"code":"not_run"}})";
-    one_.fault(fault);
+    one_.setFault(fault);
     for (int round = 0; round < 4; ++round) {
         BOOST_TEST(textOf(relay_.post("/v1/completions", completion("a", 3, false)))
                    == words("a", 1, 3));
     }
-    two_.fault(fault);
+    two_.setFault(fault);
     const net::Response refused = relay_.post("/v1/completions", completion("a", 3, true));
     BOOST_TEST(refused.status_ == 503);
     BOOST_TEST(net::headerValue(refused.headers_, "X-Outcome") == "not-run");
     BOOST_TEST(!net::headerValue(refused.headers_, "Retry-After").empty());
 }
 
-// A user would start again from nothing when the instance that serves it is replaced.
-// The instance dies in the middle of a stream; the caller knows another one and its token.
-// Cause: a stream that lives in one instance's memory.
-BOOST_AUTO_TEST_CASE(aResumeTokenIsHonouredByAnyInstance)
+// Guards against losing a stream with its instance: the instance fails midway, and the caller
+// presents its resume token to another one.
+BOOST_AUTO_TEST_CASE(resumeTokenWorksOnAnyInstance)
 {
     RelayServer other(fleetOf({&one_, &two_}), claims_, RelayServer::settingsOf("i2"));
     const net::Response answer = relay_.post("/v1/completions", completion("a", 8, true));
@@ -246,8 +239,8 @@
                == json::parse(eventsOf(answer.body_)[0])["id"]);
 
     Fault fault;
-    fault.forget_ = true;
-    faultFirstUsed(fault);
+    fault.streamsLost_ = true;
+    setFaultOnBoth(fault);
     const net::Response gone = other.call({"GET", "/v1/streams/" + token + "?offset=5", {}, {}});
     BOOST_TEST(gone.status_ == 410);
     BOOST_TEST(net::headerValue(gone.headers_, "X-Outcome") == "unknown");
@@ -264,12 +257,12 @@
     BOOST_TEST(other.post("/v1/completions", body, headers).status_ == 400);
 }
 
-BOOST_AUTO_TEST_CASE(whatCannotBeEndedWholeEndsWithAnErrorEvent)
+BOOST_AUTO_TEST_CASE(streamThatCannotBeCompletedEndsWithAnErrorEvent)
 {
     Fault fault;
-    fault.dieAfter_ = 2;
-    fault.forget_ = true;
-    faultFirstUsed(fault);
+    fault.disconnectAfter_ = 2;
+    fault.streamsLost_ = true;
+    setFaultOnBoth(fault);
     const net::Response answer = relay_.post("/v1/completions", completion("a", 100, true));
     const std::vector<std::string> events = eventsOf(answer.body_);
     const json last = json::parse(events.back(), nullptr, false);
@@ -278,11 +271,11 @@
     BOOST_TEST(last["error"]["retry_after_ms"].get<int>() > 0);
 }
 
-BOOST_AUTO_TEST_CASE(aStoppingInstanceRefusesNewRequestsAndEndsThoseInWork)
+BOOST_AUTO_TEST_CASE(stoppingInstanceRefusesNewRequestsAndCompletesActiveOnes)
 {
     Fault fault;
-    fault.silentAfter_ = 1;
-    faultFirstUsed(fault);
+    fault.stallAfter_ = 1;
+    setFaultOnBoth(fault);
     std::string text;
     std::thread caller(
         [&] { text = textOf(relay_.post("/v1/completions", completion("a", 8, true))); });
