--- a/libs/peers/include/almondridge/peers/peerexchange.h
+++ b/libs/peers/include/almondridge/peers/peerexchange.h
@@ -1,5 +1,6 @@
 /**
- * Entry instances among themselves: nghttp2 streams, membership by heartbeat, messages in CBOR.
+ * Communication between entry instances: HTTP/2 requests with CBOR bodies, and membership by
+ * heartbeats.
  */
 #pragma once
 
@@ -22,24 +23,24 @@
     std::uint16_t port_ = 0;
 };
 
-/** Another entry instance as this one knows it. */
+/** State of another entry instance, as last reported. */
 struct Member
 {
     InstanceId instance_;
     DomainId domain_;
     PeerAddress address_;
-    bool alive_ = false;   ///< Heard of before its heartbeat deadline.
-    bool leaving_ = false; ///< It said that it stops.
+    bool alive_ = false;   ///< Its heartbeat deadline has not passed.
+    bool leaving_ = false; ///< It announced that it is shutting down.
     TimePoint heartbeatDeadline_ {};
-    nlohmann::json digest_; ///< What its last heartbeat carried.
+    nlohmann::json digest_; ///< Application data from its last heartbeat.
 };
 
-/** Answers a peer's request. Called on the exchange's threads, without locks held. */
+/** Answers a peer's request. Called on the exchange's worker threads, without locks held. */
 using RequestHandler =
     std::function<Result<nlohmann::json>(const InstanceId &from, const nlohmann::json &message)>;
-/** The digest that goes out with the next heartbeats; at most 16 KiB in CBOR. */
+/** Returns the digest to send with the next heartbeats; at most 16 KiB in CBOR. */
 using DigestSource = std::function<nlohmann::json()>;
-/** A heartbeat came in. */
+/** Called with the sender's state after a heartbeat was received. */
 using DigestListener = std::function<void(const Member &)>;
 
 class PeerExchange
@@ -51,30 +52,31 @@
     PeerExchange(const PeerExchange &) = delete;
     PeerExchange &operator=(const PeerExchange &) = delete;
 
-    /** InvalidInput: wrong settings. Unavailable: the address cannot be listened on. */
+    /** Errors: InvalidInput: wrong settings. Unavailable: cannot listen on the address. */
     Result<void> start();
     /**
-     * Ends open requests, waits for handlers that run, and closes all connections. Not from a
-     * handler or listener.
+     * Fails open requests, waits for running handlers, and closes all connections. Must not be
+     * called from a handler or listener.
      */
     void stop();
-    /** The port that is listened on, also when 0 was asked for; 0 before start(). */
+    /** The listening port, also if the system chose it (port 0); 0 before start(). */
     std::uint16_t port() const noexcept;
 
-    /** Addresses to try, from the instance list; may be late or wrong. */
+    /** Sets addresses to probe for members. They may be outdated or wrong. */
     void seed(const std::vector<PeerAddress> &addresses);
-    /** Instances that were heard of, dead ones for some minutes more. */
+    /** All members; dead ones are kept for ten minutes. */
     std::vector<Member> members() const;
 
     /**
-     * Unavailable: not sent. Interrupted: no answer by deadline, or the connection was lost.
-     * Other kinds are the handler's own, or say what was wrong with the request. Thread-safe.
+     * Sends a request and waits for the answer. Thread-safe. Errors: Unavailable: not sent.
+     * Interrupted: no answer by deadline, or the connection was lost. Other kinds come from the
+     * handler or describe an invalid request.
      */
     Result<nlohmann::json> request(const InstanceId &to, const std::string &topic,
                                    const nlohmann::json &message, TimePoint deadline);
-    /** Tells peers that this instance stops, in heartbeats from now on. */
+    /** Announces in all further heartbeats that this instance is shutting down. */
     void setLeaving();
-    /** Sends a heartbeat to all now, without waiting for the interval. */
+    /** Sends a heartbeat with a new digest on all links, without waiting for the interval. */
     void heartbeatNow();
 
 private:
@@ -88,15 +90,15 @@
 public:
     Builder &self(InstanceId instance, DomainId domain);
     Builder &listen(PeerAddress address);
-    /** Where others reach it, if that is not where it listens. */
+    /** Address that peers connect to, if it differs from the listening address. */
     Builder &advertise(PeerAddress address);
-    /** Shared by all entry instances; at least 16 characters. */
+    /** Secret key shared by all entry instances; at least 16 characters. */
     Builder &key(std::string sharedKey);
-    /** A member counts as dead after timeout; make it three intervals or more. */
+    /** A member is dead after timeout, which should be at least three intervals. */
     Builder &heartbeat(Duration interval, Duration timeout);
-    /** Bytes per second that heartbeats may take; intervals stretch to keep it. 0: no limit. */
+    /** Heartbeat traffic limit; intervals are stretched to stay within it. 0: no limit. */
     Builder &budget(double bytesPerSecond);
-    /** Events of kind Peer go there. It must outlive the exchange. */
+    /** Receives events of kind Peer. Must outlive the exchange. */
     Builder &timeline(observe::Timeline &timeline);
     Builder &digest(DigestSource source);
     Builder &onDigest(DigestListener listener);
--- a/libs/peers/src/connection.cpp
+++ b/libs/peers/src/connection.cpp
@@ -14,7 +14,7 @@
 constexpr int Backlog = 256;
 constexpr std::size_t ReceiveBytes = 64U << 10;
 constexpr std::size_t OutputBytes = 256U << 10;
-/** Reads in a row from one connection, so that a fast sender does not starve the others. */
+/** Maximum consecutive reads from one connection, so that a fast sender can't starve others. */
 constexpr int MaxReads = 4;
 
 bool wouldBlock() noexcept
@@ -31,9 +31,9 @@
 }
 
 /**
- * Without TCP_NODELAY a heartbeat may wait for the acknowledgement of the one before. With
- * TCP_USER_TIMEOUT the kernel gives a connection up when bytes stay unacknowledged for that
- * long, instead of sending them again for a quarter of an hour.
+ * Without TCP_NODELAY a heartbeat may wait for the acknowledgement of the previous one. With
+ * TCP_USER_TIMEOUT the kernel closes a connection when data stays unacknowledged for that long,
+ * instead of retransmitting it for about 15 minutes.
  */
 void tune(int socket, Duration userTimeout) noexcept
 {
--- a/libs/peers/src/connection.h
+++ b/libs/peers/src/connection.h
@@ -37,11 +37,11 @@
     int value_ = -1;
 };
 
-/** A listening socket; its port in port when 0 was asked for. Invalid with errno set on failure. */
+/** Opens a listening socket and sets port to its port. Invalid with errno set on failure. */
 OwnedDescriptor listenOn(const PeerAddress &address, std::uint16_t &port);
-/** Starts to connect. Invalid with errno set when that fails at once. */
+/** Starts to connect. Invalid with errno set if that fails immediately. */
 OwnedDescriptor connectTo(const PeerAddress &address, Duration userTimeout);
-/** The next waiting connection, invalid when there is none. */
+/** Accepts the next pending connection. Invalid with errno set if there is none. */
 OwnedDescriptor acceptFrom(int listener, Duration userTimeout, PeerAddress &remote);
 
 class Connection
@@ -49,20 +49,20 @@
 public:
     Connection(OwnedDescriptor socket, H2Role role, std::size_t bodyLimit, TimePoint now);
 
-    /** Reads what the kernel has. False: closed, broken, or not HTTP/2. */
+    /** Reads and parses available bytes. False: closed, broken, or not HTTP/2. */
     bool receive(TimePoint now);
-    /** Writes what the session has, as far as the kernel takes it. False: broken or done. */
+    /** Sends the session's output as far as the socket accepts it. False: broken or done. */
     bool flush(TimePoint now);
 
     H2Session &session() noexcept { return session_; }
     const H2Session &session() const noexcept { return session_; }
     int socket() const noexcept { return socket_.value(); }
     bool hasOutput() const noexcept { return !output_.empty(); }
-    /** Whether a pending connect() failed; zero or an errno value. */
+    /** Result of a pending connect(): 0 or an errno value. */
     int socketError() const noexcept;
 
     TimePoint lastReceived() const noexcept { return lastReceived_; }
-    /** Since when the kernel has taken nothing of what waits; only with hasOutput(). */
+    /** Time since which the socket has accepted no output; valid only if hasOutput(). */
     TimePoint stalledSince() const noexcept { return stalledSince_; }
     std::uint64_t bytesIn() const noexcept { return bytesIn_; }
     std::uint64_t bytesOut() const noexcept { return bytesOut_; }
--- a/libs/peers/src/credentials.h
+++ b/libs/peers/src/credentials.h
@@ -1,5 +1,5 @@
 /**
- * Seals the messages of this instance and checks those of others.
+ * Signs the messages of this instance and authenticates those of others.
  */
 #pragma once
 
@@ -11,26 +11,26 @@
 namespace almondridge::peers {
 
 /**
- * Whom and what a request is meant for. It is part of the proof, so that a message caught on its
- * way is worth nothing anywhere else.
+ * Destination of a request. The proof covers it, so that an intercepted message is not valid
+ * anywhere else.
  *
- * The first request on a connection, the greeting, can only name the address; its nonce is kept
- * in the replay window. Later ones name the incarnation that answered, the greeting's nonce and
- * their stream as well, and none of the three comes twice: they need no memory of nonces, which a
- * busy peer would fill, and they stay worthless after a restart, which forgets all nonces.
+ * The first request on a connection (greeting) contains only the address; its nonce is kept in
+ * the replay window. Later requests also contain the incarnation that answered, the greeting's
+ * nonce and their stream, a combination that is never reused. They need no replay window, which a
+ * busy peer would fill, and stay invalid after a restart, which clears the window.
  */
 struct Audience
 {
     PeerAddress address_;
-    std::uint64_t incarnation_ = 0; ///< 0: this is the greeting.
-    std::string greeting_ {};       ///< The nonce that the connection began with.
+    std::uint64_t incarnation_ = 0; ///< 0 for the greeting.
+    std::string greeting_ {};       ///< Nonce of the first request of the connection.
     std::int32_t stream_ = 0;
 };
 
-/** As it stands in the proof. */
+/** Text form used in the proof. */
 std::string toString(const Audience &audience);
 
-/** Used by the I/O thread. */
+/** Used by the I/O thread only. */
 class Credentials
 {
 public:
@@ -39,7 +39,7 @@
     H2Message sealRequest(std::string path, const Audience &audience, std::string body);
     H2Message sealAnswer(int status, const std::string &requestNonce, std::string body);
 
-    /** Also remembers a greeting's nonce, and moves the hybrid clock on when all is well. */
+    /** Checks proof, time and, for a greeting, replay. Valid messages advance the hybrid clock. */
     ProofVerdict checkRequest(const H2Message &request, const Audience &audience, TimePoint now);
     bool checkAnswer(const H2Message &answer, const std::string &requestNonce);
 
--- a/libs/peers/src/errormessage.cpp
+++ b/libs/peers/src/errormessage.cpp
@@ -53,7 +53,8 @@
                        && (*value)[0].is_string() && (*value)[1].is_string()
                        && (*value)[2].is_string();
     if (!whole) {
-        return {ErrorKind::Protocol, "a peer answered with status " + std::to_string(status),
+        return {ErrorKind::Protocol,
+                "unreadable error from a peer with HTTP status " + std::to_string(status),
                 "run the same version of almondridge on all entry instances"};
     }
     const auto kind = valueOf(ErrorKindNames, (*value)[0].get_ref<const std::string &>());
--- a/libs/peers/src/errormessage.h
+++ b/libs/peers/src/errormessage.h
@@ -1,5 +1,5 @@
 /**
- * Errors as answers between entry instances: an HTTP status and a CBOR body.
+ * Encoding of errors in answers between entry instances: an HTTP status and a CBOR body.
  */
 #pragma once
 
@@ -13,10 +13,10 @@
 inline constexpr int StatusOk = 200;
 inline constexpr int StatusUnauthorized = 401;
 
-/** The status that stands for an error's kind. */
+/** HTTP status for an error kind. */
 int statusOf(ErrorKind kind) noexcept;
 std::string encodeError(const Error &error);
-/** Protocol when the body does not say what is wrong. */
+/** An error of kind Protocol if body is not an encoded error. */
 Error decodeError(int status, std::string_view body);
 
 } // namespace almondridge::peers
--- a/libs/peers/src/eventloop.cpp
+++ b/libs/peers/src/eventloop.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t WakeUpToken = 0;
 constexpr int EventsPerWait = 256;
-/** The longest wait: deadlines count on through a suspension of the machine, epoll's do not. */
+/** Limit of one wait: deadlines include time while suspended, epoll timeouts don't. */
 constexpr std::int64_t MaxWaitMillis = 1'000;
 
 epoll_event eventFor(std::uint64_t token, bool wantsWrite)
@@ -105,7 +105,7 @@
     }
 }
 
-/** False when the loop is to end and nothing is left to do. */
+/** Runs posted tasks. False if the loop must end. */
 bool EventLoop::runTasks()
 {
     std::vector<Task> tasks;
@@ -124,8 +124,7 @@
 void EventLoop::wait(LoopHandler &handler, TimePoint deadline)
 {
     const TimePoint now = BootClock::now();
-    // One millisecond more than what is left: a wait rounded down would end just before the
-    // deadline and spin until it.
+    // Add 1 ms, as a timeout rounded down would end before the deadline and cause spinning.
     const std::int64_t left = deadline <= now ? 0 : millisUntil(deadline, now) + 1;
     std::array<epoll_event, EventsPerWait> events {};
     const int count = ::epoll_wait(poll_.value(), events.data(), EventsPerWait,
--- a/libs/peers/src/eventloop.h
+++ b/libs/peers/src/eventloop.h
@@ -1,5 +1,5 @@
 /**
- * One thread that waits for sockets, deadlines and tasks from other threads.
+ * A thread with an epoll loop for sockets, deadlines and tasks posted by other threads.
  */
 #pragma once
 
@@ -14,21 +14,21 @@
 
 namespace almondridge::peers {
 
-/** What became possible on a watched socket. */
+/** Readiness of a watched socket. */
 struct Readiness
 {
-    bool readable_ = false; ///< Bytes, the end, or an error can be read.
+    bool readable_ = false; ///< Data, end of file or an error is available.
     bool writable_ = false;
 };
 
-/** Called on the loop's thread. */
+/** Callbacks of an EventLoop, called on its thread. */
 class LoopHandler
 {
 public:
     virtual ~LoopHandler() = default;
-    /** token: as given to watch(). It may be one that was unwatched a moment ago. */
+    /** token: as passed to watch(). It may have been unwatched in the same round of events. */
     virtual void ready(std::uint64_t token, Readiness readiness) = 0;
-    /** Called after each round of events; returns when to be called again at the latest. */
+    /** Called after each round of events. Returns the time by which to call it again. */
     virtual TimePoint advance(TimePoint now) = 0;
 };
 
@@ -43,13 +43,13 @@
     EventLoop &operator=(const EventLoop &) = delete;
 
     void start(LoopHandler &handler);
-    /** Runs what was posted before, then ends the thread. */
+    /** Runs tasks that are already posted, then ends the thread. */
     void stop();
 
     /** Runs task on the loop's thread. Tasks posted after stop() are dropped. Thread-safe. */
     void post(Task task);
 
-    /** From the loop's thread, or before start(). */
+    /** These must be called on the loop's thread or before start(). */
     void watch(int descriptor, std::uint64_t token, bool wantsWrite);
     void rewatch(int descriptor, std::uint64_t token, bool wantsWrite);
     void unwatch(int descriptor);
--- a/libs/peers/src/exchangecore.cpp
+++ b/libs/peers/src/exchangecore.cpp
@@ -8,9 +8,9 @@
 namespace almondridge::peers {
 namespace {
 
-/** A dead member is tried again for this long; then only the instance list brings it back. */
+/** A dead member is retried for this long, then found again only through the instance list. */
 constexpr Duration ForgetAfter = std::chrono::minutes(10);
-/** Waits are cut to this, so that a deadline far off does not overflow the system's clock. */
+/** Upper limit of waits, as a far deadline could overflow the system clock's range. */
 constexpr Duration LongestWait = std::chrono::hours(24);
 
 MembershipSettings membershipSettings(const ExchangeSettings &settings, std::uint16_t port)
@@ -31,7 +31,7 @@
     return result;
 }
 
-/** Runs what the application gave; its exceptions must not end a thread of the exchange. */
+/** Runs an application callback; its exceptions must not end a thread of the exchange. */
 template <typename Function>
 void guarded(std::string_view what, Function &&function)
 {
@@ -78,7 +78,7 @@
     if (std::exchange(stopped_, true)) {
         return;
     }
-    // Calls end first: a handler that waits for one would otherwise never come to its end.
+    // Fail calls first: a handler that waits for one would otherwise never return.
     calls_.close();
     inbound_.stopWorkers();
     digestWorker_.stop();
@@ -99,9 +99,9 @@
 
 TimePoint ExchangeCore::advance(TimePoint now)
 {
-    // After a pause of this process every deadline has passed, although the heartbeats that came
-    // meanwhile wait in the sockets: all members would seem dead for a moment. So what is there is
-    // read first, and deadlines count in the round after.
+    // After a pause of this process all deadlines have passed, although heartbeats received in the
+    // meantime are still in the socket buffers, so all members would be marked dead. Read the
+    // sockets first and check deadlines in the next round.
     const bool paused = now - lastRound_ > settings_.answerTimeout();
     lastRound_ = now;
     if (paused) {
@@ -124,11 +124,11 @@
 
 void ExchangeCore::askDigest()
 {
-    // A full queue means that one is about to be asked for anyway.
+    // If the queue is full, a refresh is pending already.
     digestWorker_.post([this] { refreshDigest(); });
 }
 
-/** On the digest's thread. */
+/** Runs on the digest thread. */
 void ExchangeCore::refreshDigest()
 {
     const bool news = newsWaiting_.exchange(false);
@@ -154,7 +154,7 @@
     membership_.setDigest(std::move(digest));
 }
 
-/** A heartbeat on every link now, also where one is under way. */
+/** Sends a heartbeat on every link now, even if one is in flight. */
 void ExchangeCore::announce()
 {
     const TimePoint now = BootClock::now();
@@ -173,7 +173,7 @@
     listenerWorker_.post([this] { deliverDigests(); });
 }
 
-/** On the listener's thread. */
+/** Runs on the listener thread. */
 void ExchangeCore::deliverDigests()
 {
     std::map<InstanceId, Member> members;
@@ -191,18 +191,18 @@
 {
     const auto member = membership_.member(to);
     if (!member) {
-        return Error {ErrorKind::Unavailable, "no member is called " + to.value(),
-                      "look at the members, and ask one of them"};
+        return Error {ErrorKind::Unavailable, "no member with instance id " + to.value(),
+                      "send the request to a listed member"};
     }
     std::string body = encodeCbor(message);
     if (body.size() > MaxBodyBytes) {
-        return Error {ErrorKind::InvalidInput, "the request is too large for a peer",
-                      "send it in parts"};
+        return Error {ErrorKind::InvalidInput, "the request body exceeds 4 MiB",
+                      "split it into several requests"};
     }
     const std::optional<CallId> id = calls_.open();
     if (!id) {
-        return Error {ErrorKind::Unavailable, "the request was not sent: this instance stops",
-                      "ask another instance"};
+        return Error {ErrorKind::Unavailable, "the request was not sent: this instance is stopping",
+                      "send the request to another instance"};
     }
     const TimePoint latest = std::min(deadline, BootClock::now() + LongestWait);
     OutgoingCall call {*id, to, member->address_, "/peer/" + topic, std::move(body), latest};
--- a/libs/peers/src/exchangecore.h
+++ b/libs/peers/src/exchangecore.h
@@ -1,8 +1,8 @@
 /**
- * A running exchange: its threads and what they share.
+ * Implementation of a running PeerExchange: its threads and their shared state.
  *
- * The I/O thread owns all connections. Handlers of requests, the digest source and the digest
- * listener run on threads of their own, so that none of them can hold up heartbeats.
+ * The I/O thread owns all connections. Request handlers, the digest source and the digest
+ * listener run on separate threads, so that none of them can delay heartbeats.
  */
 #pragma once
 
@@ -18,7 +18,7 @@
 class ExchangeCore final : private LoopHandler
 {
 public:
-    /** listener: the socket that listens on port. */
+    /** listener: a socket listening on port. */
     ExchangeCore(ExchangeSettings settings, OwnedDescriptor listener, std::uint16_t port);
     ~ExchangeCore() override;
 
@@ -55,14 +55,14 @@
     Inbound inbound_;
 
     Workers digestWorker_;
-    std::atomic<bool> newsWaiting_ = false; ///< The next digest goes out at once.
-    bool digestKnown_ = false;              ///< I/O thread: heartbeats may go out.
-    TimePoint digestDeadline_ {};           ///< I/O thread: when to ask for it again.
-    TimePoint lastRound_ {};                ///< I/O thread: when deadlines were last looked at.
+    std::atomic<bool> newsWaiting_ = false; ///< Send the next digest immediately.
+    bool digestKnown_ = false;              ///< I/O thread: heartbeats may be sent.
+    TimePoint digestDeadline_ {};           ///< I/O thread: when to refresh the digest.
+    TimePoint lastRound_ {};                ///< I/O thread: time of the last advance().
 
     Workers listenerWorker_;
     std::mutex heardMutex_;
-    std::map<InstanceId, Member> heard_; ///< The newest of each, for the listener.
+    std::map<InstanceId, Member> heard_; ///< Newest state per instance, for the listener.
     bool stopped_ = false;
 };
 
--- a/libs/peers/src/exchangesettings.h
+++ b/libs/peers/src/exchangesettings.h
@@ -1,5 +1,5 @@
 /**
- * What a peer exchange is built from, and its limits.
+ * Settings and limits of a peer exchange.
  */
 #pragma once
 
@@ -10,25 +10,25 @@
 
 namespace almondridge::peers {
 
-/** Bytes of one request or answer body, and of all that a connection has incomplete together. */
+/** Limit of one body, and of all incomplete incoming bodies of a connection together. */
 inline constexpr std::size_t MaxBodyBytes = 4 << 20;
-/** The same for a connection that has not proved yet that it knows the key. */
+/** The same limit for a connection that is not authenticated yet. */
 inline constexpr std::size_t MaxUnprovedBytes = 64 << 10;
 /**
- * A digest in CBOR; it goes out with every heartbeat, and the first of them must fit into
- * MaxUnprovedBytes together with the listed members.
+ * Limit of a digest in CBOR. Every heartbeat carries it, and the first one on a connection must
+ * fit into MaxUnprovedBytes together with the listed members.
  */
 inline constexpr std::size_t MaxDigestBytes = 16 << 10;
-/** Inbound connections; more are closed when they come. */
+/** Maximum inbound connections; further ones are closed on accept. */
 inline constexpr std::size_t MaxInbound = 1'024;
-/** Of these, such that have proved nothing yet; the oldest gives way. */
+/** Maximum of these that are not authenticated; the oldest one is closed for a new one. */
 inline constexpr std::size_t MaxUnproved = 64;
-/** Nonces remembered; messages beyond are refused until older ones are out of time. */
+/** Capacity of the replay window; messages are rejected while it is full. */
 inline constexpr std::size_t MaxNonces = 65'536;
-/** Requests of peers that wait for a handler thread. */
+/** Maximum peer requests queued for a handler thread. */
 inline constexpr std::size_t HandlerQueue = 256;
 inline constexpr std::size_t HandlerThreads = 4;
-/** Shortest shared key, as in the settings. */
+/** Minimum length of the shared key. */
 inline constexpr std::size_t MinKeyBytes = 16;
 
 struct ExchangeSettings
@@ -36,7 +36,7 @@
     InstanceId instance_;
     DomainId domain_;
     PeerAddress listen_ {"127.0.0.1", 0};
-    PeerAddress advertised_ {}; ///< Empty: what is listened on.
+    PeerAddress advertised_ {}; ///< Empty: the listening address.
     std::string key_;
     Duration interval_ = millis(500);
     Duration timeout_ = millis(2'000);
@@ -46,7 +46,7 @@
     DigestListener onDigest_;
     std::map<std::string, RequestHandler> handlers_;
 
-    /** How long a heartbeat may wait for its answer before its connection counts as silent. */
+    /** Time without an answer to a heartbeat after which its connection is considered silent. */
     Duration answerTimeout() const noexcept { return timeout_ / 3; }
 };
 
--- a/libs/peers/src/h2fields.cpp
+++ b/libs/peers/src/h2fields.cpp
@@ -46,7 +46,7 @@
 
 nghttp2_nv pairOf(std::string_view name, const std::string &value)
 {
-    // nghttp2 copies both: the library takes non-const pointers, but does not write to them.
+    // nghttp2 takes non-const pointers, but only copies from them.
     auto *const nameBytes = reinterpret_cast<std::uint8_t *>(const_cast<char *>(name.data()));
     auto *const valueBytes = reinterpret_cast<std::uint8_t *>(const_cast<char *>(value.data()));
     return {nameBytes, valueBytes, name.size(), value.size(), NGHTTP2_NV_FLAG_NONE};
--- a/libs/peers/src/h2fields.h
+++ b/libs/peers/src/h2fields.h
@@ -1,5 +1,5 @@
 /**
- * The fields of a message as nghttp2 takes and gives them.
+ * Conversion between H2Message and nghttp2 header fields.
  */
 #pragma once
 
@@ -11,12 +11,12 @@
 
 namespace almondridge::peers {
 
-/** They point into message, which must outlive the call that they are for. */
+/** The result points into message, which must outlive its use. */
 std::vector<nghttp2_nv> requestFields(const H2Message &message);
-/** status: the text of the message's status; it must outlive the call as well. */
+/** The result points into message and status (the status as text), which must outlive its use. */
 std::vector<nghttp2_nv> answerFields(const H2Message &message, const std::string &status);
 
-/** Takes up a field that came in; unknown names are ignored. */
+/** Stores a received field in message; unknown names are ignored. */
 void setField(H2Message &message, std::string_view name, std::string_view value);
 
 } // namespace almondridge::peers
--- a/libs/peers/src/h2session.cpp
+++ b/libs/peers/src/h2session.cpp
@@ -19,7 +19,7 @@
     return {reinterpret_cast<const char *>(bytes), size};
 }
 
-/** A stream that is open. */
+/** State of an open stream. */
 struct Stream
 {
     H2Message incoming_;
@@ -34,7 +34,7 @@
 {
     H2Role role_ = H2Role::Client;
     std::size_t bodyLimit_ = 0;
-    std::size_t incompleteBytes_ = 0; ///< Of all incoming bodies together.
+    std::size_t incompleteBytes_ = 0; ///< Total of all incomplete incoming bodies.
     nghttp2_session *session_ = nullptr;
     std::unordered_map<std::int32_t, Stream> streams_;
     std::vector<H2Event> events_;
@@ -113,7 +113,7 @@
         {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, MaxHeaderBytes},
         {NGHTTP2_SETTINGS_ENABLE_PUSH, 0},
     }};
-    // A server may not send the last one: pushing is a thing that only clients refuse.
+    // Only a client may send ENABLE_PUSH, which is the last one.
     const std::size_t count = role_ == H2Role::Client ? settings.size() : settings.size() - 1;
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), count);
     nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, WindowBytes);
@@ -141,7 +141,7 @@
     }
     Stream &stream = found->second;
     stream.headerBytes_ += nameSize + valueSize;
-    // A stream of endless headers would fill the memory before any proof can be checked.
+    // Unlimited headers would exhaust memory before the message can be authenticated.
     if (stream.headerBytes_ > MaxHeaderBytes) {
         return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     }
@@ -196,7 +196,7 @@
 int H2Session::State::onFrameNotSent(nghttp2_session * /*session*/, const nghttp2_frame *frame,
                                      int /*error*/, void *user)
 {
-    // The request never left this process; without this nobody would hear of its stream again.
+    // The request was never sent; without this its stream would get no Closed event.
     if (frame->hd.type == NGHTTP2_HEADERS && of(user).role_ == H2Role::Client) {
         of(user).forget(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
     }
--- a/libs/peers/src/h2session.h
+++ b/libs/peers/src/h2session.h
@@ -1,5 +1,5 @@
 /**
- * An HTTP/2 session by nghttp2 without a socket: bytes in, whole messages out, and back.
+ * An HTTP/2 session (nghttp2) without a socket: converts between bytes and complete messages.
  */
 #pragma once
 
@@ -15,13 +15,13 @@
 
 enum class H2Role { Client, Server };
 
-/** Streams that one client may have open at a time on one connection. */
+/** Maximum concurrent streams of a client on one connection. */
 inline constexpr std::uint32_t MaxStreams = 64;
 
 enum class H2EventKind {
-    Message,  ///< A whole request (server) or answer (client) came in.
-    TooLarge, ///< The other side's body went over the limit; the stream was reset.
-    Closed,   ///< The stream is over; a client that saw no Message before has no answer.
+    Message,  ///< A complete request (server) or answer (client) was received.
+    TooLarge, ///< An incoming body exceeded the limit; the stream was reset.
+    Closed,   ///< The stream ended; without a Message before, there is no answer.
 };
 
 struct H2Event
@@ -29,39 +29,39 @@
     H2EventKind kind_ = H2EventKind::Closed;
     std::int32_t stream_ = 0;
     H2Message message_ {};
-    bool refused_ = false; ///< Closed before the other side did anything with the stream.
+    bool refused_ = false; ///< Closed before the peer processed the stream.
 };
 
-/** One end of a connection. Used by one thread. */
+/** One side of a connection. Not thread-safe. */
 class H2Session
 {
 public:
-    /** bodyLimit: bytes of one incoming body, and of all that are incomplete together. */
+    /** bodyLimit: maximum bytes of all incomplete incoming bodies together. */
     H2Session(H2Role role, std::size_t bodyLimit);
     H2Session(H2Session &&) noexcept;
     H2Session &operator=(H2Session &&) noexcept;
     ~H2Session();
 
-    /** Takes bytes from the other side. False: they are not HTTP/2, the connection is lost. */
+    /** Parses bytes from the peer. False: they are not HTTP/2; the connection is unusable. */
     bool receive(std::string_view bytes);
-    /** What came of the bytes, in their order. */
+    /** Returns the events since the last call, in order of receipt. */
     std::vector<H2Event> takeEvents();
-    /** Appends what is to be sent, up to about limit bytes. False when the session is broken. */
+    /** Appends bytes to send, up to about limit bytes. False if the session is broken. */
     bool takeOutput(std::string &output, std::size_t limit);
 
-    /** The id that the next request's stream will get. */
+    /** The stream id of the next request. */
     std::int32_t nextStream() const noexcept;
-    /** The new stream's id; 0 when the session takes no more. */
+    /** Submits a request. Returns its stream id, or 0 if the session accepts no more. */
     std::int32_t request(H2Message message);
-    /** False when the stream is gone. */
+    /** Submits an answer. False if the stream is closed. */
     bool answer(std::int32_t stream, H2Message message);
-    /** Resets a stream whose answer nobody waits for any more. */
+    /** Resets a stream whose answer is no longer needed. */
     void cancel(std::int32_t stream);
-    /** Tells the other side that no more streams are taken, and ends when those open are done. */
+    /** Sends GOAWAY: no new streams are accepted, and the session ends after the open ones. */
     void finish();
 
     void setBodyLimit(std::size_t bodyLimit) noexcept;
-    /** Whether the session neither reads nor writes any more. */
+    /** Whether the session has nothing more to read or write. */
     bool done() const noexcept;
 
 private:
--- a/libs/peers/src/heartbeat.cpp
+++ b/libs/peers/src/heartbeat.cpp
@@ -14,9 +14,8 @@
 constexpr std::size_t IdentityFields = 5;
 
 /**
- * Walks over a value without building it and stops where it nests too deep. The library reads
- * CBOR by recursion, so a body of a million "array of one" bytes would overflow the stack of the
- * thread that reads it; the walk ends at MaxDepth, long before that.
+ * SAX handler that stops parsing at MaxDepth. The library's CBOR parser is recursive, so a body
+ * of a million "array of one element" bytes would overflow the stack of the reading thread.
  */
 struct DepthCheck
 {
@@ -29,7 +28,7 @@
         return true;
     }
 
-    // The names are those that the library's SAX interface asks for.
+    // The library's SAX interface requires these names.
     // NOLINTBEGIN(readability-identifier-naming)
     bool null() noexcept { return true; }
     bool boolean(bool) noexcept { return true; }
--- a/libs/peers/src/heartbeat.h
+++ b/libs/peers/src/heartbeat.h
@@ -1,5 +1,5 @@
 /**
- * The heartbeat message, and the bounds within which CBOR from other processes is read.
+ * The heartbeat message, and safe decoding of CBOR from other processes.
  */
 #pragma once
 
@@ -15,42 +15,42 @@
 
 namespace almondridge::peers {
 
-/** Who an instance is and where it listens. */
+/** Identity and address of an instance. */
 struct PeerIdentity
 {
     InstanceId instance_;
     DomainId domain_;
     PeerAddress address_;
-    std::uint64_t incarnation_ = 0; ///< Wall clock at its start, ns since the epoch.
+    std::uint64_t incarnation_ = 0; ///< Start time, ns since the Unix epoch.
     bool leaving_ = false;
 };
 
-/** What an instance tells another in a heartbeat, and the other in its answer. */
+/** State sent in a heartbeat request and in its answer. */
 struct Heartbeat
 {
-    PeerIdentity sender_;           ///< Instance and domain travel in the headers.
-    std::uint64_t sequence_ = 0;    ///< Rises with every heartbeat of one incarnation.
-    std::int64_t withinMillis_ = 0; ///< The sender means to be heard again within this span.
-    std::uint64_t ownView_ = 0;     ///< Hash of the members it knows alive in its own domain.
-    std::uint64_t yourView_ = 0;    ///< Hash of those it knows alive in the receiver's domain.
-    std::uint64_t fleetView_ = 0;   ///< Hash of all members it knows alive.
+    PeerIdentity sender_;                  ///< Its instance and domain are sent as HTTP fields.
+    std::uint64_t sequence_ = 0;           ///< Increases with every heartbeat of an incarnation.
+    std::int64_t withinMillis_ = 0;        ///< Announced maximum time to the next heartbeat.
+    std::uint64_t ownView_ = 0;            ///< Hash of the alive members of the sender's domain.
+    std::uint64_t yourView_ = 0;           ///< Hash of the alive members of the receiver's domain.
+    std::uint64_t fleetView_ = 0;          ///< Hash of all alive members.
     std::vector<PeerIdentity> members_ {}; ///< Alive members that the receiver may not know.
     nlohmann::json digest_ {};
 };
 
-/** A CBOR array; what later versions append to it is ignored by readers of this one. */
+/** Encodes a CBOR array. Readers ignore additional elements, which later versions may append. */
 std::string encodeHeartbeat(const Heartbeat &heartbeat);
-/** InvalidInput when bytes are not a heartbeat. */
+/** Errors: InvalidInput if bytes are not a heartbeat. */
 Result<Heartbeat> decodeHeartbeat(std::string_view bytes, const InstanceId &sender,
                                   const DomainId &domain);
 
 std::string encodeCbor(const nlohmann::json &value);
-/** Empty when bytes are not one whole CBOR value, or nest too deep to be read safely. */
+/** Empty if bytes are not exactly one CBOR value, or are nested more than 64 levels deep. */
 std::optional<nlohmann::json> decodeCbor(std::string_view bytes);
 
 /** "ip:port". */
 std::string toString(const PeerAddress &address);
-/** Empty when text is not an IPv4 number and a port other than 0. */
+/** Parses "ip:port". Empty if ip is not an IPv4 address or port is 0. */
 std::optional<PeerAddress> addressFrom(std::string_view text);
 
 inline bool operator==(const PeerAddress &left, const PeerAddress &right) noexcept
--- a/libs/peers/src/inbound.cpp
+++ b/libs/peers/src/inbound.cpp
@@ -12,11 +12,11 @@
 
 constexpr std::string_view PathPrefix = "/peer/";
 constexpr std::string_view HeartbeatTopic = "heartbeat";
-/** Connections taken in one go, so that a burst of them does not hold up the others. */
+/** Connections accepted in a row, so that a burst does not delay existing ones. */
 constexpr int AcceptsAtOnce = 32;
-/** Wait after the process ran out of descriptors. */
+/** Pause of accepting after the process ran out of descriptors or memory. */
 constexpr Duration AcceptPause = millis(100);
-/** A proved connection without traffic is closed after this; its owner closes it earlier. */
+/** Idle timeout of authenticated connections; longer than the client's own. */
 constexpr Duration IdleSpan = std::chrono::minutes(5);
 constexpr int IdleIntervals = 8;
 
@@ -82,9 +82,10 @@
             continue;
         }
         if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-            // The waiting connection keeps the listener readable, so the loop would spin on it.
-            logEvent(LogLevel::Error, "peer.accept-failed",
-                     {{"reason", std::strerror(errno)}, {"remedy", "raise the limit of files"}});
+            // The pending connection keeps the listener readable, so the loop would spin.
+            logEvent(
+                LogLevel::Error, "peer.accept-failed",
+                {{"reason", std::strerror(errno)}, {"remedy", "raise the limit of open files"}});
             parts_.loop_.unwatch(listener_.value());
             listening_ = false;
             acceptAgain_ = BootClock::now() + AcceptPause;
@@ -111,7 +112,7 @@
     flush(token);
 }
 
-/** Closes the connection that has gone longest without a proof when there are too many such. */
+/** Closes the oldest unauthenticated connection if there are too many. */
 void Inbound::makeRoom()
 {
     std::size_t unproved = 0;
@@ -138,7 +139,7 @@
     }
 }
 
-/** An instance keeps one connection; a new one means that it has given up the one before. */
+/** Closes earlier connections of the same instance, which a new one replaces. */
 void Inbound::closeOlder(const Guest &guest)
 {
     std::vector<std::uint64_t> older;
@@ -179,8 +180,9 @@
     const std::string_view path = request.path_;
     const bool isPeerPath = path.substr(0, PathPrefix.size()) == PathPrefix;
     if (!isPeerPath || request.method_ != "POST") {
-        answerError(guest, stream, request.nonce_,
-                    {ErrorKind::NotFound, "not a peer request", "POST to /peer/TOPIC"});
+        answerError(
+            guest, stream, request.nonce_,
+            {ErrorKind::NotFound, "not a peer request", "send a POST request to /peer/TOPIC"});
     } else if (path.substr(PathPrefix.size()) == HeartbeatTopic) {
         takeHeartbeat(guest, stream, request);
     } else if (guest.instance_.empty()) {
@@ -209,7 +211,7 @@
     return true;
 }
 
-/** Without a proof of its own: who cannot prove itself gets nothing signed. */
+/** Answers without a proof: unauthenticated clients get nothing signed with the key. */
 void Inbound::refuse(Guest &guest, std::int32_t stream, const H2Message &request,
                      std::string_view reason)
 {
@@ -217,7 +219,7 @@
                                  "reason=" + quoteLogValue(reason)
                                      + " claims=" + quoteLogValue(request.instance_.substr(0, 64)));
     Error error = UnknownPeer;
-    error.message_ = "refused as a peer: " + std::string(reason);
+    error.message_ = "rejected as a peer: " + std::string(reason);
     H2Message answer;
     answer.status_ = StatusUnauthorized;
     answer.body_ = encodeError(error);
@@ -241,14 +243,15 @@
     const PeerIdentity &self = parts_.membership_.self();
     const HeardVerdict verdict = parts_.membership_.heard(heartbeat);
     const bool taken = verdict == HeardVerdict::Fresh || verdict == HeardVerdict::Late;
-    // This instance itself, by an address that it did not know for its own: the answer tells it.
+    // A heartbeat from this instance to itself, through an address that it does not know as its
+    // own, is answered, so that its sender side learns this.
     const bool itself =
         verdict == HeardVerdict::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
     if (!taken && !itself) {
         const std::string reason(nameOf(HeardVerdictNames, verdict));
         parts_.events_.reportRefusal("peer.refused", from.value(), "reason=" + reason);
         answerError(guest, stream, request.nonce_,
-                    {ErrorKind::Conflict, "not taken up as a member: " + reason,
+                    {ErrorKind::Conflict, "not accepted as a member: " + reason,
                      "run one process for each instance id"});
         return;
     }
@@ -271,7 +274,7 @@
     const auto &handlers = parts_.settings_.handlers_;
     const auto handler = handlers.find(request.path_.substr(PathPrefix.size()));
     if (handler == handlers.end()) {
-        refuseWith({ErrorKind::NotFound, "nobody handles " + request.path_,
+        refuseWith({ErrorKind::NotFound, "no handler for " + request.path_,
                     "run the same version of almondridge on all entry instances"});
         return;
     }
@@ -284,12 +287,12 @@
     Job job {guest.token_,    stream,           request.nonce_,
              guest.instance_, &handler->second, std::move(*message)};
     if (!workers_.post([this, job = std::move(job)]() mutable { run(std::move(job)); })) {
-        refuseWith({ErrorKind::Overloaded, "too many peer requests wait here",
-                    "try again later, or ask another instance"});
+        refuseWith({ErrorKind::Overloaded, "too many peer requests are queued",
+                    "try again later, or send it to another instance"});
     }
 }
 
-/** On a worker thread. */
+/** Runs on a worker thread. */
 void Inbound::run(Job job)
 {
     const auto outcome = capture([&] { return (*job.handler_)(job.from_, job.message_); });
@@ -299,7 +302,7 @@
         error == nullptr ? encodeCbor(std::get<nlohmann::json>(outcome)) : encodeError(*error);
     if (body.size() > MaxBodyBytes) {
         const Error tooLarge {ErrorKind::Overloaded, "the answer is too large",
-                              "ask for less at a time"};
+                              "request less data at a time"};
         status = statusOf(tooLarge.kind_);
         body = encodeError(tooLarge);
     }
--- a/libs/peers/src/inbound.h
+++ b/libs/peers/src/inbound.h
@@ -1,6 +1,6 @@
 /**
- * Incoming connections: other instances' heartbeats and requests. Used by the I/O thread, but
- * for the handlers, which run on worker threads.
+ * Incoming connections: heartbeats and requests of other instances. Used by the I/O thread only,
+ * except that request handlers run on worker threads.
  */
 #pragma once
 
@@ -17,10 +17,11 @@
     Inbound(ExchangeParts parts, OwnedDescriptor listener);
 
     void startWorkers();
-    /** Waits for the handlers that run. From any thread but theirs and the loop's. */
+    /** Waits for running handlers. Must not be called from a handler or the I/O thread. */
     void stopWorkers();
 
-    /** False when token is none of an inbound connection or of the listener. */
+    /** Handles readiness. False if token belongs to neither an incoming connection nor the
+     * listener. */
     bool ready(std::uint64_t token, Readiness readiness);
     TimePoint advance(TimePoint now);
     void closeAll();
@@ -31,14 +32,14 @@
         std::uint64_t token_ = 0;
         PeerAddress remote_;
         Connection connection_;
-        InstanceId instance_ {};  ///< Empty until a heartbeat proved that it knows the key.
+        InstanceId instance_ {};  ///< Empty until a heartbeat is authenticated.
         std::string greeting_ {}; ///< The nonce of that heartbeat.
-        bool leaving_ = false;    ///< It was refused, and is closed once it has the answer.
+        bool leaving_ = false;    ///< Rejected; closed after the answer is sent.
         bool watchesWrite_ = false;
         TimePoint deadline_ {};
     };
 
-    /** A request that goes to a handler. */
+    /** A request for a handler thread. */
     struct Job
     {
         std::uint64_t token_ = 0;
@@ -75,7 +76,7 @@
     bool listening_ = true;
     TimePoint acceptAgain_ {};
     std::unordered_map<std::uint64_t, Guest> guests_;
-    TimePoint scanDeadline_ {}; ///< No guest's deadline is earlier.
+    TimePoint scanDeadline_ {}; ///< Lower bound of all connections' deadlines.
     Workers workers_;
 };
 
--- a/libs/peers/src/linkanswers.cpp
+++ b/libs/peers/src/linkanswers.cpp
@@ -1,5 +1,5 @@
 /**
- * The part of the links that takes answers apart.
+ * Links: processing of answers.
  */
 #include "errormessage.h"
 #include "links.h"
@@ -23,8 +23,8 @@
             }
         } else if (exchange.call_ != 0 && event.refused_) {
             calls_.finish(exchange.call_,
-                          Error {ErrorKind::Unavailable, "the peer took no more requests",
-                                 "try again, or ask another instance"});
+                          Error {ErrorKind::Unavailable, "the peer refused the stream",
+                                 "try again, or send it to another instance"});
         } else if (exchange.call_ != 0) {
             calls_.giveUp(exchange.call_, event.kind_ == H2EventKind::TooLarge
                                               ? "the answer is too large"
@@ -41,12 +41,14 @@
 bool Links::takeAnswer(Link &link, const Exchange &exchange, const H2Message &answer)
 {
     if (!parts_.credentials_.checkAnswer(answer, exchange.nonce_)) {
-        // An instance refuses without a proof of its own: it does not know this one.
+        // A peer that rejects an unauthenticated request answers without a proof.
         const bool unproved = answer.proof_.empty() && answer.status_ == StatusUnauthorized;
         const Error error =
-            unproved ? decodeError(answer.status_, answer.body_)
-                     : Error {ErrorKind::Unauthorized, "the answer's proof is wrong",
-                              "give all entry instances the same peerKey, and nobody else"};
+            unproved
+                ? decodeError(answer.status_, answer.body_)
+                : Error {
+                    ErrorKind::Unauthorized, "the answer's proof is wrong",
+                    "set the same peerKey on all entry instances, and check what listens there"};
         if (exchange.call_ != 0) {
             calls_.finish(exchange.call_, error);
         }
@@ -78,8 +80,8 @@
     const HeardVerdict verdict = parts_.membership_.heard(heartbeat, link.address_);
     parts_.membership_.exchanged(exchange.bodyBytes_ + answer.body_.size());
     if (verdict != HeardVerdict::Fresh && verdict != HeardVerdict::Late) {
-        close(link.token_,
-              "the instance there is no peer: " + std::string(nameOf(HeardVerdictNames, verdict)));
+        close(link.token_, "the instance there was not accepted as a member: "
+                               + std::string(nameOf(HeardVerdictNames, verdict)));
         return false;
     }
     greeted(link, heartbeat.sender_);
--- a/libs/peers/src/linkdeadlines.cpp
+++ b/libs/peers/src/linkdeadlines.cpp
@@ -1,5 +1,5 @@
 /**
- * The part of the links that finds silence, overdue calls and idleness.
+ * Links: deadlines of silent connections, calls and idle connections.
  */
 #include "links.h"
 
@@ -8,7 +8,7 @@
 namespace almondridge::peers {
 namespace {
 
-/** A link without traffic is closed after this, or after a few intervals if those are longer. */
+/** Idle timeout of a link; IdleIntervals heartbeat intervals if those are longer. */
 constexpr Duration IdleSpan = std::chrono::seconds(60);
 constexpr int IdleIntervals = 4;
 
@@ -43,7 +43,7 @@
     return earliest;
 }
 
-/** False when the link is gone. */
+/** False if the link was closed. */
 bool Links::checkDeadlines(Link &link, TimePoint now)
 {
     const std::uint64_t token = link.token_;
@@ -68,8 +68,8 @@
         close(token, "idle");
         return false;
     }
-    // Links on which the other side starts the heartbeats have none of their own under way. A
-    // request without any sign of life is followed by one, so that silence is found there too.
+    // If the peer starts the heartbeats, this link has none in flight that could time out. When
+    // a request gets no response at all, send one to detect a silent connection.
     if (endCalls(link, now) && !heartbeatUnderWay(link)) {
         sendHeartbeat(link);
     }
@@ -77,7 +77,7 @@
     return true;
 }
 
-/** Gives up calls that are past their deadline. True: the link gives no sign of life. */
+/** Fails calls past their deadline. True if a call got no response and the link may be silent. */
 bool Links::endCalls(Link &link, TimePoint now)
 {
     bool doubtful = false;
--- a/libs/peers/src/links.cpp
+++ b/libs/peers/src/links.cpp
@@ -8,11 +8,12 @@
 namespace {
 
 const std::string HeartbeatPath = "/peer/heartbeat";
-/** Requests that may wait for or run on one link. */
+/** Maximum requests queued or in flight on one link. */
 constexpr std::size_t MaxCallsPerLink = 1'024;
 /**
- * Requests under way on one link; more wait. The other side takes MaxStreams at a time, and a
- * heartbeat that had to wait for slow handlers would look like a silent connection.
+ * Maximum requests in flight on one link; more are queued. The peer accepts MaxStreams at a time;
+ * some are reserved for heartbeats, as one that waits for slow handlers would look like a silent
+ * connection.
  */
 constexpr std::size_t MaxCallsUnderWay = MaxStreams - 8;
 
@@ -52,7 +53,7 @@
     return &links_.emplace(token, std::move(link)).first->second;
 }
 
-/** Ends a link and all that waits on it. */
+/** Closes a link and fails all its calls. */
 void Links::close(std::uint64_t token, const std::string &why)
 {
     const auto found = links_.find(token);
@@ -73,7 +74,7 @@
     }
 }
 
-/** The other side does not take this instance for a peer, or is none itself. */
+/** Closes a link whose other side rejected this instance, or is not a valid peer itself. */
 void Links::refused(std::uint64_t token, const Error &error)
 {
     const auto found = links_.find(token);
@@ -92,9 +93,10 @@
 }
 
 /**
- * Something between the two ends has lost track of the connection: it stays open, and nothing
- * comes through. Only a missing answer shows that, and only a new connection mends it. The member
- * stays alive if it answers there before its heartbeat deadline.
+ * Reconnects a silent link. A network device between the two sides may drop the state of a
+ * connection, which then stays open but carries no data. Only a missing answer reveals that, and
+ * only a new connection helps. The member stays alive if it answers there before its heartbeat
+ * deadline.
  */
 void Links::replace(std::uint64_t token)
 {
@@ -135,7 +137,7 @@
     if (link->waiting_.size() + link->exchanges_.size() >= MaxCallsPerLink) {
         calls_.finish(call.id_, Error {ErrorKind::Overloaded,
                                        "too many requests to " + call.to_.value() + " at once",
-                                       "try again when some are answered"});
+                                       "retry when some of them have been answered"});
         return;
     }
     const std::uint64_t token = link->token_;
@@ -164,12 +166,12 @@
     }
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     const TimePoint now = BootClock::now();
-    // Without a stream the session is at its end; the entry makes its deadline close the link.
+    // Stream 0 means that the session takes no more; the entry's deadline then closes the link.
     link.exchanges_[stream] = {0, std::move(nonce), bytes, now,
                                now + parts_.settings_.answerTimeout()};
 }
 
-/** Sends what waits, as far as there is room. */
+/** Sends queued calls up to MaxCallsUnderWay. */
 void Links::sendWaiting(Link &link)
 {
     while (!link.waiting_.empty() && link.exchanges_.size() < MaxCallsUnderWay) {
@@ -192,7 +194,7 @@
     std::string nonce = message.nonce_;
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     if (stream == 0) {
-        calls_.giveUp(call.id_, "the connection takes no more requests");
+        calls_.giveUp(call.id_, "the connection accepts no more requests");
         return;
     }
     link.exchanges_[stream] = {call.id_, std::move(nonce), 0, BootClock::now(), call.deadline_};
@@ -278,7 +280,7 @@
 void Links::closeAll()
 {
     while (!links_.empty()) {
-        close(links_.begin()->first, "this instance stops");
+        close(links_.begin()->first, "this instance is stopping");
     }
 }
 
--- a/libs/peers/src/links.h
+++ b/libs/peers/src/links.h
@@ -1,9 +1,9 @@
 /**
- * Outgoing connections: one for each peer address, kept open. Used by the I/O thread.
+ * Outgoing connections: one persistent connection per peer address. Used by the I/O thread only.
  *
- * The first request on a connection is a heartbeat. Requests wait until it is answered with a
- * valid proof, so they never reach an instance that does not know the key, and until then they
- * are known to be unsent.
+ * The first request on a connection is a heartbeat. Other requests are queued until it is answered
+ * with a valid proof. They therefore never reach a process without the shared key, and queued
+ * requests are known to be unsent.
  */
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace almondridge::peers {
 
-/** A request() on its way. */
+/** A call of PeerExchange::request(). */
 struct OutgoingCall
 {
     CallId id_ = 0;
@@ -31,7 +31,7 @@
     TimePoint deadline_;
 };
 
-/** What the two directions of an exchange share. */
+/** Objects shared by outgoing and incoming connections. */
 struct ExchangeParts
 {
     const ExchangeSettings &settings_;
@@ -47,10 +47,13 @@
 public:
     Links(ExchangeParts parts, PendingCalls &calls);
 
-    /** urgent: also when one is under way already, since it carries older news. */
+    /**
+     * Sends a heartbeat, connecting first if needed. urgent: sends it even if another is in
+     * flight, because that one carries older state.
+     */
     void heartbeat(const HeartbeatTarget &target, bool urgent);
     void call(OutgoingCall call);
-    /** False when token is none of a link. */
+    /** Handles socket readiness. False if token does not belong to a link. */
     bool ready(std::uint64_t token, Readiness readiness);
     TimePoint advance(TimePoint now);
     void closeAll();
@@ -58,11 +61,11 @@
 private:
     enum class LinkState {
         Connecting,
-        Greeting, ///< The first heartbeat is under way.
+        Greeting, ///< The first heartbeat is in flight.
         Open,
     };
 
-    /** A stream that waits for its answer. */
+    /** A request that waits for its answer, by stream. */
     struct Exchange
     {
         CallId call_ = 0; ///< 0: a heartbeat.
@@ -76,13 +79,13 @@
     {
         std::uint64_t token_ = 0;
         PeerAddress address_;
-        InstanceId instance_; ///< Who is expected there; once open, who answered.
+        InstanceId instance_; ///< Expected instance; once open, the one that answered.
         std::uint64_t incarnation_ = 0;
         std::string greeting_ {}; ///< The nonce of the first request.
         LinkState state_ = LinkState::Connecting;
         Connection connection_;
         bool watchesWrite_ = true;
-        bool newsWaiting_ = false; ///< Another heartbeat is to follow the greeting.
+        bool newsWaiting_ = false; ///< Send another heartbeat once open.
         TimePoint openDeadline_ {};
         std::map<std::int32_t, Exchange> exchanges_ {};
         std::deque<OutgoingCall> waiting_ {};
@@ -100,7 +103,7 @@
     void sendWaiting(Link &link);
     H2Message seal(const Link &link, std::string path, std::string body);
     void flush(std::uint64_t token);
-    /** False when the link was closed on the way. */
+    /** False if the link was closed meanwhile. */
     bool takeEvents(std::uint64_t token);
     bool takeAnswer(Link &link, const Exchange &exchange, const H2Message &answer);
     bool takeHeartbeat(Link &link, const Exchange &exchange, const H2Message &answer);
@@ -116,7 +119,7 @@
     PendingCalls &calls_;
     std::unordered_map<std::uint64_t, Link> links_;
     std::unordered_map<std::string, std::uint64_t> byAddress_;
-    TimePoint scanDeadline_ {}; ///< No link's deadline is earlier.
+    TimePoint scanDeadline_ {}; ///< Lower bound of all links' deadlines.
 };
 
 } // namespace almondridge::peers
--- a/libs/peers/src/membership.cpp
+++ b/libs/peers/src/membership.cpp
@@ -8,9 +8,9 @@
 namespace almondridge::peers {
 namespace {
 
-/** Addresses from the instance list that are tried at once; the rest is learned from members. */
+/** Seed addresses probed per call of advance(); other members are learned from those found. */
 constexpr std::size_t SeedTries = 3;
-/** A listed instance that never answers is forgotten after this many timeouts. */
+/** An instance known only from lists, never alive, is removed after this many timeouts. */
 constexpr int CandidateTimeouts = 10;
 
 } // namespace
@@ -58,8 +58,9 @@
     }
     Record &record = known ? records_.at(sender.instance_) : insert(sender, now);
     if (record.incarnation_ != sender.incarnation_) {
-        // A process that was paused while another took over its id must not get it back. Wall
-        // clocks can be wrong, so a lower incarnation counts once the higher one is dead.
+        // A process that was paused while another took over its id must not reclaim the id.
+        // Incarnations come from wall clocks, which can be wrong, so a lower incarnation is
+        // accepted once the higher one is dead.
         if (sender.incarnation_ < record.incarnation_ && record.member_.alive_) {
             return HeardVerdict::OldIncarnation;
         }
@@ -103,7 +104,7 @@
     noteDeadline(record.nextHeartbeat_);
 }
 
-/** Takes over what a heartbeat says. Leaving is final for an incarnation. */
+/** Applies the contents of a heartbeat. Leaving is final for an incarnation. */
 void Membership::takeUp(Record &record, const Heartbeat &heartbeat)
 {
     Member &member = record.member_;
@@ -131,7 +132,7 @@
         if (!(member.address_ == address)) {
             ++record;
         } else if (member.leaving_) {
-            // It said that it stops and does not answer any more: it has stopped.
+            // A member that announced its shutdown and does not answer has stopped.
             record = drop(record, MemberEventKind::Left);
         } else {
             ++record->second.failures_;
@@ -202,13 +203,13 @@
         } else if (record.linked_ || record.urgent_) {
             due.push_back({record.member_.address_, instance});
             record.urgent_ = false;
-            // Until it is answered the next try comes after the plain interval: the other side
-            // counts on what was promised before the interval was stretched last.
+            // Until it is answered, retry after the unstretched interval: the receiver's deadline
+            // is based on the interval announced before the last stretch.
             record.nextHeartbeat_ = now + settings_.interval_;
         }
     }
-    // When a whole domain is cut off, only a few of it are tried at a time: those whose turn is
-    // the longest ago. The wait that follows a try lets the others come next.
+    // If a whole domain is unreachable, retry only a few of its members at a time, the longest
+    // overdue first. Each then backs off, so the others follow.
     std::sort(dead.begin(), dead.end(), [](const Record *left, const Record *right) {
         return left->nextHeartbeat_ < right->nextHeartbeat_;
     });
@@ -226,7 +227,7 @@
 void Membership::collectSeeds(TimePoint now, std::vector<HeartbeatTarget> &due)
 {
     const auto isDue = [&](const Seed &seed) { return seed.nextTry_ <= now && !seed.served_; };
-    // Those that were tried last stand behind those whose turn has not come.
+    // Seeds that are not due go to the back, behind those still to be tried.
     std::stable_partition(seeds_.begin(), seeds_.end(), isDue);
     std::size_t tries = 0;
     for (Seed &seed : seeds_) {
@@ -338,9 +339,9 @@
 }
 
 /**
- * Instances are replaced all the time, and addresses are used again. Whoever answers at an
- * address has it for certain; whoever merely says so has it unless the other is alive, in which
- * case both are asked.
+ * Resolves two members with the same address, which occurs when an instance is replaced and its
+ * address is reused. An instance that answered at the address owns it (certain). An instance that
+ * only claims it owns it unless the other member is alive; then that member is probed.
  */
 void Membership::takeAddress(const Record &owner, const PeerAddress &address, bool certain,
                              TimePoint now)
--- a/libs/peers/src/membership.h
+++ b/libs/peers/src/membership.h
@@ -1,13 +1,13 @@
 /**
- * Who the other entry instances are and which of them are alive. Pure decisions: heartbeats and
- * times go in, heartbeats that are due and events come out; no clock, socket or thread inside.
+ * Tracks the other entry instances and their liveness. Deterministic: the inputs are heartbeats
+ * and times, the outputs are due heartbeats and events. It uses no clock, socket or thread.
  *
- * Links. Instances of one failure domain exchange heartbeats with each other, all with all. To
- * each other domain an instance keeps GatewaysPerDomain links; a domain with no more members is
- * linked whole. Members without a link are vouched for by the gateways of their domain.
+ * Links: each instance exchanges heartbeats with every member of its own failure domain, and with
+ * up to GatewaysPerDomain members (gateways) of each other domain. The liveness of members without
+ * a link is learned indirectly, from heartbeats of the linked members of their domain.
  *
- * Both sides of a link learn everything from one exchange, so only one of them starts it: the one
- * with the lower id, and the other when it heard nothing for half an interval longer.
+ * One exchange updates both sides of a link, so only one side starts it: the instance with the
+ * lower id. The other side starts one if nothing arrives for 1.5 intervals.
  */
 #pragma once
 
@@ -20,33 +20,33 @@
 
 namespace almondridge::peers {
 
-/** Links that an instance keeps to each failure domain other than its own. */
+/** Maximum links from an instance to each failure domain other than its own. */
 inline constexpr std::size_t GatewaysPerDomain = 3;
-/** How much rarer heartbeats to other domains may get before all get rarer, to keep the budget. */
+/** Maximum ratio of the interval to other domains to the own domain's; see stretchedIntervals(). */
 inline constexpr int FarIntervalFactor = 4;
-/** The side of a link that does not start the exchange waits this many halves of an interval. */
+/** Wait of the side of a link that does not normally start the exchange, in half intervals. */
 inline constexpr int PassiveHalfIntervals = 3;
-/** Instances that are kept track of; more are not taken up. */
+/** Maximum instances tracked; heartbeats of further ones are rejected. */
 inline constexpr std::size_t MaxMembers = 4'096;
 
 struct MembershipSettings
 {
     PeerIdentity self_;
-    Duration interval_ {};            ///< Between two exchanges on a link.
-    Duration timeout_ {};             ///< Without a heartbeat a member counts as dead after it.
-    Duration forget_ {};              ///< A dead member is tried again for this long.
-    double budgetBytesPerSecond_ = 0; ///< For heartbeats; intervals stretch to keep it. 0: none.
+    Duration interval_ {};            ///< Time between two exchanges on a link.
+    Duration timeout_ {};             ///< A member without a heartbeat for this long is dead.
+    Duration forget_ {};              ///< A dead member is retried for this long, then removed.
+    double budgetBytesPerSecond_ = 0; ///< Heartbeat traffic limit; 0: no limit.
 };
 
 enum class MemberEventKind {
-    Joined,       ///< Heard of for the first time.
+    Joined,       ///< First heartbeat or first report by its domain.
     Suspected,    ///< Its heartbeat deadline passed.
-    Back,         ///< Heard of again.
-    Leaving,      ///< It said that it stops.
-    Left,         ///< It said so and is gone.
-    Dropped,      ///< Not heard of for long.
-    Restarted,    ///< A new incarnation took the place of the old one.
-    AddressTaken, ///< Another instance answers at its address.
+    Back,         ///< Alive again after it was suspected.
+    Leaving,      ///< It announced that it is shutting down.
+    Left,         ///< It announced a shutdown and no longer answers.
+    Dropped,      ///< Dead for longer than the retention time.
+    Restarted,    ///< A new incarnation replaced the old one.
+    AddressTaken, ///< Another instance now uses its address.
     DuplicateId,  ///< Another process uses this instance's id.
 };
 
@@ -68,20 +68,20 @@
     PeerIdentity member_;
 };
 
-/** Where a heartbeat is to go now. */
+/** Destination of a heartbeat that is due. */
 struct HeartbeatTarget
 {
     PeerAddress address_;
-    InstanceId instance_ {}; ///< Empty when it is not known who listens there.
+    InstanceId instance_ {}; ///< Empty if the instance at the address is unknown.
 };
 
-/** What became of a heartbeat that came in. */
+/** Result of processing a received heartbeat. */
 enum class HeardVerdict {
-    Fresh,          ///< Taken up.
-    Late,           ///< A newer one of the same sender came first; it only shows life.
-    OldIncarnation, ///< From a process whose id a newer process has taken over.
-    Self,           ///< From this instance itself, or from another process under its id.
-    TooMany,        ///< MaxMembers are known already.
+    Fresh,          ///< Newest heartbeat of its sender; its contents were applied.
+    Late,           ///< Older than one already applied; it only proves that the sender is alive.
+    OldIncarnation, ///< From a process that a newer process with the same id replaced.
+    Self,           ///< From this instance, or another process that uses its id.
+    TooMany,        ///< MaxMembers are tracked already.
 };
 
 inline constexpr std::array<EnumName<HeardVerdict>, 5> HeardVerdictNames {{
@@ -92,16 +92,17 @@
     {HeardVerdict::TooMany, "too-many-members"},
 }};
 
-/** Times between two exchanges on a link. */
+/** Time between two exchanges on a link. */
 struct Intervals
 {
-    Duration near_ {}; ///< To members of the own domain.
-    Duration far_ {};  ///< To members of others.
+    Duration near_ {}; ///< To members of the own failure domain.
+    Duration far_ {};  ///< To members of other failure domains.
 };
 
 /**
- * Keeps the budget: first links to other domains slow down, as what happens there matters less
- * here; once they are FarIntervalFactor times as slow, all do.
+ * Stretches the intervals to stay within exchangesPerSecond. Links to other domains slow down
+ * first, because their state is less urgent here. Once they are FarIntervalFactor times as slow
+ * as the own domain's, all links slow down at that ratio.
  */
 Intervals stretchedIntervals(Duration interval, double nearLinks, double farLinks,
                              double exchangesPerSecond);
@@ -111,66 +112,69 @@
 public:
     explicit Membership(MembershipSettings settings);
 
-    /** Addresses to try; replaces those given before, except that what is known of them stays. */
+    /** Sets the addresses to probe. Addresses given before keep their state; others are removed. */
     void seed(const std::vector<PeerAddress> &addresses, TimePoint now);
 
-    /** A proved heartbeat. askedAt: it is the answer to one that was sent to that address. */
+    /**
+     * Processes an authenticated heartbeat. askedAt: the address that the heartbeat was requested
+     * from, if it is an answer.
+     */
     HeardVerdict heard(const Heartbeat &heartbeat, TimePoint now,
                        const std::optional<PeerAddress> &askedAt = std::nullopt);
 
-    /** A heartbeat to address got no answer. */
+    /** Records that a heartbeat to address got no answer. */
     void unanswered(const PeerAddress &address, TimePoint now);
 
-    /** Lets deadlines pass and gives the heartbeats that are due. */
+    /** Handles deadlines up to now and returns the heartbeats that are due. */
     std::vector<HeartbeatTarget> advance(TimePoint now);
 
-    /** Makes a heartbeat due now on every link. */
+    /** Makes a heartbeat due at now on every link. */
     void makeDue(TimePoint now);
 
-    /** The next time at which advance() has something to do. */
+    /** Time by which advance() must be called next. */
     TimePoint nextDeadline() const noexcept { return scanDeadline_; }
 
-    /** The heartbeat for an instance; its id is empty when it is not known. */
+    /** Builds the next heartbeat for an instance; to is empty if the receiver is unknown. */
     Heartbeat compose(const InstanceId &to, nlohmann::json digest);
 
-    /** This instance stops. */
+    /** Announces in all further heartbeats that this instance is shutting down. */
     void setLeaving();
 
-    /** What one exchange costs on the wire, as measured; sets how far intervals stretch. */
+    /** Sets the average bytes of one exchange on the wire, which stretches the intervals. */
     void setExchangeBytes(double bytes);
-    /** The interval between exchanges on a link to domain, stretched to keep the budget. */
+    /** Interval between exchanges on a link to domain, stretched to stay within the budget. */
     Duration intervalTo(const DomainId &domain) const;
     std::vector<Member> members() const;
     std::optional<Member> member(const InstanceId &instance) const;
     std::vector<MemberEvent> takeEvents();
 
 private:
-    /** What is known of one instance. */
+    /** State of one instance. */
     struct Record
     {
         Member member_;
         std::uint64_t incarnation_ = 0;
         std::uint64_t sequence_ = 0;
-        std::uint64_t weight_ = 0; ///< Rank among its domain's members as this instance's gateway.
-        bool joined_ = false;      ///< It was alive at some time.
-        bool linked_ = false;      ///< This instance chose to exchange heartbeats with it.
-        bool direct_ = false;      ///< Heartbeats are exchanged, whoever chose so.
-        bool urgent_ = false;      ///< The next heartbeat is due whatever the links are.
-        bool directOnly_ = false;  ///< A link to it failed: others' word for it counts no more.
+        std::uint64_t weight_ = 0; ///< Rendezvous weight; the highest of a domain are gateways.
+        bool joined_ = false;      ///< Has been alive at least once.
+        bool linked_ = false;      ///< This instance selected it for heartbeats.
+        bool direct_ = false;      ///< Heartbeats arrive from it directly.
+        bool urgent_ = false;      ///< The next heartbeat is sent even without a link.
+        bool directOnly_ = false;  ///< Its link failed, so indirect reports no longer count.
         bool viewsKnown_ = false;
-        std::uint64_t yourView_ = 0;  ///< Its last word on the members of this domain,
-        std::uint64_t fleetView_ = 0; ///< and on all members.
+        std::uint64_t yourView_ = 0;  ///< Its last hash of the members of this domain.
+        std::uint64_t fleetView_ = 0; ///< Its last hash of all members.
         unsigned failures_ = 0;
         TimePoint nextHeartbeat_ {};
-        TimePoint directDeadline_ {}; ///< Until then direct_ holds.
+        TimePoint directDeadline_ {}; ///< direct_ is cleared then.
         TimePoint dropDeadline_ {};
     };
 
     struct Seed
     {
         PeerAddress address_;
-        InstanceId instance_; ///< Who answered there last.
-        bool served_ = false; ///< A member holds the address, so its own schedule counts.
+        InstanceId instance_; ///< Instance that answered there last.
+        bool served_ = false; ///< Not probed: a member uses the address.
         unsigned failures_ = 0;
         TimePoint nextTry_ {};
     };
@@ -213,11 +217,11 @@
     std::map<DomainId, std::uint64_t> views_;
     std::uint64_t fleetView_ = 0;
     std::uint64_t sequence_ = 0;
-    InstanceId windowAfter_; ///< Where the next window of listed members begins.
+    InstanceId windowAfter_; ///< Last member listed; the next list starts behind it.
     double exchangeBytes_ = 0;
     Intervals intervals_;
-    TimePoint scanDeadline_ {}; ///< No deadline of a member or seed is earlier.
-    bool changed_ = true;       ///< Views, links and seeds are to be worked out again.
+    TimePoint scanDeadline_ {}; ///< Lower bound of all deadlines of members and seeds.
+    bool changed_ = true;       ///< Member hashes, links and seeds are out of date.
 };
 
 } // namespace almondridge::peers
--- a/libs/peers/src/membershiptiming.cpp
+++ b/libs/peers/src/membershiptiming.cpp
@@ -1,5 +1,5 @@
 /**
- * The part of membership that turns settings, promises and the byte budget into deadlines.
+ * Membership: derives deadlines from settings, announced intervals and the byte budget.
  */
 #include "membership.h"
 
@@ -9,7 +9,7 @@
 namespace almondridge::peers {
 namespace {
 
-/** The longest wait between two tries of a dead member or seed, in intervals: 2 to this power. */
+/** Limit of the backoff for dead members and seeds: 2^MaxBackoffShift intervals. */
 constexpr unsigned MaxBackoffShift = 4;
 
 } // namespace
@@ -36,7 +36,7 @@
 
 void Membership::setExchangeBytes(double bytes)
 {
-    // The links are counted again only when it matters: this comes with every exchange.
+    // Called after every exchange, so small changes don't recompute the intervals.
     constexpr double Noticeable = 0.02;
     if (std::abs(bytes - exchangeBytes_) > Noticeable * exchangeBytes_) {
         exchangeBytes_ = bytes;
--- a/libs/peers/src/membershipviews.cpp
+++ b/libs/peers/src/membershipviews.cpp
@@ -1,5 +1,5 @@
 /**
- * The part of membership that spreads it: links and gateways, views, listed members.
+ * Membership: gossip of members between instances, their hashes, links and gateways.
  */
 #include "membership.h"
 #include "rendezvous.h"
@@ -10,16 +10,16 @@
 namespace almondridge::peers {
 namespace {
 
-/** Members of its own domain that an instance lists at most in one heartbeat. */
+/** Maximum members of the sender's own domain listed in one heartbeat. */
 constexpr std::size_t MaxDomainListed = 64;
-/** Members of other domains listed in one heartbeat; the window moves on with each. */
+/** Maximum members of other domains listed in one heartbeat; the next one continues the list. */
 constexpr std::size_t WindowListed = 8;
-/** Others' word for a member may be older than a heartbeat from itself by an exchange. */
+/** Indirect reports get twice the timeout, as they arrive one exchange later than heartbeats. */
 constexpr int VouchedTimeouts = 2;
 
 } // namespace
 
-/** Learns from a heartbeat about instances other than its sender. */
+/** Applies what a heartbeat reports about instances other than its sender. */
 void Membership::learn(const Heartbeat &heartbeat, TimePoint now)
 {
     for (const PeerIdentity &listed : heartbeat.members_) {
@@ -38,7 +38,7 @@
     }
     auto found = records_.find(identity.instance_);
     if (found == records_.end()) {
-        // One that leaves is no news any more; it may be gone from here already.
+        // A leaving instance is not added: it may have been removed here already.
         if (records_.size() >= MaxMembers || identity.leaving_) {
             return;
         }
@@ -51,7 +51,7 @@
     }
     const bool newer = identity.incarnation_ > record.incarnation_;
     if (newer && record.member_.alive_ && record.direct_) {
-        // The link itself tells first-hand whether it was restarted.
+        // Probe the member over its own link to confirm the restart.
         record.nextHeartbeat_ = now;
         record.urgent_ = true;
         noteDeadline(now);
@@ -60,7 +60,7 @@
     if (newer) {
         restart(record, identity);
     }
-    // Only instances of its own domain know first-hand whether a member is alive.
+    // Only instances of its own domain have a direct link to every member of it.
     const bool firstHand =
         identity.domain_ == from.sender_.domain_ && identity.domain_ != settings_.self_.domain_;
     const bool seenFromHere = record.directOnly_ || record.linked_;
@@ -71,7 +71,7 @@
     }
 }
 
-/** The sender's domain looks the same to both: what it knows alive is alive. */
+/** Extends the deadlines of all members of the sender's domain; both sides' hashes match. */
 void Membership::vouchForAll(const Heartbeat &heartbeat, TimePoint now)
 {
     const DomainId &domain = heartbeat.sender_.domain_;
@@ -125,7 +125,7 @@
     }
 }
 
-/** Members of other domains in the order of their ids, from where the last window ended. */
+/** Lists members of other domains in id order, starting behind the last one listed before. */
 void Membership::listWindow(const InstanceId &to, std::vector<PeerIdentity> &list)
 {
     auto next = records_.upper_bound(windowAfter_);
@@ -144,12 +144,12 @@
     }
 }
 
-/** Works out what depends on the set of members, once after any number of changes. */
+/** Recomputes the state derived from the set of members if it changed. */
 void Membership::settle()
 {
     if (changed_) {
         changed_ = false;
-        // Links and seeds that come into play may have been due for long.
+        // New links and seeds may be overdue.
         scanDeadline_ = TimePoint {};
         refreshViews();
         refreshLinks();
@@ -195,7 +195,7 @@
     refreshIntervals();
 }
 
-/** An address from the instance list needs no tries while a member is known to hold it. */
+/** Seed addresses are not probed while a known member uses them. */
 void Membership::refreshSeeds()
 {
     std::unordered_set<std::string> held;
--- a/libs/peers/src/peerevents.cpp
+++ b/libs/peers/src/peerevents.cpp
@@ -69,7 +69,7 @@
     const auto millisRead = std::from_chars(begin, begin + point, time.wallMillis_);
     const auto counterRead =
         std::from_chars(begin + point + 1, begin + clock.size(), time.counter_);
-    // A peer whose clock runs far ahead would drag the time line of the whole fleet with it.
+    // Ignore a clock far ahead, which would otherwise advance the clocks of the whole fleet.
     const bool near = time.wallMillis_ <= wallMillis() + toMillis(MaxClockSkew);
     if (millisRead.ec == std::errc() && counterRead.ec == std::errc() && near) {
         timeline_->witness(time);
--- a/libs/peers/src/peerevents.h
+++ b/libs/peers/src/peerevents.h
@@ -1,5 +1,5 @@
 /**
- * Events of the exchange on the time line (or the log alone), and the hybrid clock.
+ * Reports events of the exchange to the timeline or log, and accesses the hybrid clock.
  */
 #pragma once
 
@@ -16,20 +16,21 @@
 class PeerEvents
 {
 public:
-    /** Without a time line events are only logged. */
+    /** If timeline is null, events are only logged. */
     explicit PeerEvents(observe::Timeline *timeline);
 
     void report(std::string_view name, const std::string &subject, const std::string &detail = {});
 
     /**
-     * Like report(), but at most a few in a second: whoever can reach the port could otherwise
-     * push all other events out of the time line. The next event says how many were left out.
+     * Like report(), but limited to 8 events per second. Otherwise any client that can reach the
+     * port could displace all other events from the timeline. The next reported event contains
+     * the number of suppressed ones (left_out).
      */
     void reportRefusal(std::string_view name, const std::string &subject, std::string detail);
 
-    /** The hybrid time for the next message: "millis.counter". Empty without a time line. */
+    /** Hybrid time for the next message: "millis.counter". Empty without a timeline. */
     std::string clock();
-    /** Moves the hybrid clock past one that came with a proved message. */
+    /** Advances the hybrid clock past that of an authenticated message. */
     void witness(std::string_view clock);
 
 private:
--- a/libs/peers/src/pendingcalls.cpp
+++ b/libs/peers/src/pendingcalls.cpp
@@ -6,11 +6,11 @@
 Error notAnswered(bool sent, const std::string &why)
 {
     if (sent) {
-        return {ErrorKind::Interrupted, "the peer may have got the request: " + why,
-                "find out the effect before sending it again"};
+        return {ErrorKind::Interrupted, "the peer may have received the request: " + why,
+                "check its effect before sending it again"};
     }
     return {ErrorKind::Unavailable, "the request was not sent: " + why,
-            "try again, or ask another instance"};
+            "try again, or send it to another instance"};
 }
 
 } // namespace
@@ -87,7 +87,7 @@
             shard.closed_ = true;
             for (auto &[id, call] : shard.calls_) {
                 if (!call.outcome_) {
-                    call.outcome_ = notAnswered(call.sent_, "this instance stops");
+                    call.outcome_ = notAnswered(call.sent_, "this instance is stopping");
                 }
             }
         }
--- a/libs/peers/src/pendingcalls.h
+++ b/libs/peers/src/pendingcalls.h
@@ -1,5 +1,5 @@
 /**
- * Requests whose callers wait for an answer, by id, in shards.
+ * Calls whose threads wait for an answer, by id. Sharded to reduce lock contention. Thread-safe.
  */
 #pragma once
 
@@ -18,26 +18,26 @@
 namespace almondridge::peers {
 
 using CallId = std::uint64_t;
-/** The answer, or why there is none. */
+/** The answer, or the error that took its place. */
 using CallOutcome = std::variant<nlohmann::json, Error>;
 
 class PendingCalls
 {
 public:
-    /** Empty after close(). */
+    /** Registers a call. Empty after close(). */
     std::optional<CallId> open();
 
-    /** Before the first byte goes out. False: the caller has gone, so nothing may be sent. */
+    /** Must be called before sending. False: the caller no longer waits, so nothing may be sent. */
     bool markSent(CallId id);
-    /** Ignored when the caller has gone. */
+    /** Sets the outcome. Ignored if the caller no longer waits. */
     void finish(CallId id, CallOutcome outcome);
-    /** Like finish(): Interrupted when the call was sent, Unavailable when it was not. */
+    /** Fails the call: Interrupted if it was marked as sent, Unavailable if not. */
     void giveUp(CallId id, const std::string &why);
 
-    /** Waits for the outcome until deadline, then gives the call up. */
+    /** Waits for the outcome until deadline, then fails the call. */
     CallOutcome wait(CallId id, TimePoint deadline);
 
-    /** Gives up all calls and takes no more. */
+    /** Fails all calls and rejects new ones. */
     void close();
 
 private:
--- a/libs/peers/src/proof.cpp
+++ b/libs/peers/src/proof.cpp
@@ -27,8 +27,8 @@
 }
 
 /**
- * Appends a field with its length before it. Without the lengths two different messages could
- * give the same text ("ab" + "c" and "a" + "bc") and thus share a proof.
+ * Appends a field prefixed with its length. Without the lengths two different messages could
+ * give the same text ("ab" + "c" and "a" + "bc") and thus the same proof.
  */
 void appendField(std::string &text, std::string_view field)
 {
@@ -45,7 +45,7 @@
     if (HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), bytes, text.size(),
              digest.data(), &size)
         == nullptr) {
-        throw std::runtime_error("OpenSSL refused to compute HMAC-SHA256");
+        throw std::runtime_error("OpenSSL failed to compute HMAC-SHA256");
     }
     return toHex(digest.data(), size);
 }
@@ -81,7 +81,7 @@
 {
     std::string text;
     text.reserve(answer.body_.size() + 256);
-    // No method is called so, which keeps the proof of an answer from passing for a request's.
+    // No HTTP method has this name, so the proof of an answer is never valid for a request.
     appendField(text, "answer");
     appendField(text, std::to_string(answer.status_));
     appendSender(text, answer);
@@ -100,7 +100,7 @@
 {
     std::array<unsigned char, NonceBytes> bytes {};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
-        throw std::runtime_error("OpenSSL has no random bytes");
+        throw std::runtime_error("OpenSSL failed to generate random bytes");
     }
     return toHex(bytes.data(), bytes.size());
 }
@@ -124,7 +124,7 @@
     if (seen_.size() >= capacity_) {
         return ProofVerdict::Full;
     }
-    // A message from a clock that is MaxClockSkew ahead stays in time for twice that span.
+    // A message from a clock that is MaxClockSkew ahead is accepted for twice that time.
     inOrder_.push_back({now + 2 * MaxClockSkew, key});
     seen_.insert(std::move(key));
     return ProofVerdict::Valid;
--- a/libs/peers/src/proof.h
+++ b/libs/peers/src/proof.h
@@ -1,5 +1,6 @@
 /**
- * Proofs: HMAC-SHA256 over a message with the key that all entry instances share.
+ * Message authentication: a proof is an HMAC-SHA256 of a message with the key that all entry
+ * instances share.
  */
 #pragma once
 
@@ -14,16 +15,16 @@
 
 namespace almondridge::peers {
 
-/** How far a message's wall clock time may be from the receiver's. */
+/** Maximum difference between a message's wall clock time and the receiver's. */
 inline constexpr Duration MaxClockSkew = std::chrono::seconds(30);
 
-/** Why a message was or was not believed. */
+/** Result of authenticating a message. */
 enum class ProofVerdict {
     Valid,
-    Wrong,     ///< The proof is missing or does not fit: another key, or a changed message.
-    OutOfTime, ///< More than MaxClockSkew off this instance's wall clock.
+    Wrong,     ///< The proof is missing or wrong: another key, or a changed message.
+    OutOfTime, ///< Differs from this instance's wall clock by more than MaxClockSkew.
     Replayed,  ///< Its nonce was seen before.
-    Full,      ///< The replay window holds as many nonces as it may.
+    Full,      ///< The replay window is full.
 };
 
 inline constexpr std::array<EnumName<ProofVerdict>, 5> ProofVerdictNames {{
@@ -34,41 +35,42 @@
     {ProofVerdict::Full, "replay-window-full"},
 }};
 
-/** Makes and checks proofs. Stateless but for the key. */
+/** Computes proofs. Immutable. */
 class Prover
 {
 public:
     explicit Prover(std::string key);
 
-    /** Hex digits over method, path, audience, the message's own fields and its body. */
+    /** HMAC in hex digits over method, path, audience, sender fields, nonce and body. */
     std::string requestProof(const H2Message &request, std::string_view audience) const;
 
     /**
-     * The proof of an answer. It covers the nonce of the request, so that only someone with the
-     * key who saw this very request can have given it.
+     * The proof of an answer. It covers the nonce of the request, so that only a holder of the
+     * key who received this request can compute it.
      */
     std::string answerProof(const H2Message &answer, std::string_view requestNonce) const;
 
-    /** Compares in constant time: how long it takes tells nothing about the expected proof. */
+    /** Compares in constant time, to leak nothing about the expected proof through timing. */
     static bool same(std::string_view left, std::string_view right) noexcept;
 
 private:
     std::string key_;
 };
 
-/** 64 random bits in hex digits. */
+/** 64 random bits as hex digits. */
 std::string randomNonce();
 
-/** Nonces that were seen, each until a message with it would be out of time anyway. */
+/** Remembers each nonce until its message would be rejected for its time. */
 class ReplayWindow
 {
 public:
     explicit ReplayWindow(std::size_t capacity);
 
     /**
-     * Valid once for each nonce. Replayed: seen before. Full: no room, and forgetting a nonce
-     * early would let its message be replayed, so a new one is refused instead. Only nonces of
-     * proved messages belong here, so that nobody without the key can fill it.
+     * Returns Valid once for each nonce, and Replayed for one seen before. Returns Full when
+     * capacity is reached: evicting a nonce early would let its message be replayed, so the new
+     * message is rejected instead. Pass only nonces of messages with a valid proof, so that a
+     * sender without the key cannot fill the window.
      */
     ProofVerdict admit(std::string_view instance, std::string_view nonce, TimePoint now);
 
@@ -86,7 +88,7 @@
     std::unordered_set<std::string> seen_;
 };
 
-/** Whether a message's wall clock time is near enough to this instance's. */
+/** Whether a message's wall clock time is within MaxClockSkew of wallNowMillis. */
 bool inTime(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept;
 
 } // namespace almondridge::peers
--- a/libs/peers/src/rendezvous.cpp
+++ b/libs/peers/src/rendezvous.cpp
@@ -15,7 +15,7 @@
     return (hash ^ 0xffU) * FnvPrime;
 }
 
-/** FNV leaves the high bits of short texts alike; comparing weights needs them spread. */
+/** Bit mixer: FNV's high bits are similar for short texts, and decide the order of weights. */
 std::uint64_t spread(std::uint64_t hash) noexcept
 {
     hash = (hash ^ (hash >> 30U)) * 0xbf58476d1ce4e5b9U;
--- a/libs/peers/src/rendezvous.h
+++ b/libs/peers/src/rendezvous.h
@@ -1,5 +1,5 @@
 /**
- * Hashes that several instances must compute alike.
+ * Hashes of instances and members; all instances must compute the same values.
  */
 #pragma once
 
@@ -8,13 +8,13 @@
 namespace almondridge::peers {
 
 /**
- * How much other is this instance's choice among the members of a domain (rendezvous hashing):
- * the highest weights are its gateways. Each instance has its own ranking, so gateways share the
- * links, and losing one moves only the links that led to it.
+ * Rendezvous hashing weight of other for this instance: the members of a domain with the highest
+ * weights are its gateways there. Each instance has its own ranking, which spreads the links over
+ * the members; losing a member moves only the links to it.
  */
 std::uint64_t gatewayWeight(const InstanceId &self, const InstanceId &other) noexcept;
 
-/** A member's part in the hash of a view; views are combined by exclusive or. */
+/** Hash of one member; the hash of a set of members is the exclusive or of theirs. */
 std::uint64_t viewHash(const PeerIdentity &member);
 
 } // namespace almondridge::peers
--- a/libs/peers/src/sharedmembership.cpp
+++ b/libs/peers/src/sharedmembership.cpp
@@ -4,12 +4,12 @@
 namespace {
 
 /**
- * What one exchange costs besides its two bodies: HTTP/2 frames and fields both ways, as measured
- * by benchmarks/peers.cpp, and three TCP segments of 52 bytes of headers each (request, answer,
+ * Bytes of one exchange besides its two bodies: HTTP/2 frames and fields in both directions (see
+ * benchmarks/peers.cpp), and three TCP segments with 52 bytes of headers each (request, answer,
  * acknowledgement).
  */
 constexpr double ExchangeOverheadBytes = 360;
-/** Share of the newest exchange in the average. */
+/** Weight of the newest exchange in the moving average. */
 constexpr double Newest = 0.125;
 
 } // namespace
@@ -124,7 +124,7 @@
 Duration SharedMembership::longestInterval() const
 {
     const std::lock_guard lock(mutex_);
-    // No member stands in a domain without a name, so this is an interval to another domain.
+    // No member has an empty domain, so this is the interval to other domains.
     return membership_.intervalTo(DomainId());
 }
 
--- a/libs/peers/src/sharedmembership.h
+++ b/libs/peers/src/sharedmembership.h
@@ -1,5 +1,5 @@
 /**
- * Membership for several threads: its lock, this instance's digest, and events reported on.
+ * Thread-safe Membership that also stores this instance's digest and reports member events.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 class SharedMembership
 {
 public:
-    /** onHeard, if any, is called on the thread that heard, without the lock. */
+    /** onHeard may be empty. It is called without the lock, on the thread that calls heard(). */
     SharedMembership(MembershipSettings settings, PeerEvents &events, DigestListener onHeard);
 
     const PeerIdentity &self() const noexcept { return self_; }
@@ -31,9 +31,9 @@
     void setDigest(nlohmann::json digest);
     std::vector<Member> members() const;
     std::optional<Member> member(const InstanceId &instance) const;
-    /** Bodies of one exchange of heartbeats, without headers. */
+    /** Updates the average exchange size. bodyBytes: both bodies of one exchange, no headers. */
     void exchanged(std::size_t bodyBytes);
-    /** The longest interval in use, for what must not be shorter. */
+    /** The longest heartbeat interval in use; idle timeouts must exceed it. */
     Duration longestInterval() const;
 
 private:
--- a/libs/peers/src/workers.h
+++ b/libs/peers/src/workers.h
@@ -1,5 +1,5 @@
 /**
- * A few threads that run tasks from a bounded queue.
+ * Thread pool with a bounded queue.
  */
 #pragma once
 
@@ -23,10 +23,10 @@
     Workers &operator=(const Workers &) = delete;
 
     void start(std::size_t threads);
-    /** Waits for the tasks that run; those still in the queue are dropped. */
+    /** Waits for running tasks; queued ones are dropped. */
     void stop();
 
-    /** False when the queue is full or the workers stop. */
+    /** Queues a task. False if the queue is full or stop() was called. */
     bool post(Task task);
 
 private:
--- a/libs/peers/tests/exchangetest.cpp
+++ b/libs/peers/tests/exchangetest.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration Hour = std::chrono::hours(1);
 
-/** Holds the handlers that wait on it until it is opened. */
+/** Blocks the handlers that wait on it until it is opened. */
 class Gate
 {
 public:
@@ -36,7 +36,10 @@
     std::atomic<int> waiting_ = 0;
 };
 
-/** Stands after the exchanges, which wait for their handlers when a test ends, even by failing. */
+/**
+ * Opens the gate when a test ends. Declare it after the exchanges, whose destructors wait for their
+ * handlers, also when the test fails.
+ */
 class OpenAtEnd
 {
 public:
@@ -65,7 +68,7 @@
     });
 }
 
-/** A digest that counts how often it was asked for. */
+/** A digest source that counts its calls. */
 DigestSource counting(std::atomic<int> &count)
 {
     return [&count] { return nlohmann::json(++count); };
@@ -85,7 +88,7 @@
     const auto first = launch(listening);
     const auto second = launch(builder("b", "south"), {addressOf(*first)});
     BOOST_TEST(eventually([&] { return seesAlive(*first, "b") && seesAlive(*second, "a"); }));
-    // No heartbeat waits for the digest source, so the first one may leave before it was asked.
+    // Heartbeats don't wait for the digest source, so the first one may carry no digest.
     BOOST_TEST(eventually([&] {
         const auto member = memberOf(*second, "a");
         return member && member->digest_.is_object() && member->digest_.at("from") == "a";
@@ -112,9 +115,9 @@
     BOOST_TEST(eventually([&] { return std::all_of(all.begin(), all.end(), seesAll); }));
 }
 
-// A user sees members of another domain missing, or dead ones that stay.
-// Each instance links to a few gateways there; the rest it knows by their word.
-// Cause: word that does not get round, or that keeps itself alive.
+// Guards against members of another domain that are missing, or stay alive after their death:
+// those without a link are known only from gateways' reports, which may fail to spread, or may
+// keep a dead member alive by circulating.
 BOOST_AUTO_TEST_CASE(membersWithoutALinkAreKnownAndTheirDeathIsSeenAcrossDomains)
 {
     const Duration timeout = millis(1'000);
@@ -218,14 +221,13 @@
     BOOST_TEST((kindOf(ask(*second, "a", "echo", large)) == ErrorKind::InvalidInput));
 }
 
-// A user sees an instance called dead while it works, and its requests go elsewhere.
-// Requests of peers come in that take long; heartbeats wait behind them.
-// Cause: handlers on the thread that answers heartbeats.
+// Guards against a working instance being marked dead because slow handlers run on the thread
+// that answers heartbeats.
 BOOST_AUTO_TEST_CASE(slowHandlersDoNotHoldUpHeartbeatsAndDeadlinesAreKept)
 {
     Gate gate;
     std::atomic<int> beats = 0;
-    // The asker has the lower id, so heartbeats go out on the connection of its requests.
+    // The requester has the lower id, so its heartbeats use the same connection.
     auto slow = builder("b");
     slow.digest(counting(beats)).handle("wait", [&](const InstanceId &, const nlohmann::json &) {
         gate.wait();
@@ -247,7 +249,7 @@
     BOOST_REQUIRE(eventually([&] { return gate.waiting() == 4; }));
     const auto late = ask(*second, "b", "echo", 1, BootClock::now() + millis(100));
     BOOST_TEST((kindOf(late) == ErrorKind::Interrupted));
-    askMany(76); // Together more than the streams that one connection may have open.
+    askMany(76); // In total more than MaxStreams.
     const int before = memberOf(*second, "b")->digest_.get<int>();
     BOOST_TEST(
         eventually([&] { return memberOf(*second, "b")->digest_.get<int>() > before + 20; }));
@@ -292,9 +294,8 @@
     BOOST_TEST(stranger->members().empty());
 }
 
-// A user sees an operator's or instance's message take effect twice.
-// Somebody on the network records what an instance sends and sends it again later.
-// Cause: a proof that is as good the second time.
+// Guards against a message taking effect twice when an attacker on the network records and
+// replays it with its valid proof.
 BOOST_AUTO_TEST_CASE(aReplayedMessageIsRefused)
 {
     Forwarder forwarder;
@@ -311,9 +312,8 @@
     BOOST_TEST(replayer.closedByPeer());
 }
 
-// A user sees requests between instances time out for ever, although both run.
-// Something between them loses track of their open connection; new connections work.
-// Cause: waiting on a connection that neither ends nor carries anything.
+// Guards against requests between running instances that time out forever, because a network
+// device dropped the state of their connection: it stays open but carries no data.
 BOOST_AUTO_TEST_CASE(aSilentConnectionIsReplacedWhileItsMemberStaysAlive)
 {
     Gate gate;
@@ -341,8 +341,8 @@
     BOOST_TEST(!happened(events, "peer.suspected"));
 }
 
-// The same on a connection that carries no heartbeats, because the other side starts them.
-// Cause: heartbeats that succeed elsewhere, and so never tell of this connection.
+// The same for a connection without heartbeats, because the peer starts them: heartbeats on the
+// peer's connection succeed and don't reveal that this one is silent.
 BOOST_AUTO_TEST_CASE(aSilentConnectionForRequestsOnlyIsReplacedToo)
 {
     Forwarder forwarder;
--- a/libs/peers/tests/hostileinputtest.cpp
+++ b/libs/peers/tests/hostileinputtest.cpp
@@ -26,7 +26,7 @@
     return bytes;
 }
 
-/** Flips, removes, repeats or cuts off parts of bytes. */
+/** Randomly changes, removes, repeats or truncates parts of bytes. */
 std::string mutated(Random &random, std::string bytes)
 {
     for (std::size_t changes = 1 + random() % 4; changes > 0 && !bytes.empty(); --changes) {
@@ -67,14 +67,14 @@
 Heartbeat rawHeartbeat()
 {
     Heartbeat heartbeat;
-    // Nobody listens there; the port is out of the range that the system deals out.
+    // Nothing listens there; the port is outside of the ephemeral range.
     heartbeat.sender_ = {InstanceId("raw"), DomainId("north"), {"127.0.0.1", 9}, 1, false};
     heartbeat.sequence_ = 1;
     heartbeat.withinMillis_ = 60'000;
     return heartbeat;
 }
 
-/** A peer that knows the key and says what no exchange would say. */
+/** A client with the shared key that can send invalid requests. */
 class ProvedClient
 {
 public:
@@ -88,7 +88,7 @@
                            .sender_.incarnation_;
     }
 
-    /** Status 0 when the stream was reset instead of answered. */
+    /** Returns the answer; its status is 0 if the stream was reset. */
     H2Message exchange(const std::string &path, std::string body)
     {
         H2Message request = requestTo(path, address_, std::move(body));
@@ -127,7 +127,7 @@
     std::string greeting_;
 };
 
-/** The bytes of a client that opens a connection and sends a proved heartbeat. */
+/** The bytes of a client that sends an authenticated heartbeat on a new connection. */
 std::string validStream(const PeerAddress &address)
 {
     H2Session session(H2Role::Client, 1 << 20);
@@ -187,9 +187,8 @@
     BOOST_TEST(refused < 20'000);
 }
 
-// A user sees instances fall one after the other, or stand still.
-// Something on the network, a scanner or a faulty program, sends bytes to the peer port.
-// Cause: bytes that are trusted before they are checked.
+// Guards against crashes and hangs when a scanner or a faulty program sends arbitrary bytes to the
+// peer port and they are used before they are validated.
 BOOST_AUTO_TEST_CASE(anExchangeServesOnAfterAnyBytes)
 {
     Random random(3);
@@ -237,9 +236,8 @@
     BOOST_TEST(events.front().message_.status_ == StatusUnauthorized);
 }
 
-// A user sees an instance take its state from something that is no instance.
-// Another program listens at the address of an instance that was replaced, and answers.
-// Cause: believing an answer because the request was one's own.
+// Guards against accepting state from a program that is not an instance, but listens at the address
+// of one that was replaced: answers must be authenticated too.
 BOOST_AUTO_TEST_CASE(aServerThatDoesNotKnowTheKeyIsNoticed)
 {
     std::uint16_t port = 0;
@@ -270,9 +268,8 @@
     BOOST_TEST(exchange->members().empty());
 }
 
-// A user sees instances run out of file descriptors.
-// Connections are opened and left alone, by a scanner or by machines that vanished.
-// Cause: waiting for ever for a first message.
+// Guards against running out of file descriptors when scanners or failed machines leave connections
+// open without sending a complete first message.
 BOOST_AUTO_TEST_CASE(halfOpenConnectionsAreClosedByADeadline)
 {
     const auto exchange = launch(builder("a").heartbeat(Interval, millis(200)));
@@ -294,7 +291,7 @@
         clients.push_back(std::make_unique<RawClient>(exchange->port()));
     }
     BOOST_TEST(clients.front()->closedByPeer());
-    // A peer that knows the key gets in all the same.
+    // A client with the key is still accepted.
     ProvedClient proved(exchange->port());
     BOOST_TEST(proved.exchange("/peer/echo", encodeCbor(1)).status_ == StatusOk);
 }
--- a/libs/peers/tests/membershiptest.cpp
+++ b/libs/peers/tests/membershiptest.cpp
@@ -50,7 +50,7 @@
     return kindsOf(membership.takeEvents()) == std::vector {kind};
 }
 
-/** count members of domain, all heard of at now. */
+/** Adds count members of domain with heartbeats at now. */
 void fill(Membership &membership, const std::string &domain, int count, TimePoint now)
 {
     for (int index = 0; index < count; ++index) {
@@ -62,7 +62,7 @@
     membership.takeEvents();
 }
 
-/** A list of count members of domain, as one of them gives it. */
+/** A heartbeat of one member of domain that lists the other count - 1. */
 Heartbeat listing(const std::string &domain, int count, std::uint64_t sequence)
 {
     Heartbeat heartbeat = heartbeatFrom(identity(domain + "0", domain, 3'000), sequence);
@@ -123,7 +123,7 @@
     for (std::uint16_t port = 1; port <= 5; ++port) {
         addresses.push_back({"127.0.0.1", port});
     }
-    addresses.push_back({"127.0.0.1", 999}); // Its own.
+    addresses.push_back({"127.0.0.1", 999}); // Its own address.
     membership.seed(addresses, Start);
     BOOST_TEST(membership.advance(Start).size() == 3U);
     BOOST_TEST(membership.advance(Start).empty());
@@ -141,16 +141,15 @@
     Membership membership = membershipOf("a");
     membership.seed({{"127.0.0.1", 7}}, Start);
     membership.advance(Start);
-    // It answers there, but is reached at another address.
+    // The instance answered at the seed address, but advertises another one.
     membership.heard(heartbeatFrom(identity("b", "north", 8)), Start, PeerAddress {"127.0.0.1", 7});
     for (const HeartbeatTarget &target : membership.advance(Start + 2 * Second)) {
         BOOST_TEST(target.address_.port_ == 8);
     }
 }
 
-// A user sees an instance that stops come back as a live one, and requests go to it.
-// It says that it leaves; an answer that it gave a moment earlier on another connection is read
-// after that. Cause: taking the newest arrival for the newest word.
+// Guards against a leaving instance being marked as staying again, so that it gets requests: an
+// older heartbeat from another connection may be read after the one that announced the shutdown.
 BOOST_AUTO_TEST_CASE(anOlderHeartbeatDoesNotUndoLeaving)
 {
     Membership membership = membershipOf("a");
@@ -167,9 +166,8 @@
     BOOST_TEST(isOnly(membership, MemberEventKind::Left));
 }
 
-// A user sees one id answer with two different states in turn.
-// An instance is paused, another is started under its id, and then the first wakes up.
-// Cause: an id that goes back to whoever spoke last.
+// Guards against an id that alternates between two processes: one is paused, another one starts
+// with the same id, then the first resumes.
 BOOST_AUTO_TEST_CASE(aPausedProcessDoesNotGetItsIdBack)
 {
     Membership membership = membershipOf("a");
@@ -180,7 +178,7 @@
     BOOST_TEST(membership.members().at(0).address_.port_ == 2);
     const Heartbeat old = heartbeatFrom(identity("b", "north", 1, 10), 51);
     BOOST_TEST((membership.heard(old, Start + Second) == HeardVerdict::OldIncarnation));
-    // With the newer one dead, a wrong wall clock must not lock the id up for good.
+    // Once the newer one is dead, a wrong wall clock must not block the id permanently.
     membership.advance(Start + 2 * TestTimeout);
     BOOST_TEST((membership.heard(old, Start + 2 * TestTimeout) == HeardVerdict::Fresh));
 }
@@ -194,15 +192,14 @@
     BOOST_TEST(membership.members().empty());
 }
 
-// A user sees requests for one instance go to another.
-// An instance is replaced, and the next one, under a new id, gets its address.
-// Cause: two members with one address.
+// Guards against requests reaching the wrong instance when a replaced instance's address is reused
+// by one with a new id, so that two members have the same address.
 BOOST_AUTO_TEST_CASE(whoAnswersAtAnAddressHasIt)
 {
     Membership membership = membershipOf("a");
     membership.heard(heartbeatFrom(identity("b", "north", 7)), Start);
     membership.takeEvents();
-    // A claim alone does not take a live member's address, it makes both be asked.
+    // A claim alone does not take over a live member's address; the member is probed.
     membership.heard(heartbeatFrom(identity("c", "north", 7)), Start);
     BOOST_TEST(membership.members().size() == 2U);
     BOOST_TEST(!membership.advance(Start).empty());
@@ -242,13 +239,12 @@
     }
     BOOST_TEST(chosen.size() == 10U);
     for (const auto &[other, count] : chosen) {
-        BOOST_TEST(count < 60); // 30 each if they were dealt out.
+        BOOST_TEST(count < 60); // 30 each for an even distribution.
     }
 }
 
-// A user sees most of another domain as dead while it is well.
-// Only a few of its members are linked from here; the others are known by their word.
-// Cause: a liveness rule that asks for first-hand heartbeats from members without a link.
+// Guards against marking most of a healthy remote domain dead: only a few of its members have a
+// link, and the others' liveness comes from those members' reports instead of own heartbeats.
 BOOST_AUTO_TEST_CASE(membersWithoutALinkLiveOnTheWordOfTheirDomain)
 {
     Membership membership = membershipOf("a");
@@ -270,9 +266,8 @@
     BOOST_TEST(aliveIn(membership, "south") == 0U);
 }
 
-// A user sees what happens in another domain late or not at all.
-// This instance's gateways there cannot be reached from here, but their domain calls them well.
-// Cause: others' word keeping a gateway alive that never answers, so that no other is chosen.
+// Guards against losing contact with another domain: if its gateways are unreachable from here but
+// reported alive by their domain, those reports must not prevent choosing other gateways.
 BOOST_AUTO_TEST_CASE(aGatewayThatDoesNotAnswerGivesWayToTheNext)
 {
     Membership membership = membershipOf("a");
@@ -309,7 +304,7 @@
     two.heard(heartbeatFrom(identity("c", "north", 3)), Start);
     two.heard(heartbeatFrom(identity("d", "south", 4)), Start);
     BOOST_TEST(exchange(Start) == 3U);
-    // "a" learned of "c" and "d"; once it has heard them itself, nothing is left to tell.
+    // Once "a" has direct heartbeats from "c" and "d", both sides' hashes match.
     one.heard(heartbeatFrom(identity("c", "north", 3)), Start);
     one.heard(heartbeatFrom(identity("d", "south", 4)), Start);
     BOOST_TEST(exchange(Start) == 0U);
@@ -321,13 +316,13 @@
     Membership membership = membershipOf("a", 1'000);
     fill(membership, "north", 36, Start);
     fill(membership, "south", 2, Start);
-    // 38 links of 26 bytes each fit; with 27, those to the other domain slow down first.
+    // 38 links with 26 bytes each fit the budget; with 27, cross-domain links slow down first.
     membership.setExchangeBytes(26);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("south"))) == 1'000);
     membership.setExchangeBytes(27);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("north"))) == 1'000);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("south"))) == 1'928);
-    // 36 links and 2 of a quarter weight, 500 bytes each, at 1,000 bytes a second.
+    // 36 links and 2 at a quarter of the rate, 500 bytes each, at 1,000 bytes per second.
     membership.setExchangeBytes(500);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("north"))) == 18'250);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("south"))) == 4 * 18'250);
--- a/libs/peers/tests/prooftest.cpp
+++ b/libs/peers/tests/prooftest.cpp
@@ -24,7 +24,7 @@
     return message;
 }
 
-/** CBOR of a number inside depth arrays of one element. */
+/** CBOR of a number nested in depth arrays. */
 std::string nestedCbor(std::size_t depth)
 {
     std::string bytes(depth, '\x81');
@@ -75,16 +75,15 @@
     BOOST_TEST((window.admit("a", "1", now) == ProofVerdict::Valid));
     BOOST_TEST((window.admit("a", "1", now) == ProofVerdict::Replayed));
     BOOST_TEST((window.admit("b", "1", now) == ProofVerdict::Valid));
-    // Full: refusing new messages is safe, forgetting old nonces is not.
+    // When full, rejecting new messages is safe, evicting old nonces is not.
     BOOST_TEST((window.admit("c", "1", now) == ProofVerdict::Full));
     const TimePoint later = now + 2 * MaxClockSkew;
     BOOST_TEST((window.admit("c", "1", later) == ProofVerdict::Valid));
     BOOST_TEST(window.size() == 1U);
 }
 
-// A user sees a message between instances take effect twice, or at an instance it was not for.
-// Somebody on the network catches it and sends it again, elsewhere, later, or after a restart.
-// Cause: a proof that says who sent a message, but not for what.
+// Guards against a message taking effect twice or at the wrong instance when an attacker on the
+// network replays it later, elsewhere or after a restart. The proof must cover the destination.
 BOOST_AUTO_TEST_CASE(aRequestIsGoodForOneStreamOfOneConnectionToOneIncarnation)
 {
     ExchangeSettings settings;
@@ -142,14 +141,13 @@
     BOOST_TEST(got.digest_ == sent.digest_);
 }
 
-// A user sees entry instances crash one after the other.
-// A body of four million "array of one element" bytes is read by recursion.
-// Cause: the library's reader has no bound on depth, and overflows the stack.
+// Guards against a stack overflow: the library's CBOR parser is recursive without a depth limit,
+// so a body of four million "array of one element" bytes would crash it.
 BOOST_AUTO_TEST_CASE(deeplyNestedBodiesAreRefused)
 {
     BOOST_TEST(!decodeCbor(std::string(MaxBodyBytes, '\x81')).has_value());
     BOOST_TEST(!decodeCbor(std::string(MaxBodyBytes, '\xa1')).has_value());
-    // Whole values, so that only their depth speaks against them.
+    // Complete values, so that only the depth decides.
     BOOST_TEST(!decodeCbor(nestedCbor(100)).has_value());
     BOOST_TEST(decodeCbor(nestedCbor(10)).has_value());
 }
--- a/libs/peers/tests/testpeers.h
+++ b/libs/peers/tests/testpeers.h
@@ -1,5 +1,5 @@
 /**
- * Exchanges on the loopback interface for tests, and a TCP forwarder to put between them.
+ * Test helpers: exchanges on the loopback interface and a TCP forwarder between them.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 
 inline const std::string SharedKey = "sixteen characters or more";
 inline constexpr Duration Interval = millis(50);
-/** Long, so that a machine that is busy with other tests kills no member. */
+/** Long enough that no member times out on a busy machine. */
 inline constexpr Duration Timeout = millis(3'000);
 
 inline TimePoint soon()
@@ -23,7 +23,7 @@
     return BootClock::now() + millis(30'000);
 }
 
-/** Whether condition came true before a deadline that only a hanging test meets. */
+/** Waits until condition is true. False after 30 s, a limit for hanging tests. */
 template <typename Condition>
 bool eventually(Condition &&condition)
 {
@@ -41,7 +41,7 @@
 {
     PeerExchange::Builder result;
     result.self(InstanceId(id), DomainId(domain)).listen({"127.0.0.1", 0}).key(SharedKey);
-    // Without a budget: at so short an interval it would slow down even small fleets.
+    // No budget: at this short interval it would slow down even small fleets.
     result.heartbeat(Interval, Timeout).budget(0);
     result.digest([id] { return nlohmann::json {{"from", id}}; });
     result.handle("echo", [](const InstanceId &from, const nlohmann::json &message) {
@@ -55,7 +55,7 @@
     return {"127.0.0.1", exchange.port()};
 }
 
-/** Builds, seeds and starts. */
+/** Builds, seeds and starts an exchange. */
 inline std::unique_ptr<PeerExchange> launch(PeerExchange::Builder builder,
                                             const std::vector<PeerAddress> &seeds = {})
 {
@@ -94,7 +94,7 @@
     return capture([&] { return exchange.request(InstanceId(to), topic, message, deadline); });
 }
 
-/** Passes bytes on between its port and another, and can lose track of connections. */
+/** TCP forwarder that can silence its connections. */
 class Forwarder
 {
 public:
@@ -105,10 +105,10 @@
 
     PeerAddress address() const { return {"127.0.0.1", port_}; }
     void forwardTo(std::uint16_t port) { target_ = port; }
-    /** Connections open now stay open and carry nothing any more; new ones work. */
+    /** Open connections stay open but carry no more data; new ones work. */
     void silenceOpen();
     std::size_t accepted() const { return accepted_; }
-    /** What came in on the first connection. */
+    /** Bytes that the first client sent. */
     std::string recorded() const;
 
 private:
@@ -135,14 +135,14 @@
     std::thread thread_;
 };
 
-/** A blocking connection for bytes that no exchange would send. */
+/** Blocking TCP connection for arbitrary bytes. */
 class RawClient
 {
 public:
     explicit RawClient(std::uint16_t port);
 
     void send(std::string_view bytes);
-    /** What came by the time that the other side closed, or that enough() says so. */
+    /** Bytes received until the other side closes, or enough() returns true. */
     template <typename Enough>
     std::string receiveUntil(Enough &&enough)
     {
@@ -150,7 +150,7 @@
         while (!enough(bytes) && receiveSome(bytes)) { }
         return bytes;
     }
-    /** Waits until the other side closes; false when it does not. */
+    /** Waits until the other side closes; false if nothing arrives for 30 s. */
     bool closedByPeer();
 
 private:
