--- a/benchmarks/peers.cpp
+++ b/benchmarks/peers.cpp
@@ -65,7 +65,7 @@
     Heartbeat heartbeat;
     heartbeat.sender_ = sender;
     heartbeat.sequence_ = sequence;
-    heartbeat.withinMillis_ = 750;
+    heartbeat.nextWithinMillis_ = 750;
     return heartbeat;
 }
 
@@ -108,8 +108,8 @@
     {
         for (int index = 2; index < members; ++index) {
             const Heartbeat heartbeat = heartbeatOf(identityOf(index, "north"), 1);
-            client_.membership_.heard(heartbeat);
-            server_.membership_.heard(heartbeat);
+            client_.membership_.onHeartbeat(heartbeat);
+            server_.membership_.onHeartbeat(heartbeat);
         }
     }
 
@@ -120,7 +120,7 @@
         std::string body = encodeHeartbeat(client_.membership_.compose(server));
         bodyBytes_ += body.size();
         H2Message request =
-            client_.credentials_.sealRequest("/peer/heartbeat", audience, std::move(body));
+            client_.credentials_.signRequest("/peer/heartbeat", audience, std::move(body));
         const std::string nonce = request.nonce_;
         client_.session_.request(std::move(request));
         move(client_.session_, server_.session_);
@@ -133,7 +133,7 @@
         for (const H2Event &event : client_.session_.takeEvents()) {
             if (event.kind_ == H2EventKind::Message) {
                 valid_ += client_.credentials_.checkAnswer(event.message_, nonce) ? 1 : 0;
-                client_.membership_.heard(heard(event.message_), audience.address_);
+                client_.membership_.onHeartbeat(heard(event.message_), audience.address_);
             }
         }
     }
@@ -154,15 +154,15 @@
     {
         const H2Message &request = event.message_;
         if (server_.credentials_.checkRequest(request, audience, BootClock::now())
-            != ProofVerdict::Valid) {
+            != AuthenticationResult::Valid) {
             return;
         }
-        server_.membership_.heard(heard(request));
+        server_.membership_.onHeartbeat(heard(request));
         std::string body =
             encodeHeartbeat(server_.membership_.compose(InstanceId(request.instance_)));
         bodyBytes_ += body.size();
         server_.session_.answer(
-            event.stream_, server_.credentials_.sealAnswer(200, request.nonce_, std::move(body)));
+            event.stream_, server_.credentials_.signAnswer(200, request.nonce_, std::move(body)));
     }
 
     void move(H2Session &from, H2Session &to)
@@ -256,7 +256,7 @@
     for (int index = 1; index <= members; ++index) {
         Heartbeat heartbeat = heartbeatOf(identityOf(index, "north"), 1);
         heartbeat.digest_ = digestOf(24);
-        membership.heard(heartbeat);
+        membership.onHeartbeat(heartbeat);
     }
     return heapBytes() - before;
 }
@@ -422,9 +422,9 @@
                 bytes * (links.near_ + links.far_) / 0.5);
     for (const double budget : {16'384.0, 2'048.0, 1'024.0}) {
         const Intervals intervals =
-            stretchedIntervals(millis(500), links.near_, links.far_, budget / bytes);
-        const double near = toSeconds(intervals.near_);
-        const double far = toSeconds(intervals.far_);
+            stretchIntervals(millis(500), links.near_, links.far_, budget / bytes);
+        const double near = toSeconds(intervals.ownDomain_);
+        const double far = toSeconds(intervals.crossDomain_);
         std::printf("      budget %5.0f: %6.0f B/s, interval %6.2f s near, %6.2f s far\n", budget,
                     bytes * (links.near_ / near + links.far_ / far), near, far);
     }
--- a/libs/peers/src/credentials.cpp
+++ b/libs/peers/src/credentials.cpp
@@ -29,7 +29,7 @@
     message.clock_ = events_.clock();
 }
 
-H2Message Credentials::sealRequest(std::string path, const Audience &audience, std::string body)
+H2Message Credentials::signRequest(std::string path, const Audience &audience, std::string body)
 {
     H2Message request;
     request.method_ = "POST";
@@ -42,7 +42,7 @@
     return request;
 }
 
-H2Message Credentials::sealAnswer(int status, const std::string &requestNonce, std::string body)
+H2Message Credentials::signAnswer(int status, const std::string &requestNonce, std::string body)
 {
     H2Message answer;
     answer.status_ = status;
@@ -52,20 +52,21 @@
     return answer;
 }
 
-ProofVerdict Credentials::checkRequest(const H2Message &request, const Audience &audience,
-                                       TimePoint now)
+AuthenticationResult Credentials::checkRequest(const H2Message &request, const Audience &audience,
+                                               TimePoint now)
 {
     if (request.instance_.empty() || request.nonce_.empty()
         || !Prover::same(request.proof_, prover_.requestProof(request, toString(audience)))) {
-        return ProofVerdict::Wrong;
+        return AuthenticationResult::Wrong;
     }
     if (!inTime(request.time_, wallMillis())) {
-        return ProofVerdict::OutOfTime;
+        return AuthenticationResult::OutOfTime;
     }
     const bool greeting = audience.incarnation_ == 0;
-    const ProofVerdict verdict =
-        greeting ? window_.admit(request.instance_, request.nonce_, now) : ProofVerdict::Valid;
-    if (verdict == ProofVerdict::Valid) {
+    const AuthenticationResult verdict = greeting
+                                             ? window_.admit(request.instance_, request.nonce_, now)
+                                             : AuthenticationResult::Valid;
+    if (verdict == AuthenticationResult::Valid) {
         events_.witness(request.clock_);
     }
     return verdict;
--- a/libs/peers/src/credentials.h
+++ b/libs/peers/src/credentials.h
@@ -36,11 +36,12 @@
 public:
     Credentials(const ExchangeSettings &settings, PeerEvents &events);
 
-    H2Message sealRequest(std::string path, const Audience &audience, std::string body);
-    H2Message sealAnswer(int status, const std::string &requestNonce, std::string body);
+    H2Message signRequest(std::string path, const Audience &audience, std::string body);
+    H2Message signAnswer(int status, const std::string &requestNonce, std::string body);
 
     /** Checks proof, time and, for a greeting, replay. Valid messages advance the hybrid clock. */
-    ProofVerdict checkRequest(const H2Message &request, const Audience &audience, TimePoint now);
+    AuthenticationResult checkRequest(const H2Message &request, const Audience &audience,
+                                      TimePoint now);
     bool checkAnswer(const H2Message &answer, const std::string &requestNonce);
 
 private:
--- a/libs/peers/src/heartbeat.cpp
+++ b/libs/peers/src/heartbeat.cpp
@@ -120,7 +120,7 @@
         members.push_back(toJson(member));
     }
     const PeerIdentity &sender = heartbeat.sender_;
-    const auto within = static_cast<std::uint64_t>(heartbeat.withinMillis_);
+    const auto within = static_cast<std::uint64_t>(heartbeat.nextWithinMillis_);
     return encodeCbor(
         json::array({sender.incarnation_, toString(sender.address_), sender.leaving_,
                      heartbeat.sequence_, within, heartbeat.ownView_, heartbeat.yourView_,
@@ -144,7 +144,7 @@
     heartbeat.sender_ = {sender, domain, *address, fields[0].get<std::uint64_t>(),
                          fields[2].get<bool>()};
     heartbeat.sequence_ = fields[3].get<std::uint64_t>();
-    heartbeat.withinMillis_ =
+    heartbeat.nextWithinMillis_ =
         static_cast<std::int64_t>(std::min(fields[4].get<std::uint64_t>(), MaxWithinMillis));
     heartbeat.ownView_ = fields[5].get<std::uint64_t>();
     heartbeat.yourView_ = fields[6].get<std::uint64_t>();
--- a/libs/peers/src/inbound.cpp
+++ b/libs/peers/src/inbound.cpp
@@ -198,9 +198,9 @@
     const bool greeting = guest.instance_.empty();
     const Audience audience {self.address_, greeting ? 0 : self.incarnation_, guest.greeting_,
                              stream};
-    const ProofVerdict verdict =
+    const AuthenticationResult verdict =
         parts_.credentials_.checkRequest(request, audience, BootClock::now());
-    if (verdict != ProofVerdict::Valid) {
+    if (verdict != AuthenticationResult::Valid) {
         refuse(guest, stream, request, nameOf(ProofVerdictNames, verdict));
         return false;
     }
@@ -241,7 +241,7 @@
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
     const PeerIdentity &self = parts_.membership_.self();
-    const HeardVerdict verdict = parts_.membership_.heard(heartbeat);
+    const HeardVerdict verdict = parts_.membership_.onHeartbeat(heartbeat);
     const bool taken = verdict == HeardVerdict::Fresh || verdict == HeardVerdict::Late;
     // A heartbeat from this instance to itself, through an address that it does not know as its
     // own, is answered, so that its sender side learns this.
@@ -319,7 +319,7 @@
                      std::string body)
 {
     guest.connection_.session().answer(
-        stream, parts_.credentials_.sealAnswer(status, nonce, std::move(body)));
+        stream, parts_.credentials_.signAnswer(status, nonce, std::move(body)));
 }
 
 void Inbound::answerError(Guest &guest, std::int32_t stream, const std::string &nonce,
--- a/libs/peers/src/linkanswers.cpp
+++ b/libs/peers/src/linkanswers.cpp
@@ -77,7 +77,7 @@
         return false;
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
-    const HeardVerdict verdict = parts_.membership_.heard(heartbeat, link.address_);
+    const HeardVerdict verdict = parts_.membership_.onHeartbeat(heartbeat, link.address_);
     parts_.membership_.exchanged(exchange.bodyBytes_ + answer.body_.size());
     if (verdict != HeardVerdict::Fresh && verdict != HeardVerdict::Late) {
         close(link.token_, "the instance there was not accepted as a member: "
--- a/libs/peers/src/links.cpp
+++ b/libs/peers/src/links.cpp
@@ -152,7 +152,7 @@
 {
     const std::int32_t stream = link.connection_.session().nextStream();
     const Audience audience {link.address_, link.incarnation_, link.greeting_, stream};
-    return parts_.credentials_.sealRequest(std::move(path), audience, std::move(body));
+    return parts_.credentials_.signRequest(std::move(path), audience, std::move(body));
 }
 
 void Links::sendHeartbeat(Link &link)
--- a/libs/peers/src/membership.cpp
+++ b/libs/peers/src/membership.cpp
@@ -98,7 +98,7 @@
     record.directOnly_ = false;
     record.direct_ = true;
     record.failures_ = 0;
-    record.directDeadline_ = now + timeoutFor(heartbeat.withinMillis_);
+    record.directDeadline_ = now + timeoutFor(heartbeat.nextWithinMillis_);
     revive(record, record.directDeadline_);
     record.nextHeartbeat_ = nextExchange(record, now);
     noteDeadline(record.nextHeartbeat_);
--- a/libs/peers/src/membership.h
+++ b/libs/peers/src/membership.h
@@ -22,8 +22,8 @@
 
 /** Maximum links from an instance to each failure domain other than its own. */
 inline constexpr std::size_t GatewaysPerDomain = 3;
-/** Maximum ratio of the interval to other domains to the own domain's; see stretchedIntervals(). */
-inline constexpr int FarIntervalFactor = 4;
+/** Maximum ratio of the interval to other domains to the own domain's; see stretchIntervals(). */
+inline constexpr int CrossDomainIntervalFactor = 4;
 /** Wait of the side of a link that does not normally start the exchange, in half intervals. */
 inline constexpr int PassiveHalfIntervals = 3;
 /** Maximum instances tracked; heartbeats of further ones are rejected. */
@@ -95,17 +95,17 @@
 /** Time between two exchanges on a link. */
 struct Intervals
 {
-    Duration near_ {}; ///< To members of the own failure domain.
-    Duration far_ {};  ///< To members of other failure domains.
+    Duration ownDomain_ {};   ///< To members of the own failure domain.
+    Duration crossDomain_ {}; ///< To members of other failure domains.
 };
 
 /**
  * Stretches the intervals to stay within exchangesPerSecond. Links to other domains slow down
- * first, because their state is less urgent here. Once they are FarIntervalFactor times as slow
- * as the own domain's, all links slow down at that ratio.
+ * first, because their state is less urgent here. Once they are CrossDomainIntervalFactor times as
+ * slow as the own domain's, all links slow down at that ratio.
  */
-Intervals stretchedIntervals(Duration interval, double nearLinks, double farLinks,
-                             double exchangesPerSecond);
+Intervals stretchIntervals(Duration interval, double nearLinks, double farLinks,
+                           double exchangesPerSecond);
 
 class Membership
 {
--- a/libs/peers/src/membershiptiming.cpp
+++ b/libs/peers/src/membershiptiming.cpp
@@ -44,8 +44,8 @@
     }
 }
 
-Intervals stretchedIntervals(Duration interval, double nearLinks, double farLinks,
-                             double exchangesPerSecond)
+Intervals stretchIntervals(Duration interval, double nearLinks, double farLinks,
+                           double exchangesPerSecond)
 {
     const double plain = toSeconds(interval);
     if ((nearLinks + farLinks) / plain <= exchangesPerSecond) {
@@ -55,11 +55,12 @@
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
     };
     const double leftForFar = exchangesPerSecond - nearLinks / plain;
-    if (leftForFar > 0 && farLinks / leftForFar <= FarIntervalFactor * plain) {
+    if (leftForFar > 0 && farLinks / leftForFar <= CrossDomainIntervalFactor * plain) {
         return {interval, seconds(farLinks / leftForFar)};
     }
-    const Duration near = seconds((nearLinks + farLinks / FarIntervalFactor) / exchangesPerSecond);
-    return {near, FarIntervalFactor * near};
+    const Duration near =
+        seconds((nearLinks + farLinks / CrossDomainIntervalFactor) / exchangesPerSecond);
+    return {near, CrossDomainIntervalFactor * near};
 }
 
 void Membership::refreshIntervals()
@@ -75,13 +76,13 @@
             (record.member_.domain_ == settings_.self_.domain_ ? near : far) += 1;
         }
     }
-    intervals_ = stretchedIntervals(settings_.interval_, near, far,
-                                    settings_.budgetBytesPerSecond_ / exchangeBytes_);
+    intervals_ = stretchIntervals(settings_.interval_, near, far,
+                                  settings_.budgetBytesPerSecond_ / exchangeBytes_);
 }
 
 Duration Membership::intervalTo(const DomainId &domain) const
 {
-    return domain == settings_.self_.domain_ ? intervals_.near_ : intervals_.far_;
+    return domain == settings_.self_.domain_ ? intervals_.ownDomain_ : intervals_.crossDomain_;
 }
 
 } // namespace almondridge::peers
--- a/libs/peers/src/membershipviews.cpp
+++ b/libs/peers/src/membershipviews.cpp
@@ -67,7 +67,7 @@
     if (firstHand && !seenFromHere) {
         changed_ = changed_ || identity.leaving_ != record.member_.leaving_;
         record.member_.leaving_ = record.member_.leaving_ || identity.leaving_;
-        revive(record, now + VouchedTimeouts * timeoutFor(from.withinMillis_));
+        revive(record, now + VouchedTimeouts * timeoutFor(from.nextWithinMillis_));
     }
 }
 
@@ -78,7 +78,7 @@
     if (domain == settings_.self_.domain_) {
         return;
     }
-    const TimePoint deadline = now + VouchedTimeouts * timeoutFor(heartbeat.withinMillis_);
+    const TimePoint deadline = now + VouchedTimeouts * timeoutFor(heartbeat.nextWithinMillis_);
     for (auto &[instance, record] : records_) {
         Member &member = record.member_;
         if (member.alive_ && member.domain_ == domain && !record.linked_) {
@@ -99,7 +99,7 @@
     Heartbeat heartbeat;
     heartbeat.sender_ = settings_.self_;
     heartbeat.sequence_ = ++sequence_;
-    heartbeat.withinMillis_ = toMillis(intervalTo(domain) * PassiveHalfIntervals / 2);
+    heartbeat.nextWithinMillis_ = toMillis(intervalTo(domain) * PassiveHalfIntervals / 2);
     heartbeat.ownView_ = viewOf(settings_.self_.domain_);
     heartbeat.yourView_ = known ? viewOf(domain) : 0;
     heartbeat.fleetView_ = fleetView_;
--- a/libs/peers/src/proof.cpp
+++ b/libs/peers/src/proof.cpp
@@ -109,7 +109,8 @@
     : capacity_(capacity)
 { }
 
-ProofVerdict ReplayWindow::admit(std::string_view instance, std::string_view nonce, TimePoint now)
+AuthenticationResult ReplayWindow::admit(std::string_view instance, std::string_view nonce,
+                                         TimePoint now)
 {
     while (!inOrder_.empty() && inOrder_.front().deadline_ <= now) {
         seen_.erase(inOrder_.front().key_);
@@ -119,15 +120,15 @@
     key += '/';
     key += nonce;
     if (seen_.count(key) != 0) {
-        return ProofVerdict::Replayed;
+        return AuthenticationResult::Replayed;
     }
     if (seen_.size() >= capacity_) {
-        return ProofVerdict::Full;
+        return AuthenticationResult::Full;
     }
     // A message from a clock that is MaxClockSkew ahead is accepted for twice that time.
     inOrder_.push_back({now + 2 * MaxClockSkew, key});
     seen_.insert(std::move(key));
-    return ProofVerdict::Valid;
+    return AuthenticationResult::Valid;
 }
 
 bool inTime(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept
--- a/libs/peers/src/proof.h
+++ b/libs/peers/src/proof.h
@@ -19,7 +19,7 @@
 inline constexpr Duration MaxClockSkew = std::chrono::seconds(30);
 
 /** Result of authenticating a message. */
-enum class ProofVerdict {
+enum class AuthenticationResult {
     Valid,
     Wrong,     ///< The proof is missing or wrong: another key, or a changed message.
     OutOfTime, ///< Differs from this instance's wall clock by more than MaxClockSkew.
@@ -27,12 +27,12 @@
     Full,      ///< The replay window is full.
 };
 
-inline constexpr std::array<EnumName<ProofVerdict>, 5> ProofVerdictNames {{
-    {ProofVerdict::Valid, "valid"},
-    {ProofVerdict::Wrong, "wrong-proof"},
-    {ProofVerdict::OutOfTime, "out-of-time"},
-    {ProofVerdict::Replayed, "replayed"},
-    {ProofVerdict::Full, "replay-window-full"},
+inline constexpr std::array<EnumName<AuthenticationResult>, 5> ProofVerdictNames {{
+    {AuthenticationResult::Valid, "valid"},
+    {AuthenticationResult::Wrong, "wrong-proof"},
+    {AuthenticationResult::OutOfTime, "out-of-time"},
+    {AuthenticationResult::Replayed, "replayed"},
+    {AuthenticationResult::Full, "replay-window-full"},
 }};
 
 /** Computes proofs. Immutable. */
@@ -72,7 +72,7 @@
      * message is rejected instead. Pass only nonces of messages with a valid proof, so that a
      * sender without the key cannot fill the window.
      */
-    ProofVerdict admit(std::string_view instance, std::string_view nonce, TimePoint now);
+    AuthenticationResult admit(std::string_view instance, std::string_view nonce, TimePoint now);
 
     std::size_t size() const noexcept { return seen_.size(); }
 
--- a/libs/peers/src/sharedmembership.cpp
+++ b/libs/peers/src/sharedmembership.cpp
@@ -44,7 +44,7 @@
                                      const std::optional<PeerAddress> &askedAt)
 {
     std::unique_lock lock(mutex_);
-    const HeardVerdict verdict = membership_.heard(heartbeat, BootClock::now(), askedAt);
+    const HeardVerdict verdict = membership_.onHeartbeat(heartbeat, BootClock::now(), askedAt);
     const std::optional<Member> member = onHeard_ && verdict == HeardVerdict::Fresh
                                              ? membership_.member(heartbeat.sender_.instance_)
                                              : std::nullopt;
--- a/libs/peers/tests/hostileinputtest.cpp
+++ b/libs/peers/tests/hostileinputtest.cpp
@@ -70,7 +70,7 @@
     // Nothing listens there; the port is outside of the ephemeral range.
     heartbeat.sender_ = {InstanceId("raw"), DomainId("north"), {"127.0.0.1", 9}, 1, false};
     heartbeat.sequence_ = 1;
-    heartbeat.withinMillis_ = 60'000;
+    heartbeat.nextWithinMillis_ = 60'000;
     return heartbeat;
 }
 
--- a/libs/peers/tests/membershiptest.cpp
+++ b/libs/peers/tests/membershiptest.cpp
@@ -30,7 +30,7 @@
     Heartbeat heartbeat;
     heartbeat.sender_ = sender;
     heartbeat.sequence_ = sequence;
-    heartbeat.withinMillis_ = 1'500;
+    heartbeat.nextWithinMillis_ = 1'500;
     heartbeat.digest_ = sequence;
     return heartbeat;
 }
@@ -57,7 +57,7 @@
         const auto port = static_cast<std::uint16_t>(2'000 + index);
         PeerIdentity member = identity(domain + std::to_string(index), domain, port);
         member.address_.ip_ = domain == "north" ? "127.0.0.2" : "127.0.0.3";
-        membership.heard(heartbeatFrom(member), now);
+        membership.onHeartbeat(heartbeatFrom(member), now);
     }
     membership.takeEvents();
 }
@@ -89,14 +89,14 @@
 BOOST_AUTO_TEST_CASE(aMemberIsAliveUntilItsDeadlineThenSuspectedThenDropped)
 {
     Membership membership = membershipOf("a");
-    membership.heard(heartbeatFrom(identity("b")), Start);
+    membership.onHeartbeat(heartbeatFrom(identity("b")), Start);
     BOOST_TEST(isOnly(membership, MemberEventKind::Joined));
     membership.advance(Start + TestTimeout - Duration(1));
     BOOST_TEST(membership.members().at(0).alive_);
     membership.advance(Start + TestTimeout);
     BOOST_TEST(isOnly(membership, MemberEventKind::Suspected));
     BOOST_TEST(!membership.members().at(0).alive_);
-    membership.heard(heartbeatFrom(identity("b"), 2), Start + TestTimeout);
+    membership.onHeartbeat(heartbeatFrom(identity("b"), 2), Start + TestTimeout);
     BOOST_TEST(isOnly(membership, MemberEventKind::Back));
     membership.advance(Start + 3 * TestTimeout);
     membership.takeEvents();
@@ -142,7 +142,8 @@
     membership.seed({{"127.0.0.1", 7}}, Start);
     membership.advance(Start);
     // The instance answered at the seed address, but advertises another one.
-    membership.heard(heartbeatFrom(identity("b", "north", 8)), Start, PeerAddress {"127.0.0.1", 7});
+    membership.onHeartbeat(heartbeatFrom(identity("b", "north", 8)), Start,
+                           PeerAddress {"127.0.0.1", 7});
     for (const HeartbeatTarget &target : membership.advance(Start + 2 * Second)) {
         BOOST_TEST(target.address_.port_ == 8);
     }
@@ -154,11 +155,11 @@
 {
     Membership membership = membershipOf("a");
     PeerIdentity member = identity("b");
-    membership.heard(heartbeatFrom(member, 1), Start);
+    membership.onHeartbeat(heartbeatFrom(member, 1), Start);
     member.leaving_ = true;
-    membership.heard(heartbeatFrom(member, 3), Start);
+    membership.onHeartbeat(heartbeatFrom(member, 3), Start);
     member.leaving_ = false;
-    BOOST_TEST((membership.heard(heartbeatFrom(member, 2), Start) == HeardVerdict::Late));
+    BOOST_TEST((membership.onHeartbeat(heartbeatFrom(member, 2), Start) == HeardVerdict::Late));
     BOOST_TEST(membership.members().at(0).leaving_);
     BOOST_TEST(membership.members().at(0).digest_ == 3);
     membership.takeEvents();
@@ -171,22 +172,22 @@
 BOOST_AUTO_TEST_CASE(aPausedProcessDoesNotGetItsIdBack)
 {
     Membership membership = membershipOf("a");
-    membership.heard(heartbeatFrom(identity("b", "north", 1, 10), 50), Start);
+    membership.onHeartbeat(heartbeatFrom(identity("b", "north", 1, 10), 50), Start);
     membership.takeEvents();
-    membership.heard(heartbeatFrom(identity("b", "north", 2, 20), 1), Start + Second);
+    membership.onHeartbeat(heartbeatFrom(identity("b", "north", 2, 20), 1), Start + Second);
     BOOST_TEST(isOnly(membership, MemberEventKind::Restarted));
     BOOST_TEST(membership.members().at(0).address_.port_ == 2);
     const Heartbeat old = heartbeatFrom(identity("b", "north", 1, 10), 51);
-    BOOST_TEST((membership.heard(old, Start + Second) == HeardVerdict::OldIncarnation));
+    BOOST_TEST((membership.onHeartbeat(old, Start + Second) == HeardVerdict::OldIncarnation));
     // Once the newer one is dead, a wrong wall clock must not block the id permanently.
     membership.advance(Start + 2 * TestTimeout);
-    BOOST_TEST((membership.heard(old, Start + 2 * TestTimeout) == HeardVerdict::Fresh));
+    BOOST_TEST((membership.onHeartbeat(old, Start + 2 * TestTimeout) == HeardVerdict::Fresh));
 }
 
 BOOST_AUTO_TEST_CASE(anotherProcessUnderTheOwnIdIsReported)
 {
     Membership membership = membershipOf("a");
-    BOOST_TEST((membership.heard(heartbeatFrom(identity("a", "north", 5, 99)), Start)
+    BOOST_TEST((membership.onHeartbeat(heartbeatFrom(identity("a", "north", 5, 99)), Start)
                 == HeardVerdict::Self));
     BOOST_TEST(isOnly(membership, MemberEventKind::DuplicateId));
     BOOST_TEST(membership.members().empty());
@@ -197,15 +198,15 @@
 BOOST_AUTO_TEST_CASE(whoAnswersAtAnAddressHasIt)
 {
     Membership membership = membershipOf("a");
-    membership.heard(heartbeatFrom(identity("b", "north", 7)), Start);
+    membership.onHeartbeat(heartbeatFrom(identity("b", "north", 7)), Start);
     membership.takeEvents();
     // A claim alone does not take over a live member's address; the member is probed.
-    membership.heard(heartbeatFrom(identity("c", "north", 7)), Start);
+    membership.onHeartbeat(heartbeatFrom(identity("c", "north", 7)), Start);
     BOOST_TEST(membership.members().size() == 2U);
     BOOST_TEST(!membership.advance(Start).empty());
     membership.takeEvents();
-    membership.heard(heartbeatFrom(identity("c", "north", 7), 2), Start,
-                     PeerAddress {"127.0.0.1", 7});
+    membership.onHeartbeat(heartbeatFrom(identity("c", "north", 7), 2), Start,
+                           PeerAddress {"127.0.0.1", 7});
     BOOST_TEST(isOnly(membership, MemberEventKind::AddressTaken));
     BOOST_REQUIRE(membership.members().size() == 1U);
     BOOST_TEST(membership.members().at(0).instance_.value() == "c");
@@ -251,12 +252,12 @@
     std::set<InstanceId> asked;
     TimePoint now = Start;
     for (std::uint64_t round = 1; round < 20; ++round) {
-        membership.heard(listing("south", 10, round), now);
+        membership.onHeartbeat(listing("south", 10, round), now);
         for (const HeartbeatTarget &target : membership.advance(now)) {
             asked.insert(target.instance_);
             PeerIdentity answering = identity(target.instance_.value(), "south");
             answering.address_ = target.address_;
-            membership.heard(heartbeatFrom(answering, round), now, target.address_);
+            membership.onHeartbeat(heartbeatFrom(answering, round), now, target.address_);
         }
         BOOST_TEST(aliveIn(membership, "south") == 10U);
         now += Second;
@@ -274,7 +275,7 @@
     std::set<InstanceId> asked;
     TimePoint now = Start;
     for (std::uint64_t round = 1; round < 20; ++round) {
-        membership.heard(listing("south", 10, round), now);
+        membership.onHeartbeat(listing("south", 10, round), now);
         for (const HeartbeatTarget &target : membership.advance(now)) {
             asked.insert(target.instance_);
         }
@@ -286,7 +287,7 @@
 BOOST_AUTO_TEST_CASE(othersWordIsWorthNothingForTheOwnDomain)
 {
     Membership membership = membershipOf("z");
-    membership.heard(listing("north", 3, 1), Start);
+    membership.onHeartbeat(listing("north", 3, 1), Start);
     BOOST_TEST(aliveIn(membership, "north") == 1U);
     BOOST_TEST(membership.advance(Start).size() == 2U);
 }
@@ -327,7 +328,7 @@
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("north"))) == 18'250);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("south"))) == 4 * 18'250);
     const Heartbeat told = membership.compose(InstanceId("south0"), nullptr);
-    BOOST_TEST(told.withinMillis_ == 4 * 18'250 * 3 / 2);
+    BOOST_TEST(told.nextWithinMillis_ == 4 * 18'250 * 3 / 2);
     Membership receiver({identity("south0", "south"), Second, TestTimeout, TestForget, 0});
     receiver.heard(told, Start);
     receiver.advance(Start + 100 * Second);
--- a/libs/peers/tests/prooftest.cpp
+++ b/libs/peers/tests/prooftest.cpp
@@ -72,13 +72,13 @@
 {
     const TimePoint now(std::chrono::hours(1));
     ReplayWindow window(2);
-    BOOST_TEST((window.admit("a", "1", now) == ProofVerdict::Valid));
-    BOOST_TEST((window.admit("a", "1", now) == ProofVerdict::Replayed));
-    BOOST_TEST((window.admit("b", "1", now) == ProofVerdict::Valid));
+    BOOST_TEST((window.admit("a", "1", now) == AuthenticationResult::Valid));
+    BOOST_TEST((window.admit("a", "1", now) == AuthenticationResult::Replayed));
+    BOOST_TEST((window.admit("b", "1", now) == AuthenticationResult::Valid));
     // When full, rejecting new messages is safe, evicting old nonces is not.
-    BOOST_TEST((window.admit("c", "1", now) == ProofVerdict::Full));
+    BOOST_TEST((window.admit("c", "1", now) == AuthenticationResult::Full));
     const TimePoint later = now + 2 * MaxClockSkew;
-    BOOST_TEST((window.admit("c", "1", later) == ProofVerdict::Valid));
+    BOOST_TEST((window.admit("c", "1", later) == AuthenticationResult::Valid));
     BOOST_TEST(window.size() == 1U);
 }
 
@@ -92,21 +92,22 @@
     PeerEvents events(nullptr);
     Credentials credentials(settings, events);
     const Audience meant {{"127.0.0.1", 7}, 5, "greeting", 3};
-    const H2Message request = credentials.sealRequest("/peer/echo", meant, "body");
+    const H2Message request = credentials.signRequest("/peer/echo", meant, "body");
     const auto verdictFor = [&](const Audience &audience) {
         return credentials.checkRequest(request, audience, BootClock::now());
     };
-    BOOST_TEST((verdictFor(meant) == ProofVerdict::Valid));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 8}, 5, "greeting", 3}) == ProofVerdict::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 6, "greeting", 3}) == ProofVerdict::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 5, "another", 3}) == ProofVerdict::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 5, "greeting", 5}) == ProofVerdict::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 0, {}, 0}) == ProofVerdict::Wrong));
+    BOOST_TEST((verdictFor(meant) == AuthenticationResult::Valid));
+    BOOST_TEST((verdictFor({{"127.0.0.1", 8}, 5, "greeting", 3}) == AuthenticationResult::Wrong));
+    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 6, "greeting", 3}) == AuthenticationResult::Wrong));
+    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 5, "another", 3}) == AuthenticationResult::Wrong));
+    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 5, "greeting", 5}) == AuthenticationResult::Wrong));
+    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 0, {}, 0}) == AuthenticationResult::Wrong));
     const Audience address {{"127.0.0.1", 7}, 0, {}, 1};
-    const H2Message greeting = credentials.sealRequest("/peer/heartbeat", address, "body");
+    const H2Message greeting = credentials.signRequest("/peer/heartbeat", address, "body");
     const TimePoint now = BootClock::now();
-    BOOST_TEST((credentials.checkRequest(greeting, address, now) == ProofVerdict::Valid));
-    BOOST_TEST((credentials.checkRequest(greeting, address, now) == ProofVerdict::Replayed));
+    BOOST_TEST((credentials.checkRequest(greeting, address, now) == AuthenticationResult::Valid));
+    BOOST_TEST(
+        (credentials.checkRequest(greeting, address, now) == AuthenticationResult::Replayed));
 }
 
 BOOST_AUTO_TEST_CASE(timesFarOffOrMalformedAreOutOfTime)
@@ -125,7 +126,7 @@
     const PeerAddress address {"127.0.0.1", 7};
     sent.sender_ = {InstanceId("a"), DomainId("north"), address, 12, true};
     sent.sequence_ = 3;
-    sent.withinMillis_ = 750;
+    sent.nextWithinMillis_ = 750;
     sent.ownView_ = ~0ULL;
     sent.members_.push_back({InstanceId("b"), DomainId("south"), address, 4, false});
     sent.digest_ = {{"revision", 9}};
@@ -134,7 +135,7 @@
     BOOST_TEST(got.sender_.incarnation_ == 12U);
     BOOST_TEST(got.sender_.leaving_);
     BOOST_TEST(got.sequence_ == 3U);
-    BOOST_TEST(got.withinMillis_ == 750);
+    BOOST_TEST(got.nextWithinMillis_ == 750);
     BOOST_TEST(got.ownView_ == ~0ULL);
     BOOST_TEST(got.members_.at(0).instance_.value() == "b");
     BOOST_TEST((got.members_.at(0).address_ == address));
