--- a/libs/peers/src/connection.cpp
+++ b/libs/peers/src/connection.cpp
@@ -22,7 +22,7 @@
     return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
 }
 
-bool fill(const PeerAddress &address, sockaddr_in &to) noexcept
+bool toSockaddr(const PeerAddress &address, sockaddr_in &to) noexcept
 {
     to.sin_family = AF_INET;
     to.sin_port = htons(address.port_);
@@ -35,7 +35,7 @@
  * TCP_USER_TIMEOUT the kernel closes a connection when data stays unacknowledged for that long,
  * instead of retransmitting it for about 15 minutes.
  */
-void tune(int socket, Duration userTimeout) noexcept
+void setSocketOptions(int socket, Duration userTimeout) noexcept
 {
     const int on = 1;
     ::setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -55,7 +55,7 @@
 OwnedDescriptor listenOn(const PeerAddress &address, std::uint16_t &port)
 {
     sockaddr_in at {};
-    if (!fill(address, at)) {
+    if (!toSockaddr(address, at)) {
         return {};
     }
     OwnedDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
@@ -74,14 +74,14 @@
 OwnedDescriptor connectTo(const PeerAddress &address, Duration userTimeout)
 {
     sockaddr_in to {};
-    if (!fill(address, to)) {
+    if (!toSockaddr(address, to)) {
         return {};
     }
     OwnedDescriptor socket(::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
     if (!socket.valid()) {
         return {};
     }
-    tune(socket.value(), userTimeout);
+    setSocketOptions(socket.value(), userTimeout);
     if (::connect(socket.value(), reinterpret_cast<const sockaddr *>(&to), sizeof to) != 0
         && errno != EINPROGRESS) {
         return {};
@@ -98,7 +98,7 @@
     if (!socket.valid()) {
         return {};
     }
-    tune(socket.value(), userTimeout);
+    setSocketOptions(socket.value(), userTimeout);
     std::array<char, INET_ADDRSTRLEN> text {};
     inet_ntop(AF_INET, &from.sin_addr, text.data(), text.size());
     remote = {text.data(), ntohs(from.sin_port)};
--- a/libs/peers/src/credentials.cpp
+++ b/libs/peers/src/credentials.cpp
@@ -17,11 +17,11 @@
 Credentials::Credentials(const ExchangeSettings &settings, PeerEvents &events)
     : instance_(settings.instance_)
     , domain_(settings.domain_)
-    , prover_(settings.key_)
+    , authenticator_(settings.key_)
     , events_(events)
 { }
 
-void Credentials::sign(H2Message &message)
+void Credentials::addSenderFields(H2Message &message)
 {
     message.instance_ = instance_.value();
     message.domain_ = domain_.value();
@@ -37,8 +37,8 @@
     request.authority_ = toString(audience.address_);
     request.nonce_ = randomNonce();
     request.body_ = std::move(body);
-    sign(request);
-    request.proof_ = prover_.requestProof(request, toString(audience));
+    addSenderFields(request);
+    request.proof_ = authenticator_.requestProof(request, toString(audience));
     return request;
 }
 
@@ -47,8 +47,8 @@
     H2Message answer;
     answer.status_ = status;
     answer.body_ = std::move(body);
-    sign(answer);
-    answer.proof_ = prover_.answerProof(answer, requestNonce);
+    addSenderFields(answer);
+    answer.proof_ = authenticator_.answerProof(answer, requestNonce);
     return answer;
 }
 
@@ -56,16 +56,17 @@
                                                TimePoint now)
 {
     if (request.instance_.empty() || request.nonce_.empty()
-        || !Prover::same(request.proof_, prover_.requestProof(request, toString(audience)))) {
+        || !MessageAuthenticator::equalConstantTime(
+            request.proof_, authenticator_.requestProof(request, toString(audience)))) {
         return AuthenticationResult::Wrong;
     }
-    if (!inTime(request.time_, wallMillis())) {
-        return AuthenticationResult::OutOfTime;
+    if (!isWithinClockSkew(request.time_, wallMillis())) {
+        return AuthenticationResult::ClockSkewTooLarge;
     }
     const bool greeting = audience.incarnation_ == 0;
-    const AuthenticationResult verdict = greeting
-                                             ? window_.admit(request.instance_, request.nonce_, now)
-                                             : AuthenticationResult::Valid;
+    const AuthenticationResult verdict =
+        greeting ? replayWindow_.admit(request.instance_, request.nonce_, now)
+                 : AuthenticationResult::Valid;
     if (verdict == AuthenticationResult::Valid) {
         events_.witness(request.clock_);
     }
@@ -75,7 +76,8 @@
 bool Credentials::checkAnswer(const H2Message &answer, const std::string &requestNonce)
 {
     if (answer.instance_.empty()
-        || !Prover::same(answer.proof_, prover_.answerProof(answer, requestNonce))) {
+        || !MessageAuthenticator::equalConstantTime(
+            answer.proof_, authenticator_.answerProof(answer, requestNonce))) {
         return false;
     }
     events_.witness(answer.clock_);
--- a/libs/peers/src/credentials.h
+++ b/libs/peers/src/credentials.h
@@ -45,12 +45,12 @@
     bool checkAnswer(const H2Message &answer, const std::string &requestNonce);
 
 private:
-    void sign(H2Message &message);
+    void addSenderFields(H2Message &message);
 
     InstanceId instance_;
     DomainId domain_;
-    Prover prover_;
-    ReplayWindow window_ {MaxNonces};
+    MessageAuthenticator authenticator_;
+    ReplayWindow replayWindow_ {MaxNonces};
     PeerEvents &events_;
 };
 
--- a/libs/peers/src/errormessage.cpp
+++ b/libs/peers/src/errormessage.cpp
@@ -49,10 +49,10 @@
 Error decodeError(int status, std::string_view body)
 {
     const std::optional<nlohmann::json> value = decodeCbor(body);
-    const bool whole = value && value->is_array() && value->size() >= ErrorFields
-                       && (*value)[0].is_string() && (*value)[1].is_string()
-                       && (*value)[2].is_string();
-    if (!whole) {
+    const bool wellFormed = value && value->is_array() && value->size() >= ErrorFields
+                            && (*value)[0].is_string() && (*value)[1].is_string()
+                            && (*value)[2].is_string();
+    if (!wellFormed) {
         return {ErrorKind::Protocol,
                 "unreadable error from a peer with HTTP status " + std::to_string(status),
                 "run the same version of almondridge on all entry instances"};
--- a/libs/peers/src/exchangecore.cpp
+++ b/libs/peers/src/exchangecore.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /** A dead member is retried for this long, then found again only through the instance list. */
-constexpr Duration ForgetAfter = std::chrono::minutes(10);
+constexpr Duration DeadMemberRetention = std::chrono::minutes(10);
 /** Upper limit of waits, as a far deadline could overflow the system clock's range. */
-constexpr Duration LongestWait = std::chrono::hours(24);
+constexpr Duration MaxWait = std::chrono::hours(24);
 
 MembershipSettings membershipSettings(const ExchangeSettings &settings, std::uint16_t port)
 {
@@ -26,7 +26,7 @@
     result.self_ = {settings.instance_, settings.domain_, address, incarnation};
     result.interval_ = settings.interval_;
     result.timeout_ = settings.timeout_;
-    result.forget_ = ForgetAfter;
+    result.deadRetention_ = DeadMemberRetention;
     result.budgetBytesPerSecond_ = settings.budgetBytesPerSecond_;
     return result;
 }
@@ -50,7 +50,7 @@
     , port_(port)
     , events_(settings_.timeline_)
     , membership_(membershipSettings(settings_, port), events_,
-                  settings_.onDigest_ ? [this](const Member &member) { heard(member); }
+                  settings_.onDigest_ ? [this](const Member &member) { queueDigest(member); }
                                       : DigestListener())
     , credentials_(settings_, events_)
     , links_({settings_, loop_, membership_, credentials_, events_, lastToken_}, calls_)
@@ -102,17 +102,17 @@
     // After a pause of this process all deadlines have passed, although heartbeats received in the
     // meantime are still in the socket buffers, so all members would be marked dead. Read the
     // sockets first and check deadlines in the next round.
-    const bool paused = now - lastRound_ > settings_.answerTimeout();
-    lastRound_ = now;
+    const bool paused = now - lastAdvance_ > settings_.answerTimeout();
+    lastAdvance_ = now;
     if (paused) {
         return now;
     }
     if (digestDeadline_ <= now) {
         digestDeadline_ = now + settings_.interval_;
-        askDigest();
+        requestDigest();
     }
     TimePoint next = digestDeadline_;
-    if (digestKnown_) {
+    if (digestReady_) {
         for (const HeartbeatTarget &target : membership_.advance(now)) {
             links_.heartbeat(target, false);
         }
@@ -122,7 +122,7 @@
     return std::min(next, inbound_.advance(now));
 }
 
-void ExchangeCore::askDigest()
+void ExchangeCore::requestDigest()
 {
     // If the queue is full, a refresh is pending already.
     digestWorker_.post([this] { refreshDigest(); });
@@ -131,19 +131,19 @@
 /** Runs on the digest thread. */
 void ExchangeCore::refreshDigest()
 {
-    const bool news = newsWaiting_.exchange(false);
+    const bool sendNow = sendAfterRefresh_.exchange(false);
     if (settings_.digest_) {
-        guarded("digest", [this] { takeDigest(settings_.digest_()); });
+        guarded("digest", [this] { publishDigest(settings_.digest_()); });
     }
-    loop_.post([this, news] {
-        digestKnown_ = true;
-        if (news) {
-            announce();
+    loop_.post([this, sendNow] {
+        digestReady_ = true;
+        if (sendNow) {
+            sendHeartbeats();
         }
     });
 }
 
-void ExchangeCore::takeDigest(nlohmann::json digest)
+void ExchangeCore::publishDigest(nlohmann::json digest)
 {
     const std::size_t size = encodeCbor(digest).size();
     if (size > MaxDigestBytes) {
@@ -155,20 +155,20 @@
 }
 
 /** Sends a heartbeat on every link now, even if one is in flight. */
-void ExchangeCore::announce()
+void ExchangeCore::sendHeartbeats()
 {
     const TimePoint now = BootClock::now();
-    membership_.makeDue(now);
+    membership_.scheduleHeartbeatsNow(now);
     for (const HeartbeatTarget &target : membership_.advance(now)) {
         links_.heartbeat(target, true);
     }
 }
 
-void ExchangeCore::heard(const Member &member)
+void ExchangeCore::queueDigest(const Member &member)
 {
     {
-        const std::lock_guard lock(heardMutex_);
-        heard_[member.instance_] = member;
+        const std::lock_guard lock(pendingDigestsMutex_);
+        pendingDigests_[member.instance_] = member;
     }
     listenerWorker_.post([this] { deliverDigests(); });
 }
@@ -178,11 +178,11 @@
 {
     std::map<InstanceId, Member> members;
     {
-        const std::lock_guard lock(heardMutex_);
-        members.swap(heard_);
+        const std::lock_guard lock(pendingDigestsMutex_);
+        members.swap(pendingDigests_);
     }
     for (const auto &[instance, member] : members) {
-        guarded("onDigest", [&, &heardOf = member] { settings_.onDigest_(heardOf); });
+        guarded("onDigest", [&, &sender = member] { settings_.onDigest_(sender); });
     }
 }
 
@@ -204,7 +204,7 @@
         return Error {ErrorKind::Unavailable, "the request was not sent: this instance is stopping",
                       "send the request to another instance"};
     }
-    const TimePoint latest = std::min(deadline, BootClock::now() + LongestWait);
+    const TimePoint latest = std::min(deadline, BootClock::now() + MaxWait);
     OutgoingCall call {*id, to, member->address_, "/peer/" + topic, std::move(body), latest};
     loop_.post([this, call = std::move(call)]() mutable { links_.call(std::move(call)); });
     return calls_.wait(*id, latest);
@@ -213,13 +213,13 @@
 void ExchangeCore::setLeaving()
 {
     membership_.setLeaving();
-    loop_.post([this] { announce(); });
+    loop_.post([this] { sendHeartbeats(); });
 }
 
 void ExchangeCore::heartbeatNow()
 {
-    newsWaiting_ = true;
-    askDigest();
+    sendAfterRefresh_ = true;
+    requestDigest();
 }
 
 void ExchangeCore::wakeUp()
--- a/libs/peers/src/exchangecore.h
+++ b/libs/peers/src/exchangecore.h
@@ -37,10 +37,10 @@
     void ready(std::uint64_t token, Readiness readiness) override;
     TimePoint advance(TimePoint now) override;
     void refreshDigest();
-    void askDigest();
-    void takeDigest(nlohmann::json digest);
-    void announce();
-    void heard(const Member &member);
+    void requestDigest();
+    void publishDigest(nlohmann::json digest);
+    void sendHeartbeats();
+    void queueDigest(const Member &member);
     void deliverDigests();
 
     const ExchangeSettings settings_;
@@ -55,14 +55,14 @@
     Inbound inbound_;
 
     Workers digestWorker_;
-    std::atomic<bool> newsWaiting_ = false; ///< Send the next digest immediately.
-    bool digestKnown_ = false;              ///< I/O thread: heartbeats may be sent.
-    TimePoint digestDeadline_ {};           ///< I/O thread: when to refresh the digest.
-    TimePoint lastRound_ {};                ///< I/O thread: time of the last advance().
+    std::atomic<bool> sendAfterRefresh_ = false; ///< Send the next digest immediately.
+    bool digestReady_ = false;                   ///< I/O thread: heartbeats may be sent.
+    TimePoint digestDeadline_ {};                ///< I/O thread: when to refresh the digest.
+    TimePoint lastAdvance_ {};                   ///< I/O thread: time of the last advance().
 
     Workers listenerWorker_;
-    std::mutex heardMutex_;
-    std::map<InstanceId, Member> heard_; ///< Newest state per instance, for the listener.
+    std::mutex pendingDigestsMutex_;
+    std::map<InstanceId, Member> pendingDigests_; ///< Newest state per instance, for the listener.
     bool stopped_ = false;
 };
 
--- a/libs/peers/src/exchangesettings.h
+++ b/libs/peers/src/exchangesettings.h
@@ -13,16 +13,16 @@
 /** Limit of one body, and of all incomplete incoming bodies of a connection together. */
 inline constexpr std::size_t MaxBodyBytes = 4 << 20;
 /** The same limit for a connection that is not authenticated yet. */
-inline constexpr std::size_t MaxUnprovedBytes = 64 << 10;
+inline constexpr std::size_t MaxUnauthenticatedBytes = 64 << 10;
 /**
  * Limit of a digest in CBOR. Every heartbeat carries it, and the first one on a connection must
- * fit into MaxUnprovedBytes together with the listed members.
+ * fit into MaxUnauthenticatedBytes together with the listed members.
  */
 inline constexpr std::size_t MaxDigestBytes = 16 << 10;
 /** Maximum inbound connections; further ones are closed on accept. */
 inline constexpr std::size_t MaxInbound = 1'024;
 /** Maximum of these that are not authenticated; the oldest one is closed for a new one. */
-inline constexpr std::size_t MaxUnproved = 64;
+inline constexpr std::size_t MaxUnauthenticated = 64;
 /** Capacity of the replay window; messages are rejected while it is full. */
 inline constexpr std::size_t MaxNonces = 65'536;
 /** Maximum peer requests queued for a handler thread. */
--- a/libs/peers/src/h2fields.cpp
+++ b/libs/peers/src/h2fields.cpp
@@ -29,7 +29,7 @@
     {"x-proof", &H2Message::proof_},
 }};
 
-std::string H2Message::*fieldCalled(std::string_view name) noexcept
+std::string H2Message::*findField(std::string_view name) noexcept
 {
     for (const FieldName &field : CommonFields) {
         if (field.name_ == name) {
@@ -44,7 +44,7 @@
     return nullptr;
 }
 
-nghttp2_nv pairOf(std::string_view name, const std::string &value)
+nghttp2_nv toNameValue(std::string_view name, const std::string &value)
 {
     // nghttp2 takes non-const pointers, but only copies from them.
     auto *const nameBytes = reinterpret_cast<std::uint8_t *>(const_cast<char *>(name.data()));
@@ -57,7 +57,7 @@
     for (const FieldName &field : CommonFields) {
         const std::string &value = message.*field.field_;
         if (!value.empty()) {
-            pairs.push_back(pairOf(field.name_, value));
+            pairs.push_back(toNameValue(field.name_, value));
         }
     }
 }
@@ -70,16 +70,16 @@
     std::vector<nghttp2_nv> pairs;
     pairs.reserve(RequestFields.size() + 1 + CommonFields.size());
     for (const FieldName &field : RequestFields) {
-        pairs.push_back(pairOf(field.name_, message.*field.field_));
+        pairs.push_back(toNameValue(field.name_, message.*field.field_));
     }
-    pairs.push_back(pairOf(":scheme", scheme));
+    pairs.push_back(toNameValue(":scheme", scheme));
     appendPairs(pairs, message);
     return pairs;
 }
 
 std::vector<nghttp2_nv> answerFields(const H2Message &message, const std::string &status)
 {
-    std::vector<nghttp2_nv> pairs {pairOf(":status", status)};
+    std::vector<nghttp2_nv> pairs {toNameValue(":status", status)};
     appendPairs(pairs, message);
     return pairs;
 }
@@ -88,7 +88,7 @@
 {
     if (name == ":status") {
         std::from_chars(value.data(), value.data() + value.size(), message.status_);
-    } else if (std::string H2Message::*field = fieldCalled(name)) {
+    } else if (std::string H2Message::*field = findField(name)) {
         message.*field = value;
     }
 }
--- a/libs/peers/src/h2session.cpp
+++ b/libs/peers/src/h2session.cpp
@@ -46,8 +46,8 @@
 
     bool begin();
     void open();
-    void forget(std::int32_t stream, std::uint32_t errorCode);
-    bool takeBody(std::int32_t stream, std::string_view bytes);
+    void removeStream(std::int32_t stream, std::uint32_t errorCode);
+    bool appendBody(std::int32_t stream, std::string_view bytes);
     void finishMessage(std::int32_t stream);
 
     static State &of(void *user) { return *static_cast<State *>(user); }
@@ -66,7 +66,7 @@
     static ssize_t readBody(nghttp2_session *session, std::int32_t stream, std::uint8_t *buffer,
                             std::size_t size, std::uint32_t *flags, nghttp2_data_source *source,
                             void *user);
-    nghttp2_data_provider provider() noexcept;
+    nghttp2_data_provider bodyProvider() noexcept;
 };
 
 nghttp2_session_callbacks *H2Session::State::makeCallbacks()
@@ -149,7 +149,7 @@
     return 0;
 }
 
-bool H2Session::State::takeBody(std::int32_t stream, std::string_view bytes)
+bool H2Session::State::appendBody(std::int32_t stream, std::string_view bytes)
 {
     const auto found = streams_.find(stream);
     if (found == streams_.end()) {
@@ -164,9 +164,9 @@
                              const std::uint8_t *bytes, std::size_t size, void *user)
 {
     State &state = of(user);
-    if (!state.takeBody(stream, viewOf(bytes, size))) {
+    if (!state.appendBody(stream, viewOf(bytes, size))) {
         state.events_.push_back({H2EventKind::TooLarge, stream});
-        state.forget(stream, NGHTTP2_CANCEL);
+        state.removeStream(stream, NGHTTP2_CANCEL);
         nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, stream, NGHTTP2_CANCEL);
     }
     return 0;
@@ -198,7 +198,7 @@
 {
     // The request was never sent; without this its stream would get no Closed event.
     if (frame->hd.type == NGHTTP2_HEADERS && of(user).role_ == H2Role::Client) {
-        of(user).forget(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
+        of(user).removeStream(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
     }
     return 0;
 }
@@ -206,11 +206,11 @@
 int H2Session::State::onStreamClosed(nghttp2_session * /*session*/, std::int32_t stream,
                                      std::uint32_t errorCode, void *user)
 {
-    of(user).forget(stream, errorCode);
+    of(user).removeStream(stream, errorCode);
     return 0;
 }
 
-void H2Session::State::forget(std::int32_t stream, std::uint32_t errorCode)
+void H2Session::State::removeStream(std::int32_t stream, std::uint32_t errorCode)
 {
     const auto found = streams_.find(stream);
     if (found == streams_.end()) {
@@ -242,7 +242,7 @@
     return static_cast<ssize_t>(count);
 }
 
-nghttp2_data_provider H2Session::State::provider() noexcept
+nghttp2_data_provider H2Session::State::bodyProvider() noexcept
 {
     nghttp2_data_provider body {};
     body.read_callback = readBody;
@@ -294,7 +294,7 @@
 std::int32_t H2Session::request(H2Message message)
 {
     const std::vector<nghttp2_nv> pairs = requestFields(message);
-    const nghttp2_data_provider body = state_->provider();
+    const nghttp2_data_provider body = state_->bodyProvider();
     const std::int32_t stream = nghttp2_submit_request(state_->session_, nullptr, pairs.data(),
                                                        pairs.size(), &body, nullptr);
     if (stream <= 0) {
@@ -313,7 +313,7 @@
     const std::string status = std::to_string(message.status_);
     const std::vector<nghttp2_nv> pairs = answerFields(message, status);
     found->second.outgoing_ = std::move(message.body_);
-    const nghttp2_data_provider body = state_->provider();
+    const nghttp2_data_provider body = state_->bodyProvider();
     return nghttp2_submit_response(state_->session_, stream, pairs.data(), pairs.size(), &body)
            == 0;
 }
--- a/libs/peers/src/heartbeat.cpp
+++ b/libs/peers/src/heartbeat.cpp
@@ -57,10 +57,10 @@
 
 std::optional<PeerIdentity> identityFrom(const json &value)
 {
-    const bool whole = value.is_array() && value.size() >= IdentityFields && value[0].is_string()
-                       && value[1].is_string() && value[2].is_string()
-                       && value[3].is_number_unsigned() && value[4].is_boolean();
-    if (!whole) {
+    const bool wellFormed = value.is_array() && value.size() >= IdentityFields
+                            && value[0].is_string() && value[1].is_string() && value[2].is_string()
+                            && value[3].is_number_unsigned() && value[4].is_boolean();
+    if (!wellFormed) {
         return std::nullopt;
     }
     const auto address = addressFrom(value[2].get_ref<const std::string &>());
@@ -73,7 +73,7 @@
     return identity;
 }
 
-boost::leaf::error_id malformed()
+boost::leaf::error_id malformedHeartbeat()
 {
     return fail(ErrorKind::InvalidInput, "not a heartbeat",
                 "run the same version of almondridge on all entry instances");
@@ -121,10 +121,10 @@
     }
     const PeerIdentity &sender = heartbeat.sender_;
     const auto within = static_cast<std::uint64_t>(heartbeat.nextWithinMillis_);
-    return encodeCbor(
-        json::array({sender.incarnation_, toString(sender.address_), sender.leaving_,
-                     heartbeat.sequence_, within, heartbeat.ownView_, heartbeat.yourView_,
-                     heartbeat.fleetView_, std::move(members), heartbeat.digest_}));
+    return encodeCbor(json::array({sender.incarnation_, toString(sender.address_), sender.leaving_,
+                                   heartbeat.sequence_, within, heartbeat.ownDomainHash_,
+                                   heartbeat.receiverDomainHash_, heartbeat.fleetHash_,
+                                   std::move(members), heartbeat.digest_}));
 }
 
 Result<Heartbeat> decodeHeartbeat(std::string_view bytes, const InstanceId &sender,
@@ -132,12 +132,12 @@
 {
     std::optional<json> value = decodeCbor(bytes);
     if (!value || !hasHeartbeatShape(*value)) {
-        return malformed();
+        return malformedHeartbeat();
     }
     json &fields = *value;
     const auto address = addressFrom(fields[1].get_ref<const std::string &>());
     if (!address) {
-        return malformed();
+        return malformedHeartbeat();
     }
     constexpr std::uint64_t MaxWithinMillis = 3'600'000;
     Heartbeat heartbeat;
@@ -146,13 +146,13 @@
     heartbeat.sequence_ = fields[3].get<std::uint64_t>();
     heartbeat.nextWithinMillis_ =
         static_cast<std::int64_t>(std::min(fields[4].get<std::uint64_t>(), MaxWithinMillis));
-    heartbeat.ownView_ = fields[5].get<std::uint64_t>();
-    heartbeat.yourView_ = fields[6].get<std::uint64_t>();
-    heartbeat.fleetView_ = fields[7].get<std::uint64_t>();
+    heartbeat.ownDomainHash_ = fields[5].get<std::uint64_t>();
+    heartbeat.receiverDomainHash_ = fields[6].get<std::uint64_t>();
+    heartbeat.fleetHash_ = fields[7].get<std::uint64_t>();
     for (const json &member : fields[8]) {
         std::optional<PeerIdentity> identity = identityFrom(member);
         if (!identity) {
-            return malformed();
+            return malformedHeartbeat();
         }
         heartbeat.members_.push_back(std::move(*identity));
     }
@@ -176,9 +176,9 @@
     in_addr parsed {};
     const char *const end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data() + colon + 1, end, address.port_);
-    const bool good = inet_pton(AF_INET, address.ip_.c_str(), &parsed) == 1 && error == std::errc()
-                      && stop == end && address.port_ != 0;
-    return good ? std::optional(address) : std::nullopt;
+    const bool valid = inet_pton(AF_INET, address.ip_.c_str(), &parsed) == 1 && error == std::errc()
+                       && stop == end && address.port_ != 0;
+    return valid ? std::optional(address) : std::nullopt;
 }
 
 } // namespace almondridge::peers
--- a/libs/peers/src/heartbeat.h
+++ b/libs/peers/src/heartbeat.h
@@ -31,9 +31,9 @@
     PeerIdentity sender_;                  ///< Its instance and domain are sent as HTTP fields.
     std::uint64_t sequence_ = 0;           ///< Increases with every heartbeat of an incarnation.
     std::int64_t nextWithinMillis_ = 0;    ///< Announced maximum time to the next heartbeat.
-    std::uint64_t ownView_ = 0;            ///< Hash of the alive members of the sender's domain.
-    std::uint64_t yourView_ = 0;           ///< Hash of the alive members of the receiver's domain.
-    std::uint64_t fleetView_ = 0;          ///< Hash of all alive members.
+    std::uint64_t ownDomainHash_ = 0;      ///< Hash of the alive members of the sender's domain.
+    std::uint64_t receiverDomainHash_ = 0; ///< Hash of the alive members of the receiver's domain.
+    std::uint64_t fleetHash_ = 0;          ///< Hash of all alive members.
     std::vector<PeerIdentity> members_ {}; ///< Alive members that the receiver may not know.
     nlohmann::json digest_ {};
 };
--- a/libs/peers/src/inbound.cpp
+++ b/libs/peers/src/inbound.cpp
@@ -13,15 +13,15 @@
 constexpr std::string_view PathPrefix = "/peer/";
 constexpr std::string_view HeartbeatTopic = "heartbeat";
 /** Connections accepted in a row, so that a burst does not delay existing ones. */
-constexpr int AcceptsAtOnce = 32;
+constexpr int MaxAcceptsInRow = 32;
 /** Pause of accepting after the process ran out of descriptors or memory. */
 constexpr Duration AcceptPause = millis(100);
 /** Idle timeout of authenticated connections; longer than the client's own. */
-constexpr Duration IdleSpan = std::chrono::minutes(5);
+constexpr Duration IdleTimeout = std::chrono::minutes(5);
 constexpr int IdleIntervals = 8;
 
-const Error UnknownPeer {ErrorKind::Unauthorized, "",
-                         "check peerKey, instance, peer address and clock of both instances"};
+const Error RejectedPeer {ErrorKind::Unauthorized, "",
+                          "check peerKey, instance, peer address and clock of both instances"};
 
 } // namespace
 
@@ -50,18 +50,18 @@
         accept();
         return true;
     }
-    const auto found = guests_.find(token);
-    if (found == guests_.end()) {
+    const auto found = clients_.find(token);
+    if (found == clients_.end()) {
         return false;
     }
-    Guest &guest = found->second;
-    const bool open = !readiness.readable_ || guest.connection_.receive(BootClock::now());
-    for (H2Event &event : guest.connection_.session().takeEvents()) {
+    Client &client = found->second;
+    const bool open = !readiness.readable_ || client.connection_.receive(BootClock::now());
+    for (H2Event &event : client.connection_.session().takeEvents()) {
         if (event.kind_ == H2EventKind::TooLarge) {
-            parts_.events_.reportRefusal("peer.refused", toString(guest.remote_),
+            parts_.events_.reportRefusal("peer.refused", toString(client.remote_),
                                          "reason=body-too-large");
         } else if (event.kind_ == H2EventKind::Message) {
-            takeRequest(guest, event.stream_, event.message_);
+            processRequest(client, event.stream_, event.message_);
         }
     }
     if (open) {
@@ -74,11 +74,11 @@
 
 void Inbound::accept()
 {
-    for (int count = 0; count < AcceptsAtOnce; ++count) {
+    for (int count = 0; count < MaxAcceptsInRow; ++count) {
         PeerAddress remote;
         OwnedDescriptor socket = acceptFrom(listener_.value(), parts_.settings_.timeout_, remote);
         if (socket.valid()) {
-            welcome(std::move(socket), remote);
+            addClient(std::move(socket), remote);
             continue;
         }
         if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
@@ -88,42 +88,42 @@
                 {{"reason", std::strerror(errno)}, {"remedy", "raise the limit of open files"}});
             parts_.loop_.unwatch(listener_.value());
             listening_ = false;
-            acceptAgain_ = BootClock::now() + AcceptPause;
+            acceptResumeTime_ = BootClock::now() + AcceptPause;
         }
         return;
     }
 }
 
-void Inbound::welcome(OwnedDescriptor socket, const PeerAddress &remote)
+void Inbound::addClient(OwnedDescriptor socket, const PeerAddress &remote)
 {
-    if (guests_.size() >= MaxInbound) {
+    if (clients_.size() >= MaxInbound) {
         parts_.events_.reportRefusal("peer.refused", toString(remote),
                                      "reason=too-many-connections");
         return;
     }
-    makeRoom();
+    evictUnauthenticated();
     const TimePoint now = BootClock::now();
     const std::uint64_t token = ++parts_.lastToken_;
-    Guest guest {token, remote,
-                 Connection(std::move(socket), H2Role::Server, MaxUnprovedBytes, now)};
-    guest.deadline_ = now + parts_.settings_.timeout_;
-    parts_.loop_.watch(guest.connection_.socket(), token, false);
-    guests_.emplace(token, std::move(guest));
+    Client client {token, remote,
+                   Connection(std::move(socket), H2Role::Server, MaxUnauthenticatedBytes, now)};
+    client.deadline_ = now + parts_.settings_.timeout_;
+    parts_.loop_.watch(client.connection_.socket(), token, false);
+    clients_.emplace(token, std::move(client));
     flush(token);
 }
 
 /** Closes the oldest unauthenticated connection if there are too many. */
-void Inbound::makeRoom()
+void Inbound::evictUnauthenticated()
 {
-    std::size_t unproved = 0;
-    const Guest *oldest = nullptr;
-    for (const auto &[token, guest] : guests_) {
-        if (guest.instance_.empty()) {
-            ++unproved;
-            oldest = oldest == nullptr || token < oldest->token_ ? &guest : oldest;
+    std::size_t unauthenticated = 0;
+    const Client *oldest = nullptr;
+    for (const auto &[token, client] : clients_) {
+        if (client.instance_.empty()) {
+            ++unauthenticated;
+            oldest = oldest == nullptr || token < oldest->token_ ? &client : oldest;
         }
     }
-    if (unproved >= MaxUnproved) {
+    if (unauthenticated >= MaxUnauthenticated) {
         parts_.events_.reportRefusal("peer.refused", toString(oldest->remote_),
                                      "reason=too-many-unproved");
         close(oldest->token_);
@@ -132,19 +132,19 @@
 
 void Inbound::close(std::uint64_t token)
 {
-    const auto found = guests_.find(token);
-    if (found != guests_.end()) {
+    const auto found = clients_.find(token);
+    if (found != clients_.end()) {
         parts_.loop_.unwatch(found->second.connection_.socket());
-        guests_.erase(found);
+        clients_.erase(found);
     }
 }
 
 /** Closes earlier connections of the same instance, which a new one replaces. */
-void Inbound::closeOlder(const Guest &guest)
+void Inbound::closeOlderConnections(const Client &client)
 {
     std::vector<std::uint64_t> older;
-    for (const auto &[token, other] : guests_) {
-        if (token != guest.token_ && other.instance_ == guest.instance_) {
+    for (const auto &[token, other] : clients_) {
+        if (token != client.token_ && other.instance_ == client.instance_) {
             older.push_back(token);
         }
     }
@@ -155,121 +155,121 @@
 
 void Inbound::flush(std::uint64_t token)
 {
-    const auto found = guests_.find(token);
-    if (found == guests_.end()) {
+    const auto found = clients_.find(token);
+    if (found == clients_.end()) {
         return;
     }
-    Guest &guest = found->second;
-    if (!guest.connection_.flush(BootClock::now())) {
+    Client &client = found->second;
+    if (!client.connection_.flush(BootClock::now())) {
         close(token);
         return;
     }
-    const bool wantsWrite = guest.connection_.hasOutput();
-    if (wantsWrite != guest.watchesWrite_) {
-        guest.watchesWrite_ = wantsWrite;
-        parts_.loop_.rewatch(guest.connection_.socket(), token, wantsWrite);
+    const bool wantsWrite = client.connection_.hasOutput();
+    if (wantsWrite != client.watchesWrite_) {
+        client.watchesWrite_ = wantsWrite;
+        parts_.loop_.rewatch(client.connection_.socket(), token, wantsWrite);
     }
-    scanDeadline_ = std::min(scanDeadline_, deadlineOf(guest));
+    scanDeadline_ = std::min(scanDeadline_, deadlineOf(client));
 }
 
-void Inbound::takeRequest(Guest &guest, std::int32_t stream, const H2Message &request)
+void Inbound::processRequest(Client &client, std::int32_t stream, const H2Message &request)
 {
-    if (guest.leaving_ || !proved(guest, stream, request)) {
+    if (client.closing_ || !authenticate(client, stream, request)) {
         return;
     }
     const std::string_view path = request.path_;
     const bool isPeerPath = path.substr(0, PathPrefix.size()) == PathPrefix;
     if (!isPeerPath || request.method_ != "POST") {
         answerError(
-            guest, stream, request.nonce_,
+            client, stream, request.nonce_,
             {ErrorKind::NotFound, "not a peer request", "send a POST request to /peer/TOPIC"});
     } else if (path.substr(PathPrefix.size()) == HeartbeatTopic) {
-        takeHeartbeat(guest, stream, request);
-    } else if (guest.instance_.empty()) {
-        refuse(guest, stream, request, "no heartbeat before the first request");
+        processHeartbeat(client, stream, request);
+    } else if (client.instance_.empty()) {
+        refuse(client, stream, request, "no heartbeat before the first request");
     } else {
-        dispatch(guest, stream, request);
+        dispatch(client, stream, request);
     }
 }
 
-bool Inbound::proved(Guest &guest, std::int32_t stream, const H2Message &request)
+bool Inbound::authenticate(Client &client, std::int32_t stream, const H2Message &request)
 {
     const PeerIdentity &self = parts_.membership_.self();
-    const bool greeting = guest.instance_.empty();
-    const Audience audience {self.address_, greeting ? 0 : self.incarnation_, guest.greeting_,
+    const bool greeting = client.instance_.empty();
+    const Audience audience {self.address_, greeting ? 0 : self.incarnation_, client.greeting_,
                              stream};
     const AuthenticationResult verdict =
         parts_.credentials_.checkRequest(request, audience, BootClock::now());
     if (verdict != AuthenticationResult::Valid) {
-        refuse(guest, stream, request, nameOf(ProofVerdictNames, verdict));
+        refuse(client, stream, request, nameOf(AuthenticationResultNames, verdict));
         return false;
     }
-    if (!greeting && request.instance_ != guest.instance_.value()) {
-        refuse(guest, stream, request, "another instance on the same connection");
+    if (!greeting && request.instance_ != client.instance_.value()) {
+        refuse(client, stream, request, "another instance on the same connection");
         return false;
     }
     return true;
 }
 
 /** Answers without a proof: unauthenticated clients get nothing signed with the key. */
-void Inbound::refuse(Guest &guest, std::int32_t stream, const H2Message &request,
+void Inbound::refuse(Client &client, std::int32_t stream, const H2Message &request,
                      std::string_view reason)
 {
-    parts_.events_.reportRefusal("peer.refused", toString(guest.remote_),
+    parts_.events_.reportRefusal("peer.refused", toString(client.remote_),
                                  "reason=" + quoteLogValue(reason)
                                      + " claims=" + quoteLogValue(request.instance_.substr(0, 64)));
-    Error error = UnknownPeer;
+    Error error = RejectedPeer;
     error.message_ = "rejected as a peer: " + std::string(reason);
     H2Message answer;
     answer.status_ = StatusUnauthorized;
     answer.body_ = encodeError(error);
-    guest.connection_.session().answer(stream, std::move(answer));
-    if (guest.instance_.empty()) {
-        guest.leaving_ = true;
-        guest.connection_.session().finish();
+    client.connection_.session().answer(stream, std::move(answer));
+    if (client.instance_.empty()) {
+        client.closing_ = true;
+        client.connection_.session().finish();
     }
 }
 
-void Inbound::takeHeartbeat(Guest &guest, std::int32_t stream, const H2Message &request)
+void Inbound::processHeartbeat(Client &client, std::int32_t stream, const H2Message &request)
 {
     const InstanceId from(request.instance_);
     const auto decoded =
         capture([&] { return decodeHeartbeat(request.body_, from, DomainId(request.domain_)); });
     if (const Error *error = std::get_if<Error>(&decoded)) {
-        answerError(guest, stream, request.nonce_, *error);
+        answerError(client, stream, request.nonce_, *error);
         return;
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
     const PeerIdentity &self = parts_.membership_.self();
-    const HeardVerdict verdict = parts_.membership_.onHeartbeat(heartbeat);
-    const bool taken = verdict == HeardVerdict::Fresh || verdict == HeardVerdict::Late;
+    const HeartbeatResult verdict = parts_.membership_.onHeartbeat(heartbeat);
+    const bool accepted = verdict == HeartbeatResult::Fresh || verdict == HeartbeatResult::Stale;
     // A heartbeat from this instance to itself, through an address that it does not know as its
     // own, is answered, so that its sender side learns this.
-    const bool itself =
-        verdict == HeardVerdict::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
-    if (!taken && !itself) {
-        const std::string reason(nameOf(HeardVerdictNames, verdict));
+    const bool fromSelf =
+        verdict == HeartbeatResult::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
+    if (!accepted && !fromSelf) {
+        const std::string reason(nameOf(HeartbeatResultNames, verdict));
         parts_.events_.reportRefusal("peer.refused", from.value(), "reason=" + reason);
-        answerError(guest, stream, request.nonce_,
+        answerError(client, stream, request.nonce_,
                     {ErrorKind::Conflict, "not accepted as a member: " + reason,
                      "run one process for each instance id"});
         return;
     }
-    if (guest.instance_.empty()) {
-        guest.instance_ = from;
-        guest.greeting_ = request.nonce_;
-        guest.connection_.session().setBodyLimit(MaxBodyBytes);
-        closeOlder(guest);
+    if (client.instance_.empty()) {
+        client.instance_ = from;
+        client.greeting_ = request.nonce_;
+        client.connection_.session().setBodyLimit(MaxBodyBytes);
+        closeOlderConnections(client);
     }
     std::string body = encodeHeartbeat(parts_.membership_.compose(from));
-    parts_.membership_.exchanged(request.body_.size() + body.size());
-    answer(guest, stream, request.nonce_, StatusOk, std::move(body));
+    parts_.membership_.onExchanged(request.body_.size() + body.size());
+    answer(client, stream, request.nonce_, StatusOk, std::move(body));
 }
 
-void Inbound::dispatch(Guest &guest, std::int32_t stream, const H2Message &request)
+void Inbound::dispatch(Client &client, std::int32_t stream, const H2Message &request)
 {
     const auto refuseWith = [&](const Error &error) {
-        answerError(guest, stream, request.nonce_, error);
+        answerError(client, stream, request.nonce_, error);
     };
     const auto &handlers = parts_.settings_.handlers_;
     const auto handler = handlers.find(request.path_.substr(PathPrefix.size()));
@@ -284,8 +284,8 @@
                     "run the same version of almondridge on all entry instances"});
         return;
     }
-    Job job {guest.token_,    stream,           request.nonce_,
-             guest.instance_, &handler->second, std::move(*message)};
+    Job job {client.token_,    stream,           request.nonce_,
+             client.instance_, &handler->second, std::move(*message)};
     if (!workers_.post([this, job = std::move(job)]() mutable { run(std::move(job)); })) {
         refuseWith({ErrorKind::Overloaded, "too many peer requests are queued",
                     "try again later, or send it to another instance"});
@@ -307,72 +307,73 @@
         body = encodeError(tooLarge);
     }
     parts_.loop_.post([this, job = std::move(job), status, body = std::move(body)]() mutable {
-        const auto guest = guests_.find(job.token_);
-        if (guest != guests_.end()) {
-            answer(guest->second, job.stream_, job.nonce_, status, std::move(body));
+        const auto client = clients_.find(job.token_);
+        if (client != clients_.end()) {
+            answer(client->second, job.stream_, job.nonce_, status, std::move(body));
             flush(job.token_);
         }
     });
 }
 
-void Inbound::answer(Guest &guest, std::int32_t stream, const std::string &nonce, int status,
+void Inbound::answer(Client &client, std::int32_t stream, const std::string &nonce, int status,
                      std::string body)
 {
-    guest.connection_.session().answer(
+    client.connection_.session().answer(
         stream, parts_.credentials_.signAnswer(status, nonce, std::move(body)));
 }
 
-void Inbound::answerError(Guest &guest, std::int32_t stream, const std::string &nonce,
+void Inbound::answerError(Client &client, std::int32_t stream, const std::string &nonce,
                           const Error &error)
 {
-    answer(guest, stream, nonce, statusOf(error.kind_), encodeError(error));
+    answer(client, stream, nonce, statusOf(error.kind_), encodeError(error));
 }
 
-TimePoint Inbound::deadlineOf(const Guest &guest) const
+TimePoint Inbound::deadlineOf(const Client &client) const
 {
-    TimePoint deadline = guest.deadline_;
-    if (!guest.instance_.empty()) {
+    TimePoint deadline = client.deadline_;
+    if (!client.instance_.empty()) {
         const Duration longest = IdleIntervals * parts_.membership_.longestInterval();
-        deadline = guest.connection_.lastReceived() + std::max(IdleSpan, longest);
+        deadline = client.connection_.lastReceived() + std::max(IdleTimeout, longest);
     }
-    if (guest.connection_.hasOutput()) {
-        deadline = std::min(deadline, guest.connection_.stalledSince() + parts_.settings_.timeout_);
+    if (client.connection_.hasOutput()) {
+        deadline =
+            std::min(deadline, client.connection_.stalledSince() + parts_.settings_.timeout_);
     }
     return deadline;
 }
 
 TimePoint Inbound::advance(TimePoint now)
 {
-    if (!listening_ && acceptAgain_ <= now) {
+    if (!listening_ && acceptResumeTime_ <= now) {
         listening_ = true;
         parts_.loop_.watch(listener_.value(), listenerToken_, false);
     }
     if (now >= scanDeadline_) {
         closeOverdue(now);
     }
-    return listening_ ? scanDeadline_ : std::min(scanDeadline_, acceptAgain_);
+    return listening_ ? scanDeadline_ : std::min(scanDeadline_, acceptResumeTime_);
 }
 
 void Inbound::closeOverdue(TimePoint now)
 {
     scanDeadline_ = TimePoint::max();
-    std::vector<std::uint64_t> over;
-    for (const auto &[token, guest] : guests_) {
-        const TimePoint deadline = deadlineOf(guest);
+    std::vector<std::uint64_t> expired;
+    for (const auto &[token, client] : clients_) {
+        const TimePoint deadline = deadlineOf(client);
         if (deadline <= now) {
-            over.push_back(token);
+            expired.push_back(token);
         } else {
             scanDeadline_ = std::min(scanDeadline_, deadline);
         }
     }
-    for (const std::uint64_t token : over) {
+    for (const std::uint64_t token : expired) {
         close(token);
     }
 }
 
 void Inbound::closeAll()
 {
-    guests_.clear();
+    clients_.clear();
 }
 
 } // namespace almondridge::peers
--- a/libs/peers/src/inbound.h
+++ b/libs/peers/src/inbound.h
@@ -27,14 +27,14 @@
     void closeAll();
 
 private:
-    struct Guest
+    struct Client
     {
         std::uint64_t token_ = 0;
         PeerAddress remote_;
         Connection connection_;
         InstanceId instance_ {};  ///< Empty until a heartbeat is authenticated.
         std::string greeting_ {}; ///< The nonce of that heartbeat.
-        bool leaving_ = false;    ///< Rejected; closed after the answer is sent.
+        bool closing_ = false;    ///< Rejected; closed after the answer is sent.
         bool watchesWrite_ = false;
         TimePoint deadline_ {};
     };
@@ -51,31 +51,31 @@
     };
 
     void accept();
-    void welcome(OwnedDescriptor socket, const PeerAddress &remote);
-    void makeRoom();
+    void addClient(OwnedDescriptor socket, const PeerAddress &remote);
+    void evictUnauthenticated();
     void close(std::uint64_t token);
-    void closeOlder(const Guest &guest);
+    void closeOlderConnections(const Client &client);
     void flush(std::uint64_t token);
-    void takeRequest(Guest &guest, std::int32_t stream, const H2Message &request);
-    bool proved(Guest &guest, std::int32_t stream, const H2Message &request);
-    void refuse(Guest &guest, std::int32_t stream, const H2Message &request,
+    void processRequest(Client &client, std::int32_t stream, const H2Message &request);
+    bool authenticate(Client &client, std::int32_t stream, const H2Message &request);
+    void refuse(Client &client, std::int32_t stream, const H2Message &request,
                 std::string_view reason);
-    void takeHeartbeat(Guest &guest, std::int32_t stream, const H2Message &request);
-    void dispatch(Guest &guest, std::int32_t stream, const H2Message &request);
+    void processHeartbeat(Client &client, std::int32_t stream, const H2Message &request);
+    void dispatch(Client &client, std::int32_t stream, const H2Message &request);
     void run(Job job);
-    void answer(Guest &guest, std::int32_t stream, const std::string &nonce, int status,
+    void answer(Client &client, std::int32_t stream, const std::string &nonce, int status,
                 std::string body);
-    void answerError(Guest &guest, std::int32_t stream, const std::string &nonce,
+    void answerError(Client &client, std::int32_t stream, const std::string &nonce,
                      const Error &error);
-    TimePoint deadlineOf(const Guest &guest) const;
+    TimePoint deadlineOf(const Client &client) const;
     void closeOverdue(TimePoint now);
 
     ExchangeParts parts_;
     OwnedDescriptor listener_;
     std::uint64_t listenerToken_ = 0;
     bool listening_ = true;
-    TimePoint acceptAgain_ {};
-    std::unordered_map<std::uint64_t, Guest> guests_;
+    TimePoint acceptResumeTime_ {};
+    std::unordered_map<std::uint64_t, Client> clients_;
     TimePoint scanDeadline_ {}; ///< Lower bound of all connections' deadlines.
     Workers workers_;
 };
--- a/libs/peers/src/linkanswers.cpp
+++ b/libs/peers/src/linkanswers.cpp
@@ -6,66 +6,67 @@
 
 namespace almondridge::peers {
 
-bool Links::takeEvents(std::uint64_t token)
+bool Links::processEvents(std::uint64_t token)
 {
     const auto found = links_.find(token);
     Link &link = found->second;
     for (const H2Event &event : link.connection_.session().takeEvents()) {
-        const auto entry = link.exchanges_.find(event.stream_);
-        if (entry == link.exchanges_.end()) {
+        const auto entry = link.pendingRequests_.find(event.stream_);
+        if (entry == link.pendingRequests_.end()) {
             continue;
         }
-        const Exchange exchange = std::move(entry->second);
-        link.exchanges_.erase(entry);
+        const PendingRequest pending = std::move(entry->second);
+        link.pendingRequests_.erase(entry);
         if (event.kind_ == H2EventKind::Message) {
-            if (!takeAnswer(link, exchange, event.message_)) {
+            if (!processAnswer(link, pending, event.message_)) {
                 return false;
             }
-        } else if (exchange.call_ != 0 && event.refused_) {
-            calls_.finish(exchange.call_,
+        } else if (pending.call_ != 0 && event.refused_) {
+            calls_.finish(pending.call_,
                           Error {ErrorKind::Unavailable, "the peer refused the stream",
                                  "try again, or send it to another instance"});
-        } else if (exchange.call_ != 0) {
-            calls_.giveUp(exchange.call_, event.kind_ == H2EventKind::TooLarge
-                                              ? "the answer is too large"
-                                              : "the peer reset the stream");
+        } else if (pending.call_ != 0) {
+            calls_.failCall(pending.call_, event.kind_ == H2EventKind::TooLarge
+                                               ? "the answer is too large"
+                                               : "the peer reset the stream");
         } else {
-            refused(token, {ErrorKind::Protocol, "the peer reset a heartbeat",
-                            "check that an entry instance listens there"});
+            onRefused(token, {ErrorKind::Protocol, "the peer reset a heartbeat",
+                              "check that an entry instance listens there"});
             return false;
         }
     }
     return true;
 }
 
-bool Links::takeAnswer(Link &link, const Exchange &exchange, const H2Message &answer)
+bool Links::processAnswer(Link &link, const PendingRequest &pending, const H2Message &answer)
 {
-    if (!parts_.credentials_.checkAnswer(answer, exchange.nonce_)) {
+    if (!parts_.credentials_.checkAnswer(answer, pending.nonce_)) {
         // A peer that rejects an unauthenticated request answers without a proof.
-        const bool unproved = answer.proof_.empty() && answer.status_ == StatusUnauthorized;
+        const bool unauthenticated = answer.proof_.empty() && answer.status_ == StatusUnauthorized;
         const Error error =
-            unproved
+            unauthenticated
                 ? decodeError(answer.status_, answer.body_)
                 : Error {
                     ErrorKind::Unauthorized, "the answer's proof is wrong",
                     "set the same peerKey on all entry instances, and check what listens there"};
-        if (exchange.call_ != 0) {
-            calls_.finish(exchange.call_, error);
+        if (pending.call_ != 0) {
+            calls_.finish(pending.call_, error);
         }
-        refused(link.token_, error);
+        onRefused(link.token_, error);
         return false;
     }
-    if (exchange.call_ == 0) {
-        return takeHeartbeat(link, exchange, answer);
+    if (pending.call_ == 0) {
+        return processHeartbeatAnswer(link, pending, answer);
     }
-    takeCallAnswer(exchange, answer);
+    processCallAnswer(pending, answer);
     return true;
 }
 
-bool Links::takeHeartbeat(Link &link, const Exchange &exchange, const H2Message &answer)
+bool Links::processHeartbeatAnswer(Link &link, const PendingRequest &pending,
+                                   const H2Message &answer)
 {
     if (answer.status_ != StatusOk) {
-        refused(link.token_, decodeError(answer.status_, answer.body_));
+        onRefused(link.token_, decodeError(answer.status_, answer.body_));
         return false;
     }
     const auto decoded = capture([&] {
@@ -73,35 +74,35 @@
                                DomainId(answer.domain_));
     });
     if (const Error *error = std::get_if<Error>(&decoded)) {
-        refused(link.token_, *error);
+        onRefused(link.token_, *error);
         return false;
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
-    const HeardVerdict verdict = parts_.membership_.onHeartbeat(heartbeat, link.address_);
-    parts_.membership_.exchanged(exchange.bodyBytes_ + answer.body_.size());
-    if (verdict != HeardVerdict::Fresh && verdict != HeardVerdict::Late) {
+    const HeartbeatResult verdict = parts_.membership_.onHeartbeat(heartbeat, link.address_);
+    parts_.membership_.onExchanged(pending.bodyBytes_ + answer.body_.size());
+    if (verdict != HeartbeatResult::Fresh && verdict != HeartbeatResult::Stale) {
         close(link.token_, "the instance there was not accepted as a member: "
-                               + std::string(nameOf(HeardVerdictNames, verdict)));
+                               + std::string(nameOf(HeartbeatResultNames, verdict)));
         return false;
     }
-    greeted(link, heartbeat.sender_);
+    onHeartbeatAnswer(link, heartbeat.sender_);
     return true;
 }
 
-void Links::takeCallAnswer(const Exchange &exchange, const H2Message &answer)
+void Links::processCallAnswer(const PendingRequest &pending, const H2Message &answer)
 {
     if (answer.status_ != StatusOk) {
-        calls_.finish(exchange.call_, decodeError(answer.status_, answer.body_));
+        calls_.finish(pending.call_, decodeError(answer.status_, answer.body_));
         return;
     }
     std::optional<nlohmann::json> value = decodeCbor(answer.body_);
     if (!value) {
-        calls_.finish(exchange.call_,
+        calls_.finish(pending.call_,
                       Error {ErrorKind::Protocol, "the answer is not CBOR",
                              "run the same version of almondridge on all entry instances"});
         return;
     }
-    calls_.finish(exchange.call_, std::move(*value));
+    calls_.finish(pending.call_, std::move(*value));
 }
 
 } // namespace almondridge::peers
--- a/libs/peers/src/linkdeadlines.cpp
+++ b/libs/peers/src/linkdeadlines.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /** Idle timeout of a link; IdleIntervals heartbeat intervals if those are longer. */
-constexpr Duration IdleSpan = std::chrono::seconds(60);
+constexpr Duration IdleTimeout = std::chrono::seconds(60);
 constexpr int IdleIntervals = 4;
 
 } // namespace
@@ -53,49 +53,50 @@
             return true;
         }
         close(token, "no answer from " + toString(address));
-        parts_.membership_.unanswered(address);
+        parts_.membership_.onNoAnswer(address);
         return false;
     }
-    const bool silent =
-        std::any_of(link.exchanges_.begin(), link.exchanges_.end(), [&](const auto &entry) {
+    const bool silent = std::any_of(
+        link.pendingRequests_.begin(), link.pendingRequests_.end(), [&](const auto &entry) {
             return entry.second.call_ == 0 && entry.second.deadline_ <= now;
         });
     if (silent) {
-        replace(token);
+        reconnect(token);
         return false;
     }
-    if (link.exchanges_.empty() && idleDeadline(link) <= now) {
+    if (link.pendingRequests_.empty() && idleDeadline(link) <= now) {
         close(token, "idle");
         return false;
     }
     // If the peer starts the heartbeats, this link has none in flight that could time out. When
     // a request gets no response at all, send one to detect a silent connection.
-    if (endCalls(link, now) && !heartbeatUnderWay(link)) {
+    if (expireCalls(link, now) && !heartbeatInFlight(link)) {
         sendHeartbeat(link);
     }
-    sendWaiting(link);
+    sendQueued(link);
     return true;
 }
 
 /** Fails calls past their deadline. True if a call got no response and the link may be silent. */
-bool Links::endCalls(Link &link, TimePoint now)
+bool Links::expireCalls(Link &link, TimePoint now)
 {
-    bool doubtful = false;
-    for (auto entry = link.exchanges_.begin(); entry != link.exchanges_.end();) {
-        const Exchange &exchange = entry->second;
-        const bool quiet = link.connection_.lastReceived() < exchange.sentAt_;
-        const bool over = exchange.call_ != 0 && exchange.deadline_ <= now;
-        const bool overdue = exchange.sentAt_ + parts_.settings_.interval_ <= now;
-        doubtful = doubtful || (exchange.call_ != 0 && quiet && (over || overdue));
-        if (!over) {
+    bool maybeSilent = false;
+    for (auto entry = link.pendingRequests_.begin(); entry != link.pendingRequests_.end();) {
+        const PendingRequest &pending = entry->second;
+        const bool nothingReceived = link.connection_.lastReceived() < pending.sentAt_;
+        const bool expired = pending.call_ != 0 && pending.deadline_ <= now;
+        const bool overdue = pending.sentAt_ + parts_.settings_.interval_ <= now;
+        maybeSilent =
+            maybeSilent || (pending.call_ != 0 && nothingReceived && (expired || overdue));
+        if (!expired) {
             ++entry;
             continue;
         }
-        calls_.giveUp(exchange.call_, "no answer in time");
+        calls_.failCall(pending.call_, "no answer in time");
         link.connection_.session().cancel(entry->first);
-        entry = link.exchanges_.erase(entry);
+        entry = link.pendingRequests_.erase(entry);
     }
-    return doubtful;
+    return maybeSilent;
 }
 
 TimePoint Links::nextDeadline(const Link &link) const
@@ -103,13 +104,13 @@
     if (link.state_ != LinkState::Open) {
         return link.openDeadline_;
     }
-    TimePoint next = link.exchanges_.empty() ? idleDeadline(link) : TimePoint::max();
-    const bool asked = heartbeatUnderWay(link);
-    for (const auto &[stream, exchange] : link.exchanges_) {
-        next = std::min(next, exchange.deadline_);
-        const bool quiet = link.connection_.lastReceived() < exchange.sentAt_;
-        if (exchange.call_ != 0 && quiet && !asked) {
-            next = std::min(next, exchange.sentAt_ + parts_.settings_.interval_);
+    TimePoint next = link.pendingRequests_.empty() ? idleDeadline(link) : TimePoint::max();
+    const bool heartbeatPending = heartbeatInFlight(link);
+    for (const auto &[stream, pending] : link.pendingRequests_) {
+        next = std::min(next, pending.deadline_);
+        const bool nothingReceived = link.connection_.lastReceived() < pending.sentAt_;
+        if (pending.call_ != 0 && nothingReceived && !heartbeatPending) {
+            next = std::min(next, pending.sentAt_ + parts_.settings_.interval_);
         }
     }
     return next;
@@ -118,12 +119,12 @@
 TimePoint Links::idleDeadline(const Link &link) const
 {
     const Duration longest = IdleIntervals * parts_.membership_.longestInterval();
-    return link.connection_.lastReceived() + std::max(IdleSpan, longest);
+    return link.connection_.lastReceived() + std::max(IdleTimeout, longest);
 }
 
-bool Links::heartbeatUnderWay(const Link &link) noexcept
+bool Links::heartbeatInFlight(const Link &link) noexcept
 {
-    return std::any_of(link.exchanges_.begin(), link.exchanges_.end(),
+    return std::any_of(link.pendingRequests_.begin(), link.pendingRequests_.end(),
                        [](const auto &entry) { return entry.second.call_ == 0; });
 }
 
--- a/libs/peers/src/links.cpp
+++ b/libs/peers/src/links.cpp
@@ -15,7 +15,7 @@
  * some are reserved for heartbeats, as one that waits for slow handlers would look like a silent
  * connection.
  */
-constexpr std::size_t MaxCallsUnderWay = MaxStreams - 8;
+constexpr std::size_t MaxCallsInFlight = MaxStreams - 8;
 
 } // namespace
 
@@ -35,7 +35,7 @@
     const TimePoint now = BootClock::now();
     OwnedDescriptor socket = connectTo(address, parts_.settings_.timeout_);
     if (!socket.valid()) {
-        parts_.membership_.unanswered(address);
+        parts_.membership_.onNoAnswer(address);
         return nullptr;
     }
     const std::uint64_t token = ++parts_.lastToken_;
@@ -64,18 +64,18 @@
     links_.erase(found);
     byAddress_.erase(toString(link.address_));
     parts_.loop_.unwatch(link.connection_.socket());
-    for (const auto &[stream, exchange] : link.exchanges_) {
-        if (exchange.call_ != 0) {
-            calls_.giveUp(exchange.call_, why);
+    for (const auto &[stream, pending] : link.pendingRequests_) {
+        if (pending.call_ != 0) {
+            calls_.failCall(pending.call_, why);
         }
     }
-    for (const OutgoingCall &call : link.waiting_) {
-        calls_.giveUp(call.id_, why);
+    for (const OutgoingCall &call : link.queue_) {
+        calls_.failCall(call.id_, why);
     }
 }
 
 /** Closes a link whose other side rejected this instance, or is not a valid peer itself. */
-void Links::refused(std::uint64_t token, const Error &error)
+void Links::onRefused(std::uint64_t token, const Error &error)
 {
     const auto found = links_.find(token);
     if (found == links_.end()) {
@@ -85,11 +85,11 @@
     parts_.events_.reportRefusal("peer.refused-by", toString(address),
                                  "reason=" + quoteLogValue(error.message_)
                                      + " remedy=" + quoteLogValue(error.remedy_));
-    for (const OutgoingCall &call : std::exchange(found->second.waiting_, {})) {
+    for (const OutgoingCall &call : std::exchange(found->second.queue_, {})) {
         calls_.finish(call.id_, error);
     }
     close(token, error.message_);
-    parts_.membership_.unanswered(address);
+    parts_.membership_.onNoAnswer(address);
 }
 
 /**
@@ -98,14 +98,14 @@
  * only a new connection helps. The member stays alive if it answers there before its heartbeat
  * deadline.
  */
-void Links::replace(std::uint64_t token)
+void Links::reconnect(std::uint64_t token)
 {
     const Link &link = links_.at(token);
     const PeerAddress address = link.address_;
     const InstanceId instance = link.instance_;
     parts_.events_.report("peer.silent", instance.value(),
-                          "address=" + toString(address)
-                              + " cut_requests=" + std::to_string(link.exchanges_.size() - 1));
+                          "address=" + toString(address) + " cut_requests="
+                              + std::to_string(link.pendingRequests_.size() - 1));
     close(token, "the connection went silent");
     open(address, instance);
 }
@@ -116,8 +116,8 @@
     if (link == nullptr) {
         open(target.address_, target.instance_);
     } else if (link->state_ != LinkState::Open) {
-        link->newsWaiting_ = link->newsWaiting_ || urgent;
-    } else if (urgent || !heartbeatUnderWay(*link)) {
+        link->heartbeatQueued_ = link->heartbeatQueued_ || urgent;
+    } else if (urgent || !heartbeatInFlight(*link)) {
         const std::uint64_t token = link->token_;
         sendHeartbeat(*link);
         flush(token);
@@ -131,24 +131,24 @@
         link = open(call.address_, call.to_);
     }
     if (link == nullptr) {
-        calls_.giveUp(call.id_, "no connection to " + toString(call.address_));
+        calls_.failCall(call.id_, "no connection to " + toString(call.address_));
         return;
     }
-    if (link->waiting_.size() + link->exchanges_.size() >= MaxCallsPerLink) {
+    if (link->queue_.size() + link->pendingRequests_.size() >= MaxCallsPerLink) {
         calls_.finish(call.id_, Error {ErrorKind::Overloaded,
                                        "too many requests to " + call.to_.value() + " at once",
                                        "retry when some of them have been answered"});
         return;
     }
     const std::uint64_t token = link->token_;
-    link->waiting_.push_back(std::move(call));
+    link->queue_.push_back(std::move(call));
     if (link->state_ == LinkState::Open) {
-        sendWaiting(*link);
+        sendQueued(*link);
         flush(token);
     }
 }
 
-H2Message Links::seal(const Link &link, std::string path, std::string body)
+H2Message Links::makeRequest(const Link &link, std::string path, std::string body)
 {
     const std::int32_t stream = link.connection_.session().nextStream();
     const Audience audience {link.address_, link.incarnation_, link.greeting_, stream};
@@ -159,7 +159,7 @@
 {
     std::string body = encodeHeartbeat(parts_.membership_.compose(link.instance_));
     const std::size_t bytes = body.size();
-    H2Message message = seal(link, HeartbeatPath, std::move(body));
+    H2Message message = makeRequest(link, HeartbeatPath, std::move(body));
     std::string nonce = message.nonce_;
     if (link.greeting_.empty()) {
         link.greeting_ = nonce;
@@ -167,16 +167,16 @@
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     const TimePoint now = BootClock::now();
     // Stream 0 means that the session takes no more; the entry's deadline then closes the link.
-    link.exchanges_[stream] = {0, std::move(nonce), bytes, now,
-                               now + parts_.settings_.answerTimeout()};
+    link.pendingRequests_[stream] = {0, std::move(nonce), bytes, now,
+                                     now + parts_.settings_.answerTimeout()};
 }
 
-/** Sends queued calls up to MaxCallsUnderWay. */
-void Links::sendWaiting(Link &link)
+/** Sends queued calls up to MaxCallsInFlight. */
+void Links::sendQueued(Link &link)
 {
-    while (!link.waiting_.empty() && link.exchanges_.size() < MaxCallsUnderWay) {
-        OutgoingCall call = std::move(link.waiting_.front());
-        link.waiting_.pop_front();
+    while (!link.queue_.empty() && link.pendingRequests_.size() < MaxCallsInFlight) {
+        OutgoingCall call = std::move(link.queue_.front());
+        link.queue_.pop_front();
         sendCall(link, std::move(call));
     }
 }
@@ -184,20 +184,21 @@
 void Links::sendCall(Link &link, OutgoingCall call)
 {
     if (call.to_ != link.instance_) {
-        calls_.giveUp(call.id_, "another instance answers at " + toString(call.address_));
+        calls_.failCall(call.id_, "another instance answers at " + toString(call.address_));
         return;
     }
     if (!calls_.markSent(call.id_)) {
         return;
     }
-    H2Message message = seal(link, std::move(call.path_), std::move(call.body_));
+    H2Message message = makeRequest(link, std::move(call.path_), std::move(call.body_));
     std::string nonce = message.nonce_;
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     if (stream == 0) {
-        calls_.giveUp(call.id_, "the connection accepts no more requests");
+        calls_.failCall(call.id_, "the connection accepts no more requests");
         return;
     }
-    link.exchanges_[stream] = {call.id_, std::move(nonce), 0, BootClock::now(), call.deadline_};
+    link.pendingRequests_[stream] = {call.id_, std::move(nonce), 0, BootClock::now(),
+                                     call.deadline_};
 }
 
 bool Links::ready(std::uint64_t token, Readiness readiness)
@@ -214,35 +215,35 @@
         if (link.connection_.socketError() != 0) {
             const PeerAddress address = link.address_;
             close(token, "no connection to " + toString(address));
-            parts_.membership_.unanswered(address);
+            parts_.membership_.onNoAnswer(address);
             return true;
         }
-        connected(link);
+        onConnected(link);
     }
     const bool open = !readiness.readable_ || link.connection_.receive(BootClock::now());
-    if (!takeEvents(token)) {
+    if (!processEvents(token)) {
         return true;
     }
     if (!open) {
         const PeerAddress address = link.address_;
         close(token, "the peer closed the connection");
-        parts_.membership_.unanswered(address);
+        parts_.membership_.onNoAnswer(address);
         return true;
     }
     if (link.state_ == LinkState::Open) {
-        sendWaiting(link);
+        sendQueued(link);
     }
     flush(token);
     return true;
 }
 
-void Links::connected(Link &link)
+void Links::onConnected(Link &link)
 {
     link.state_ = LinkState::Greeting;
     sendHeartbeat(link);
 }
 
-void Links::greeted(Link &link, const PeerIdentity &who)
+void Links::onHeartbeatAnswer(Link &link, const PeerIdentity &who)
 {
     link.instance_ = who.instance_;
     if (link.state_ == LinkState::Open) {
@@ -250,10 +251,10 @@
     }
     link.state_ = LinkState::Open;
     link.incarnation_ = who.incarnation_;
-    if (std::exchange(link.newsWaiting_, false)) {
+    if (std::exchange(link.heartbeatQueued_, false)) {
         sendHeartbeat(link);
     }
-    sendWaiting(link);
+    sendQueued(link);
 }
 
 void Links::flush(std::uint64_t token)
@@ -266,7 +267,7 @@
     if (!link.connection_.flush(BootClock::now())) {
         const PeerAddress address = link.address_;
         close(token, "the connection broke");
-        parts_.membership_.unanswered(address);
+        parts_.membership_.onNoAnswer(address);
         return;
     }
     const bool wantsWrite = link.connection_.hasOutput();
--- a/libs/peers/src/links.h
+++ b/libs/peers/src/links.h
@@ -66,7 +66,7 @@
     };
 
     /** A request that waits for its answer, by stream. */
-    struct Exchange
+    struct PendingRequest
     {
         CallId call_ = 0; ///< 0: a heartbeat.
         std::string nonce_;
@@ -85,35 +85,35 @@
         LinkState state_ = LinkState::Connecting;
         Connection connection_;
         bool watchesWrite_ = true;
-        bool newsWaiting_ = false; ///< Send another heartbeat once open.
+        bool heartbeatQueued_ = false; ///< Send another heartbeat once open.
         TimePoint openDeadline_ {};
-        std::map<std::int32_t, Exchange> exchanges_ {};
-        std::deque<OutgoingCall> waiting_ {};
+        std::map<std::int32_t, PendingRequest> pendingRequests_ {};
+        std::deque<OutgoingCall> queue_ {};
     };
 
     Link *find(const PeerAddress &address);
     Link *open(const PeerAddress &address, const InstanceId &instance);
     void close(std::uint64_t token, const std::string &why);
-    void refused(std::uint64_t token, const Error &error);
-    void replace(std::uint64_t token);
-    void connected(Link &link);
-    void greeted(Link &link, const PeerIdentity &who);
+    void onRefused(std::uint64_t token, const Error &error);
+    void reconnect(std::uint64_t token);
+    void onConnected(Link &link);
+    void onHeartbeatAnswer(Link &link, const PeerIdentity &who);
     void sendHeartbeat(Link &link);
     void sendCall(Link &link, OutgoingCall call);
-    void sendWaiting(Link &link);
-    H2Message seal(const Link &link, std::string path, std::string body);
+    void sendQueued(Link &link);
+    H2Message makeRequest(const Link &link, std::string path, std::string body);
     void flush(std::uint64_t token);
     /** False if the link was closed meanwhile. */
-    bool takeEvents(std::uint64_t token);
-    bool takeAnswer(Link &link, const Exchange &exchange, const H2Message &answer);
-    bool takeHeartbeat(Link &link, const Exchange &exchange, const H2Message &answer);
-    void takeCallAnswer(const Exchange &exchange, const H2Message &answer);
+    bool processEvents(std::uint64_t token);
+    bool processAnswer(Link &link, const PendingRequest &pending, const H2Message &answer);
+    bool processHeartbeatAnswer(Link &link, const PendingRequest &pending, const H2Message &answer);
+    void processCallAnswer(const PendingRequest &pending, const H2Message &answer);
     bool checkDeadlines(Link &link, TimePoint now);
-    bool endCalls(Link &link, TimePoint now);
+    bool expireCalls(Link &link, TimePoint now);
     TimePoint nextDeadline(const Link &link) const;
     TimePoint idleDeadline(const Link &link) const;
     TimePoint earliestDeadline() const;
-    static bool heartbeatUnderWay(const Link &link) noexcept;
+    static bool heartbeatInFlight(const Link &link) noexcept;
 
     ExchangeParts parts_;
     PendingCalls &calls_;
--- a/libs/peers/src/membership.cpp
+++ b/libs/peers/src/membership.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /** Seed addresses probed per call of advance(); other members are learned from those found. */
-constexpr std::size_t SeedTries = 3;
+constexpr std::size_t MaxSeedProbes = 3;
 /** An instance known only from lists, never alive, is removed after this many timeouts. */
-constexpr int CandidateTimeouts = 10;
+constexpr int UnconfirmedTimeouts = 10;
 
 } // namespace
 
@@ -19,7 +19,7 @@
     : settings_(std::move(settings))
     , intervals_ {settings_.interval_, settings_.interval_}
 {
-    settle();
+    refreshDerivedState();
 }
 
 void Membership::seed(const std::vector<PeerAddress> &addresses, TimePoint now)
@@ -28,33 +28,33 @@
     for (const PeerAddress &address : addresses) {
         const auto same = [&](const Seed &seed) { return seed.address_ == address; };
         const auto known = std::find_if(seeds_.begin(), seeds_.end(), same);
-        const bool twice = std::any_of(seeds.begin(), seeds.end(), same);
-        if (twice || address == settings_.self_.address_ || seeds.size() == MaxMembers) {
+        const bool duplicate = std::any_of(seeds.begin(), seeds.end(), same);
+        if (duplicate || address == settings_.self_.address_ || seeds.size() == MaxMembers) {
             continue;
         }
         seeds.push_back(known == seeds_.end() ? Seed {address, {}, false, 0, now} : *known);
     }
     seeds_ = std::move(seeds);
     refreshSeeds();
-    noteDeadline(now);
+    lowerScanDeadline(now);
 }
 
-HeardVerdict Membership::heard(const Heartbeat &heartbeat, TimePoint now,
-                               const std::optional<PeerAddress> &askedAt)
+HeartbeatResult Membership::onHeartbeat(const Heartbeat &heartbeat, TimePoint now,
+                                        const std::optional<PeerAddress> &answeringAddress)
 {
     const PeerIdentity &sender = heartbeat.sender_;
-    if (askedAt) {
-        noteSeedAnswered(*askedAt, sender.instance_);
+    if (answeringAddress) {
+        onSeedAnswered(*answeringAddress, sender.instance_);
     }
     if (sender.instance_ == settings_.self_.instance_) {
         if (sender.incarnation_ != settings_.self_.incarnation_) {
             events_.push_back({MemberEventKind::DuplicateId, sender});
         }
-        return HeardVerdict::Self;
+        return HeartbeatResult::Self;
     }
     const bool known = records_.count(sender.instance_) != 0;
     if (!known && records_.size() >= MaxMembers) {
-        return HeardVerdict::TooMany;
+        return HeartbeatResult::TooMany;
     }
     Record &record = known ? records_.at(sender.instance_) : insert(sender, now);
     if (record.incarnation_ != sender.incarnation_) {
@@ -62,26 +62,27 @@
         // Incarnations come from wall clocks, which can be wrong, so a lower incarnation is
         // accepted once the higher one is dead.
         if (sender.incarnation_ < record.incarnation_ && record.member_.alive_) {
-            return HeardVerdict::OldIncarnation;
+            return HeartbeatResult::OldIncarnation;
         }
         restart(record, sender);
     }
     const bool fresh = heartbeat.sequence_ > record.sequence_;
     if (fresh) {
-        takeUp(record, heartbeat);
+        applyHeartbeat(record, heartbeat);
     }
-    takeSignOfLife(record, heartbeat, now);
-    takeAddress(record, record.member_.address_, askedAt == record.member_.address_, now);
-    if (askedAt) {
-        takeAddress(record, *askedAt, true, now);
+    extendDeadlines(record, heartbeat, now);
+    resolveAddressConflict(record, record.member_.address_,
+                           answeringAddress == record.member_.address_, now);
+    if (answeringAddress) {
+        resolveAddressConflict(record, *answeringAddress, true, now);
     }
-    settle();
-    learn(heartbeat, now);
-    settle();
-    return fresh ? HeardVerdict::Fresh : HeardVerdict::Late;
+    refreshDerivedState();
+    applyIndirectReports(heartbeat, now);
+    refreshDerivedState();
+    return fresh ? HeartbeatResult::Fresh : HeartbeatResult::Stale;
 }
 
-void Membership::noteSeedAnswered(const PeerAddress &address, const InstanceId &instance)
+void Membership::onSeedAnswered(const PeerAddress &address, const InstanceId &instance)
 {
     for (Seed &seed : seeds_) {
         if (seed.address_ == address) {
@@ -90,10 +91,10 @@
             seed.failures_ = 0;
         }
     }
-    settle();
+    refreshDerivedState();
 }
 
-void Membership::takeSignOfLife(Record &record, const Heartbeat &heartbeat, TimePoint now)
+void Membership::extendDeadlines(Record &record, const Heartbeat &heartbeat, TimePoint now)
 {
     record.directOnly_ = false;
     record.direct_ = true;
@@ -101,31 +102,31 @@
     record.directDeadline_ = now + timeoutFor(heartbeat.nextWithinMillis_);
     revive(record, record.directDeadline_);
     record.nextHeartbeat_ = nextExchange(record, now);
-    noteDeadline(record.nextHeartbeat_);
+    lowerScanDeadline(record.nextHeartbeat_);
 }
 
 /** Applies the contents of a heartbeat. Leaving is final for an incarnation. */
-void Membership::takeUp(Record &record, const Heartbeat &heartbeat)
+void Membership::applyHeartbeat(Record &record, const Heartbeat &heartbeat)
 {
     Member &member = record.member_;
-    const bool firstWord = heartbeat.sender_.leaving_ && !member.leaving_;
+    const bool startsLeaving = heartbeat.sender_.leaving_ && !member.leaving_;
     const bool moved = !(member.address_ == heartbeat.sender_.address_)
                        || member.domain_ != heartbeat.sender_.domain_;
-    changed_ = changed_ || firstWord || moved;
+    changed_ = changed_ || startsLeaving || moved;
     record.sequence_ = heartbeat.sequence_;
-    record.viewsKnown_ = true;
-    record.yourView_ = heartbeat.yourView_;
-    record.fleetView_ = heartbeat.fleetView_;
+    record.hashesKnown_ = true;
+    record.receiverDomainHash_ = heartbeat.receiverDomainHash_;
+    record.fleetHash_ = heartbeat.fleetHash_;
     member.domain_ = heartbeat.sender_.domain_;
     member.address_ = heartbeat.sender_.address_;
     member.leaving_ = member.leaving_ || heartbeat.sender_.leaving_;
     member.digest_ = heartbeat.digest_;
-    if (firstWord) {
+    if (startsLeaving) {
         report(MemberEventKind::Leaving, record);
     }
 }
 
-void Membership::unanswered(const PeerAddress &address, TimePoint now)
+void Membership::onNoAnswer(const PeerAddress &address, TimePoint now)
 {
     for (auto record = records_.begin(); record != records_.end();) {
         Member &member = record->second.member_;
@@ -142,11 +143,11 @@
     for (Seed &seed : seeds_) {
         if (seed.address_ == address) {
             ++seed.failures_;
-            seed.nextTry_ = now + backoff(seed.failures_);
-            noteDeadline(seed.nextTry_);
+            seed.nextProbe_ = now + backoff(seed.failures_);
+            lowerScanDeadline(seed.nextProbe_);
         }
     }
-    settle();
+    refreshDerivedState();
 }
 
 std::vector<HeartbeatTarget> Membership::advance(TimePoint now)
@@ -156,9 +157,9 @@
         return due;
     }
     expire(now);
-    settle();
-    collectMembers(now, due);
-    collectSeeds(now, due);
+    refreshDerivedState();
+    collectDueMembers(now, due);
+    collectDueSeeds(now, due);
     scanDeadline_ = earliestDeadline();
     return due;
 }
@@ -172,7 +173,7 @@
             record.directOnly_ = record.linked_;
             record.member_.alive_ = false;
             record.nextHeartbeat_ = now;
-            record.dropDeadline_ = now + settings_.forget_;
+            record.dropDeadline_ = now + settings_.deadRetention_;
             if (record.member_.leaving_) {
                 entry = drop(entry, MemberEventKind::Left);
                 continue;
@@ -191,7 +192,7 @@
     }
 }
 
-void Membership::collectMembers(TimePoint now, std::vector<HeartbeatTarget> &due)
+void Membership::collectDueMembers(TimePoint now, std::vector<HeartbeatTarget> &due)
 {
     std::vector<Record *> dead;
     for (auto &[instance, record] : records_) {
@@ -213,20 +214,22 @@
     std::sort(dead.begin(), dead.end(), [](const Record *left, const Record *right) {
         return left->nextHeartbeat_ < right->nextHeartbeat_;
     });
-    std::map<DomainId, std::size_t> triedFar;
+    std::map<DomainId, std::size_t> crossDomainProbes;
     for (Record *record : dead) {
         const DomainId &domain = record->member_.domain_;
-        const bool near = domain == settings_.self_.domain_;
-        if (near || triedFar[domain]++ < GatewaysPerDomain) {
+        const bool ownDomain = domain == settings_.self_.domain_;
+        if (ownDomain || crossDomainProbes[domain]++ < GatewaysPerDomain) {
             due.push_back({record->member_.address_, record->member_.instance_});
         }
         record->nextHeartbeat_ = now + backoff(record->failures_);
     }
 }
 
-void Membership::collectSeeds(TimePoint now, std::vector<HeartbeatTarget> &due)
+void Membership::collectDueSeeds(TimePoint now, std::vector<HeartbeatTarget> &due)
 {
-    const auto isDue = [&](const Seed &seed) { return seed.nextTry_ <= now && !seed.served_; };
+    const auto isDue = [&](const Seed &seed) {
+        return seed.nextProbe_ <= now && !seed.usedByMember_;
+    };
     // Seeds that are not due go to the back, behind those still to be tried.
     std::stable_partition(seeds_.begin(), seeds_.end(), isDue);
     std::size_t tries = 0;
@@ -234,15 +237,15 @@
         if (!isDue(seed)) {
             return;
         }
-        if (tries < SeedTries) {
+        if (tries < MaxSeedProbes) {
             due.push_back({seed.address_});
             ++tries;
         }
-        seed.nextTry_ = now + backoff(seed.failures_);
+        seed.nextProbe_ = now + backoff(seed.failures_);
     }
 }
 
-void Membership::makeDue(TimePoint now)
+void Membership::scheduleHeartbeatsNow(TimePoint now)
 {
     for (auto &[instance, record] : records_) {
         if (record.member_.alive_ && (record.linked_ || record.direct_)) {
@@ -250,10 +253,10 @@
             record.urgent_ = true;
         }
     }
-    noteDeadline(now);
+    lowerScanDeadline(now);
 }
 
-void Membership::noteDeadline(TimePoint deadline) noexcept
+void Membership::lowerScanDeadline(TimePoint deadline) noexcept
 {
     scanDeadline_ = std::min(scanDeadline_, deadline);
 }
@@ -268,7 +271,7 @@
                                                     : record.dropDeadline_);
     }
     for (const Seed &seed : seeds_) {
-        next = std::min(next, seed.served_ ? next : seed.nextTry_);
+        next = std::min(next, seed.usedByMember_ ? next : seed.nextProbe_);
     }
     return next;
 }
@@ -296,7 +299,7 @@
     record.incarnation_ = identity.incarnation_;
     record.weight_ = gatewayWeight(settings_.self_.instance_, identity.instance_);
     record.nextHeartbeat_ = now;
-    record.dropDeadline_ = now + CandidateTimeouts * settings_.timeout_;
+    record.dropDeadline_ = now + UnconfirmedTimeouts * settings_.timeout_;
     changed_ = true;
     return record;
 }
@@ -329,7 +332,7 @@
     record.incarnation_ = identity.incarnation_;
     record.sequence_ = 0;
     record.directOnly_ = false;
-    record.viewsKnown_ = false;
+    record.hashesKnown_ = false;
     record.member_.domain_ = identity.domain_;
     record.member_.address_ = identity.address_;
     record.member_.leaving_ = false;
@@ -343,18 +346,18 @@
  * address is reused. An instance that answered at the address owns it (certain). An instance that
  * only claims it owns it unless the other member is alive; then that member is probed.
  */
-void Membership::takeAddress(const Record &owner, const PeerAddress &address, bool certain,
-                             TimePoint now)
+void Membership::resolveAddressConflict(const Record &owner, const PeerAddress &address,
+                                        bool confirmed, TimePoint now)
 {
     for (auto entry = records_.begin(); entry != records_.end();) {
         Record &other = entry->second;
         if (&other == &owner || !(other.member_.address_ == address)) {
             ++entry;
-        } else if (certain || !other.member_.alive_) {
+        } else if (confirmed || !other.member_.alive_) {
             entry = drop(entry, MemberEventKind::AddressTaken);
         } else {
             other.nextHeartbeat_ = now;
-            noteDeadline(now);
+            lowerScanDeadline(now);
             ++entry;
         }
     }
@@ -364,7 +367,7 @@
 {
     settings_.self_.leaving_ = true;
     changed_ = true;
-    settle();
+    refreshDerivedState();
 }
 
 std::vector<Member> Membership::members() const
--- a/libs/peers/src/membership.h
+++ b/libs/peers/src/membership.h
@@ -34,7 +34,7 @@
     PeerIdentity self_;
     Duration interval_ {};            ///< Time between two exchanges on a link.
     Duration timeout_ {};             ///< A member without a heartbeat for this long is dead.
-    Duration forget_ {};              ///< A dead member is retried for this long, then removed.
+    Duration deadRetention_ {};       ///< A dead member is retried for this long, then removed.
     double budgetBytesPerSecond_ = 0; ///< Heartbeat traffic limit; 0: no limit.
 };
 
@@ -76,20 +76,20 @@
 };
 
 /** Result of processing a received heartbeat. */
-enum class HeardVerdict {
+enum class HeartbeatResult {
     Fresh,          ///< Newest heartbeat of its sender; its contents were applied.
-    Late,           ///< Older than one already applied; it only proves that the sender is alive.
+    Stale,          ///< Older than one already applied; it only proves that the sender is alive.
     OldIncarnation, ///< From a process that a newer process with the same id replaced.
     Self,           ///< From this instance, or another process that uses its id.
     TooMany,        ///< MaxMembers are tracked already.
 };
 
-inline constexpr std::array<EnumName<HeardVerdict>, 5> HeardVerdictNames {{
-    {HeardVerdict::Fresh, "fresh"},
-    {HeardVerdict::Late, "late"},
-    {HeardVerdict::OldIncarnation, "old-incarnation"},
-    {HeardVerdict::Self, "same-id"},
-    {HeardVerdict::TooMany, "too-many-members"},
+inline constexpr std::array<EnumName<HeartbeatResult>, 5> HeartbeatResultNames {{
+    {HeartbeatResult::Fresh, "fresh"},
+    {HeartbeatResult::Stale, "late"},
+    {HeartbeatResult::OldIncarnation, "old-incarnation"},
+    {HeartbeatResult::Self, "same-id"},
+    {HeartbeatResult::TooMany, "too-many-members"},
 }};
 
 /** Time between two exchanges on a link. */
@@ -104,7 +104,7 @@
  * first, because their state is less urgent here. Once they are CrossDomainIntervalFactor times as
  * slow as the own domain's, all links slow down at that ratio.
  */
-Intervals stretchIntervals(Duration interval, double nearLinks, double farLinks,
+Intervals stretchIntervals(Duration interval, double ownDomainLinks, double crossDomainLinks,
                            double exchangesPerSecond);
 
 class Membership
@@ -116,20 +116,20 @@
     void seed(const std::vector<PeerAddress> &addresses, TimePoint now);
 
     /**
-     * Processes an authenticated heartbeat. askedAt: the address that the heartbeat was requested
-     * from, if it is an answer.
+     * Processes an authenticated heartbeat. answeringAddress: the address that the heartbeat was
+     * requested from, if it is an answer.
      */
-    HeardVerdict heard(const Heartbeat &heartbeat, TimePoint now,
-                       const std::optional<PeerAddress> &askedAt = std::nullopt);
+    HeartbeatResult onHeartbeat(const Heartbeat &heartbeat, TimePoint now,
+                                const std::optional<PeerAddress> &answeringAddress = std::nullopt);
 
     /** Records that a heartbeat to address got no answer. */
-    void unanswered(const PeerAddress &address, TimePoint now);
+    void onNoAnswer(const PeerAddress &address, TimePoint now);
 
     /** Handles deadlines up to now and returns the heartbeats that are due. */
     std::vector<HeartbeatTarget> advance(TimePoint now);
 
     /** Makes a heartbeat due at now on every link. */
-    void makeDue(TimePoint now);
+    void scheduleHeartbeatsNow(TimePoint now);
 
     /** Time by which advance() must be called next. */
     TimePoint nextDeadline() const noexcept { return scanDeadline_; }
@@ -161,9 +161,9 @@
         bool direct_ = false;      ///< Heartbeats arrive from it directly.
         bool urgent_ = false;      ///< The next heartbeat is sent even without a link.
         bool directOnly_ = false;  ///< Its link failed, so indirect reports no longer count.
-        bool viewsKnown_ = false;
-        std::uint64_t yourView_ = 0;  ///< Its last hash of the members of this domain.
-        std::uint64_t fleetView_ = 0; ///< Its last hash of all members.
+        bool hashesKnown_ = false;
+        std::uint64_t receiverDomainHash_ = 0; ///< Its last hash of the members of this domain.
+        std::uint64_t fleetHash_ = 0;          ///< Its last hash of all members.
         unsigned failures_ = 0;
         TimePoint nextHeartbeat_ {};
         TimePoint directDeadline_ {}; ///< direct_ is cleared then.
@@ -173,10 +173,10 @@
     struct Seed
     {
         PeerAddress address_;
-        InstanceId instance_; ///< Instance that answered there last.
-        bool served_ = false; ///< Not probed: a member uses the address.
+        InstanceId instance_;       ///< Instance that answered there last.
+        bool usedByMember_ = false; ///< Not probed: a member uses the address.
         unsigned failures_ = 0;
-        TimePoint nextTry_ {};
+        TimePoint nextProbe_ {};
     };
 
     using Records = std::map<InstanceId, Record>;
@@ -187,25 +187,26 @@
     Records::iterator drop(Records::iterator record, MemberEventKind kind);
     void revive(Record &record, TimePoint deadline);
     void restart(Record &record, const PeerIdentity &identity);
-    void takeAddress(const Record &owner, const PeerAddress &address, bool certain, TimePoint now);
-    void noteSeedAnswered(const PeerAddress &address, const InstanceId &instance);
-    void takeUp(Record &record, const Heartbeat &heartbeat);
-    void takeSignOfLife(Record &record, const Heartbeat &heartbeat, TimePoint now);
-    void learn(const Heartbeat &heartbeat, TimePoint now);
-    void learnMember(const PeerIdentity &identity, const Heartbeat &from, TimePoint now);
-    void vouchForAll(const Heartbeat &heartbeat, TimePoint now);
+    void resolveAddressConflict(const Record &owner, const PeerAddress &address, bool confirmed,
+                                TimePoint now);
+    void onSeedAnswered(const PeerAddress &address, const InstanceId &instance);
+    void applyHeartbeat(Record &record, const Heartbeat &heartbeat);
+    void extendDeadlines(Record &record, const Heartbeat &heartbeat, TimePoint now);
+    void applyIndirectReports(const Heartbeat &heartbeat, TimePoint now);
+    void applyListedMember(const PeerIdentity &identity, const Heartbeat &from, TimePoint now);
+    void extendDomainDeadlines(const Heartbeat &heartbeat, TimePoint now);
     void expire(TimePoint now);
-    void collectMembers(TimePoint now, std::vector<HeartbeatTarget> &due);
-    void collectSeeds(TimePoint now, std::vector<HeartbeatTarget> &due);
+    void collectDueMembers(TimePoint now, std::vector<HeartbeatTarget> &due);
+    void collectDueSeeds(TimePoint now, std::vector<HeartbeatTarget> &due);
     Duration timeoutFor(std::int64_t withinMillis) const noexcept;
     Duration backoff(unsigned failures) const noexcept;
     TimePoint nextExchange(const Record &record, TimePoint now) const;
-    void listDomain(std::vector<PeerIdentity> &list) const;
-    void listWindow(const InstanceId &to, std::vector<PeerIdentity> &list);
+    void listOwnDomain(std::vector<PeerIdentity> &list) const;
+    void listOtherDomains(const InstanceId &to, std::vector<PeerIdentity> &list);
     TimePoint earliestDeadline() const;
-    void noteDeadline(TimePoint deadline) noexcept;
-    void settle();
-    void refreshViews();
+    void lowerScanDeadline(TimePoint deadline) noexcept;
+    void refreshDerivedState();
+    void refreshHashes();
     void refreshLinks();
     void refreshSeeds();
     void refreshIntervals();
@@ -214,10 +215,10 @@
     Records records_;
     std::vector<Seed> seeds_;
     std::vector<MemberEvent> events_;
-    std::map<DomainId, std::uint64_t> views_;
-    std::uint64_t fleetView_ = 0;
+    std::map<DomainId, std::uint64_t> domainHashes_;
+    std::uint64_t fleetHash_ = 0;
     std::uint64_t sequence_ = 0;
-    InstanceId windowAfter_; ///< Last member listed; the next list starts behind it.
+    InstanceId lastListed_; ///< Last member listed; the next list starts behind it.
     double exchangeBytes_ = 0;
     Intervals intervals_;
     TimePoint scanDeadline_ {}; ///< Lower bound of all deadlines of members and seeds.
--- a/libs/peers/src/membershiptiming.cpp
+++ b/libs/peers/src/membershiptiming.cpp
@@ -37,30 +37,31 @@
 void Membership::setExchangeBytes(double bytes)
 {
     // Called after every exchange, so small changes don't recompute the intervals.
-    constexpr double Noticeable = 0.02;
-    if (std::abs(bytes - exchangeBytes_) > Noticeable * exchangeBytes_) {
+    constexpr double MinRelativeChange = 0.02;
+    if (std::abs(bytes - exchangeBytes_) > MinRelativeChange * exchangeBytes_) {
         exchangeBytes_ = bytes;
         refreshIntervals();
     }
 }
 
-Intervals stretchIntervals(Duration interval, double nearLinks, double farLinks,
+Intervals stretchIntervals(Duration interval, double ownDomainLinks, double crossDomainLinks,
                            double exchangesPerSecond)
 {
     const double plain = toSeconds(interval);
-    if ((nearLinks + farLinks) / plain <= exchangesPerSecond) {
+    if ((ownDomainLinks + crossDomainLinks) / plain <= exchangesPerSecond) {
         return {interval, interval};
     }
     const auto seconds = [](double count) {
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
     };
-    const double leftForFar = exchangesPerSecond - nearLinks / plain;
-    if (leftForFar > 0 && farLinks / leftForFar <= CrossDomainIntervalFactor * plain) {
-        return {interval, seconds(farLinks / leftForFar)};
+    const double crossDomainRate = exchangesPerSecond - ownDomainLinks / plain;
+    if (crossDomainRate > 0
+        && crossDomainLinks / crossDomainRate <= CrossDomainIntervalFactor * plain) {
+        return {interval, seconds(crossDomainLinks / crossDomainRate)};
     }
-    const Duration near =
-        seconds((nearLinks + farLinks / CrossDomainIntervalFactor) / exchangesPerSecond);
-    return {near, CrossDomainIntervalFactor * near};
+    const Duration ownDomainInterval = seconds(
+        (ownDomainLinks + crossDomainLinks / CrossDomainIntervalFactor) / exchangesPerSecond);
+    return {ownDomainInterval, CrossDomainIntervalFactor * ownDomainInterval};
 }
 
 void Membership::refreshIntervals()
@@ -69,14 +70,15 @@
     if (settings_.budgetBytesPerSecond_ <= 0 || exchangeBytes_ <= 0) {
         return;
     }
-    double near = 0;
-    double far = 0;
+    double ownDomainLinks = 0;
+    double crossDomainLinks = 0;
     for (const auto &[instance, record] : records_) {
         if (record.member_.alive_ && (record.linked_ || record.direct_)) {
-            (record.member_.domain_ == settings_.self_.domain_ ? near : far) += 1;
+            (record.member_.domain_ == settings_.self_.domain_ ? ownDomainLinks
+                                                               : crossDomainLinks) += 1;
         }
     }
-    intervals_ = stretchIntervals(settings_.interval_, near, far,
+    intervals_ = stretchIntervals(settings_.interval_, ownDomainLinks, crossDomainLinks,
                                   settings_.budgetBytesPerSecond_ / exchangeBytes_);
 }
 
--- a/libs/peers/src/membershipviews.cpp
+++ b/libs/peers/src/membershipviews.cpp
@@ -11,27 +11,28 @@
 namespace {
 
 /** Maximum members of the sender's own domain listed in one heartbeat. */
-constexpr std::size_t MaxDomainListed = 64;
+constexpr std::size_t MaxOwnDomainListed = 64;
 /** Maximum members of other domains listed in one heartbeat; the next one continues the list. */
-constexpr std::size_t WindowListed = 8;
+constexpr std::size_t MaxOtherDomainsListed = 8;
 /** Indirect reports get twice the timeout, as they arrive one exchange later than heartbeats. */
-constexpr int VouchedTimeouts = 2;
+constexpr int IndirectTimeouts = 2;
 
 } // namespace
 
 /** Applies what a heartbeat reports about instances other than its sender. */
-void Membership::learn(const Heartbeat &heartbeat, TimePoint now)
+void Membership::applyIndirectReports(const Heartbeat &heartbeat, TimePoint now)
 {
     for (const PeerIdentity &listed : heartbeat.members_) {
-        learnMember(listed, heartbeat, now);
+        applyListedMember(listed, heartbeat, now);
     }
-    const auto view = views_.find(heartbeat.sender_.domain_);
-    if (view != views_.end() && view->second == heartbeat.ownView_) {
-        vouchForAll(heartbeat, now);
+    const auto domainHash = domainHashes_.find(heartbeat.sender_.domain_);
+    if (domainHash != domainHashes_.end() && domainHash->second == heartbeat.ownDomainHash_) {
+        extendDomainDeadlines(heartbeat, now);
     }
 }
 
-void Membership::learnMember(const PeerIdentity &identity, const Heartbeat &from, TimePoint now)
+void Membership::applyListedMember(const PeerIdentity &identity, const Heartbeat &from,
+                                   TimePoint now)
 {
     if (identity.instance_ == settings_.self_.instance_) {
         return;
@@ -54,31 +55,31 @@
         // Probe the member over its own link to confirm the restart.
         record.nextHeartbeat_ = now;
         record.urgent_ = true;
-        noteDeadline(now);
+        lowerScanDeadline(now);
         return;
     }
     if (newer) {
         restart(record, identity);
     }
     // Only instances of its own domain have a direct link to every member of it.
-    const bool firstHand =
+    const bool reportIsDirect =
         identity.domain_ == from.sender_.domain_ && identity.domain_ != settings_.self_.domain_;
-    const bool seenFromHere = record.directOnly_ || record.linked_;
-    if (firstHand && !seenFromHere) {
+    const bool judgedByOwnLink = record.directOnly_ || record.linked_;
+    if (reportIsDirect && !judgedByOwnLink) {
         changed_ = changed_ || identity.leaving_ != record.member_.leaving_;
         record.member_.leaving_ = record.member_.leaving_ || identity.leaving_;
-        revive(record, now + VouchedTimeouts * timeoutFor(from.nextWithinMillis_));
+        revive(record, now + IndirectTimeouts * timeoutFor(from.nextWithinMillis_));
     }
 }
 
 /** Extends the deadlines of all members of the sender's domain; both sides' hashes match. */
-void Membership::vouchForAll(const Heartbeat &heartbeat, TimePoint now)
+void Membership::extendDomainDeadlines(const Heartbeat &heartbeat, TimePoint now)
 {
     const DomainId &domain = heartbeat.sender_.domain_;
     if (domain == settings_.self_.domain_) {
         return;
     }
-    const TimePoint deadline = now + VouchedTimeouts * timeoutFor(heartbeat.nextWithinMillis_);
+    const TimePoint deadline = now + IndirectTimeouts * timeoutFor(heartbeat.nextWithinMillis_);
     for (auto &[instance, record] : records_) {
         Member &member = record.member_;
         if (member.alive_ && member.domain_ == domain && !record.linked_) {
@@ -89,9 +90,9 @@
 
 Heartbeat Membership::compose(const InstanceId &to, nlohmann::json digest)
 {
-    const auto viewOf = [&](const DomainId &domain) {
-        const auto view = views_.find(domain);
-        return view == views_.end() ? 0 : view->second;
+    const auto hashOf = [&](const DomainId &domain) {
+        const auto domainHash = domainHashes_.find(domain);
+        return domainHash == domainHashes_.end() ? 0 : domainHash->second;
     };
     const auto receiver = records_.find(to);
     const bool known = receiver != records_.end();
@@ -100,37 +101,38 @@
     heartbeat.sender_ = settings_.self_;
     heartbeat.sequence_ = ++sequence_;
     heartbeat.nextWithinMillis_ = toMillis(intervalTo(domain) * PassiveHalfIntervals / 2);
-    heartbeat.ownView_ = viewOf(settings_.self_.domain_);
-    heartbeat.yourView_ = known ? viewOf(domain) : 0;
-    heartbeat.fleetView_ = fleetView_;
+    heartbeat.ownDomainHash_ = hashOf(settings_.self_.domain_);
+    heartbeat.receiverDomainHash_ = known ? hashOf(domain) : 0;
+    heartbeat.fleetHash_ = fleetHash_;
     heartbeat.digest_ = std::move(digest);
-    if (known && receiver->second.viewsKnown_) {
-        if (receiver->second.yourView_ != heartbeat.ownView_) {
-            listDomain(heartbeat.members_);
+    if (known && receiver->second.hashesKnown_) {
+        if (receiver->second.receiverDomainHash_ != heartbeat.ownDomainHash_) {
+            listOwnDomain(heartbeat.members_);
         }
-        if (receiver->second.fleetView_ != heartbeat.fleetView_) {
-            listWindow(to, heartbeat.members_);
+        if (receiver->second.fleetHash_ != heartbeat.fleetHash_) {
+            listOtherDomains(to, heartbeat.members_);
         }
     }
     return heartbeat;
 }
 
-void Membership::listDomain(std::vector<PeerIdentity> &list) const
+void Membership::listOwnDomain(std::vector<PeerIdentity> &list) const
 {
     for (const auto &[instance, record] : records_) {
         const bool own = record.member_.domain_ == settings_.self_.domain_;
-        if (own && record.member_.alive_ && list.size() < MaxDomainListed) {
+        if (own && record.member_.alive_ && list.size() < MaxOwnDomainListed) {
             list.push_back(identityOf(record));
         }
     }
 }
 
 /** Lists members of other domains in id order, starting behind the last one listed before. */
-void Membership::listWindow(const InstanceId &to, std::vector<PeerIdentity> &list)
+void Membership::listOtherDomains(const InstanceId &to, std::vector<PeerIdentity> &list)
 {
-    auto next = records_.upper_bound(windowAfter_);
+    auto next = records_.upper_bound(lastListed_);
     std::size_t listed = 0;
-    for (std::size_t steps = 0; steps < records_.size() && listed < WindowListed; ++steps) {
+    for (std::size_t steps = 0; steps < records_.size() && listed < MaxOtherDomainsListed;
+         ++steps) {
         if (next == records_.end()) {
             next = records_.begin();
         }
@@ -139,36 +141,36 @@
             list.push_back(identityOf(next->second));
             ++listed;
         }
-        windowAfter_ = next->first;
+        lastListed_ = next->first;
         ++next;
     }
 }
 
 /** Recomputes the state derived from the set of members if it changed. */
-void Membership::settle()
+void Membership::refreshDerivedState()
 {
     if (changed_) {
         changed_ = false;
         // New links and seeds may be overdue.
         scanDeadline_ = TimePoint {};
-        refreshViews();
+        refreshHashes();
         refreshLinks();
         refreshSeeds();
     }
 }
 
-void Membership::refreshViews()
+void Membership::refreshHashes()
 {
-    views_.clear();
-    views_[settings_.self_.domain_] = viewHash(settings_.self_);
+    domainHashes_.clear();
+    domainHashes_[settings_.self_.domain_] = memberHash(settings_.self_);
     for (const auto &[instance, record] : records_) {
         if (record.member_.alive_) {
-            views_[record.member_.domain_] ^= viewHash(identityOf(record));
+            domainHashes_[record.member_.domain_] ^= memberHash(identityOf(record));
         }
     }
-    fleetView_ = 0;
-    for (const auto &[domain, view] : views_) {
-        fleetView_ ^= view;
+    fleetHash_ = 0;
+    for (const auto &[domain, domainHash] : domainHashes_) {
+        fleetHash_ ^= domainHash;
     }
 }
 
@@ -185,9 +187,9 @@
         std::sort(members.begin(), members.end(), [](const Record *left, const Record *right) {
             return left->weight_ > right->weight_;
         });
-        const bool near = domain == settings_.self_.domain_;
+        const bool ownDomain = domain == settings_.self_.domain_;
         const std::size_t links =
-            near ? members.size() : std::min(members.size(), GatewaysPerDomain);
+            ownDomain ? members.size() : std::min(members.size(), GatewaysPerDomain);
         for (std::size_t index = 0; index < links; ++index) {
             members[index]->linked_ = true;
         }
@@ -198,15 +200,15 @@
 /** Seed addresses are not probed while a known member uses them. */
 void Membership::refreshSeeds()
 {
-    std::unordered_set<std::string> held;
+    std::unordered_set<std::string> usedAddresses;
     for (const auto &[instance, record] : records_) {
-        held.insert(toString(record.member_.address_));
+        usedAddresses.insert(toString(record.member_.address_));
     }
     for (Seed &seed : seeds_) {
         const auto answered = records_.find(seed.instance_);
         const bool alive = answered != records_.end() && answered->second.member_.alive_;
         const bool self = seed.instance_ == settings_.self_.instance_;
-        seed.served_ = alive || self || held.count(toString(seed.address_)) != 0;
+        seed.usedByMember_ = alive || self || usedAddresses.count(toString(seed.address_)) != 0;
     }
 }
 
--- a/libs/peers/src/peerevents.cpp
+++ b/libs/peers/src/peerevents.cpp
@@ -38,12 +38,12 @@
             inWindow_ = 0;
         }
         if (++inWindow_ > RefusalsPerWindow) {
-            ++leftOut_;
+            ++suppressed_;
             return;
         }
-        if (leftOut_ > 0) {
-            detail += " left_out=" + std::to_string(leftOut_);
-            leftOut_ = 0;
+        if (suppressed_ > 0) {
+            detail += " left_out=" + std::to_string(suppressed_);
+            suppressed_ = 0;
         }
     }
     report(name, subject, detail);
--- a/libs/peers/src/peerevents.h
+++ b/libs/peers/src/peerevents.h
@@ -38,7 +38,7 @@
     std::mutex mutex_;
     TimePoint windowDeadline_ {};
     int inWindow_ = 0;
-    int leftOut_ = 0;
+    int suppressed_ = 0;
 };
 
 } // namespace almondridge::peers
--- a/libs/peers/src/pendingcalls.cpp
+++ b/libs/peers/src/pendingcalls.cpp
@@ -3,7 +3,7 @@
 namespace almondridge::peers {
 namespace {
 
-Error notAnswered(bool sent, const std::string &why)
+Error noAnswerError(bool sent, const std::string &why)
 {
     if (sent) {
         return {ErrorKind::Interrupted, "the peer may have received the request: " + why,
@@ -53,7 +53,7 @@
     shard.finished_.notify_all();
 }
 
-void PendingCalls::giveUp(CallId id, const std::string &why)
+void PendingCalls::failCall(CallId id, const std::string &why)
 {
     Shard &shard = shardOf(id);
     {
@@ -62,7 +62,7 @@
         if (call == shard.calls_.end() || call->second.outcome_) {
             return;
         }
-        call->second.outcome_ = notAnswered(call->second.sent_, why);
+        call->second.outcome_ = noAnswerError(call->second.sent_, why);
     }
     shard.finished_.notify_all();
 }
@@ -73,8 +73,9 @@
     std::unique_lock lock(shard.mutex_);
     Call &call = shard.calls_.at(id);
     shard.finished_.wait_until(lock, deadline, [&] { return call.outcome_.has_value(); });
-    CallOutcome outcome = call.outcome_ ? std::move(*call.outcome_)
-                                        : CallOutcome(notAnswered(call.sent_, "no answer in time"));
+    CallOutcome outcome = call.outcome_
+                              ? std::move(*call.outcome_)
+                              : CallOutcome(noAnswerError(call.sent_, "no answer in time"));
     shard.calls_.erase(id);
     return outcome;
 }
@@ -87,7 +88,7 @@
             shard.closed_ = true;
             for (auto &[id, call] : shard.calls_) {
                 if (!call.outcome_) {
-                    call.outcome_ = notAnswered(call.sent_, "this instance is stopping");
+                    call.outcome_ = noAnswerError(call.sent_, "this instance is stopping");
                 }
             }
         }
--- a/libs/peers/src/proof.cpp
+++ b/libs/peers/src/proof.cpp
@@ -60,11 +60,12 @@
 
 } // namespace
 
-Prover::Prover(std::string key)
+MessageAuthenticator::MessageAuthenticator(std::string key)
     : key_(std::move(key))
 { }
 
-std::string Prover::requestProof(const H2Message &request, std::string_view audience) const
+std::string MessageAuthenticator::requestProof(const H2Message &request,
+                                               std::string_view audience) const
 {
     std::string text;
     text.reserve(request.body_.size() + 256);
@@ -77,7 +78,8 @@
     return hmac(key_, text);
 }
 
-std::string Prover::answerProof(const H2Message &answer, std::string_view requestNonce) const
+std::string MessageAuthenticator::answerProof(const H2Message &answer,
+                                              std::string_view requestNonce) const
 {
     std::string text;
     text.reserve(answer.body_.size() + 256);
@@ -90,7 +92,7 @@
     return hmac(key_, text);
 }
 
-bool Prover::same(std::string_view left, std::string_view right) noexcept
+bool MessageAuthenticator::equalConstantTime(std::string_view left, std::string_view right) noexcept
 {
     return left.size() == right.size()
            && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
@@ -112,9 +114,9 @@
 AuthenticationResult ReplayWindow::admit(std::string_view instance, std::string_view nonce,
                                          TimePoint now)
 {
-    while (!inOrder_.empty() && inOrder_.front().deadline_ <= now) {
-        seen_.erase(inOrder_.front().key_);
-        inOrder_.pop_front();
+    while (!byDeadline_.empty() && byDeadline_.front().deadline_ <= now) {
+        seen_.erase(byDeadline_.front().key_);
+        byDeadline_.pop_front();
     }
     std::string key(instance);
     key += '/';
@@ -126,12 +128,12 @@
         return AuthenticationResult::Full;
     }
     // A message from a clock that is MaxClockSkew ahead is accepted for twice that time.
-    inOrder_.push_back({now + 2 * MaxClockSkew, key});
+    byDeadline_.push_back({now + 2 * MaxClockSkew, key});
     seen_.insert(std::move(key));
     return AuthenticationResult::Valid;
 }
 
-bool inTime(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept
+bool isWithinClockSkew(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept
 {
     std::int64_t sent = 0;
     const char *const end = messageMillis.data() + messageMillis.size();
--- a/libs/peers/src/proof.h
+++ b/libs/peers/src/proof.h
@@ -21,25 +21,25 @@
 /** Result of authenticating a message. */
 enum class AuthenticationResult {
     Valid,
-    Wrong,     ///< The proof is missing or wrong: another key, or a changed message.
-    OutOfTime, ///< Differs from this instance's wall clock by more than MaxClockSkew.
-    Replayed,  ///< Its nonce was seen before.
-    Full,      ///< The replay window is full.
+    Wrong,             ///< The proof is missing or wrong: another key, or a changed message.
+    ClockSkewTooLarge, ///< Differs from this instance's wall clock by more than MaxClockSkew.
+    Replayed,          ///< Its nonce was seen before.
+    Full,              ///< The replay window is full.
 };
 
-inline constexpr std::array<EnumName<AuthenticationResult>, 5> ProofVerdictNames {{
+inline constexpr std::array<EnumName<AuthenticationResult>, 5> AuthenticationResultNames {{
     {AuthenticationResult::Valid, "valid"},
     {AuthenticationResult::Wrong, "wrong-proof"},
-    {AuthenticationResult::OutOfTime, "out-of-time"},
+    {AuthenticationResult::ClockSkewTooLarge, "out-of-time"},
     {AuthenticationResult::Replayed, "replayed"},
     {AuthenticationResult::Full, "replay-window-full"},
 }};
 
 /** Computes proofs. Immutable. */
-class Prover
+class MessageAuthenticator
 {
 public:
-    explicit Prover(std::string key);
+    explicit MessageAuthenticator(std::string key);
 
     /** HMAC in hex digits over method, path, audience, sender fields, nonce and body. */
     std::string requestProof(const H2Message &request, std::string_view audience) const;
@@ -51,7 +51,7 @@
     std::string answerProof(const H2Message &answer, std::string_view requestNonce) const;
 
     /** Compares in constant time, to leak nothing about the expected proof through timing. */
-    static bool same(std::string_view left, std::string_view right) noexcept;
+    static bool equalConstantTime(std::string_view left, std::string_view right) noexcept;
 
 private:
     std::string key_;
@@ -84,11 +84,11 @@
     };
 
     std::size_t capacity_;
-    std::deque<Entry> inOrder_;
+    std::deque<Entry> byDeadline_;
     std::unordered_set<std::string> seen_;
 };
 
 /** Whether a message's wall clock time is within MaxClockSkew of wallNowMillis. */
-bool inTime(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept;
+bool isWithinClockSkew(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept;
 
 } // namespace almondridge::peers
--- a/libs/peers/src/rendezvous.h
+++ b/libs/peers/src/rendezvous.h
@@ -15,6 +15,6 @@
 std::uint64_t gatewayWeight(const InstanceId &self, const InstanceId &other) noexcept;
 
 /** Hash of one member; the hash of a set of members is the exclusive or of theirs. */
-std::uint64_t viewHash(const PeerIdentity &member);
+std::uint64_t memberHash(const PeerIdentity &member);
 
 } // namespace almondridge::peers
--- a/libs/peers/src/sharedmembership.cpp
+++ b/libs/peers/src/sharedmembership.cpp
@@ -10,15 +10,15 @@
  */
 constexpr double ExchangeOverheadBytes = 360;
 /** Weight of the newest exchange in the moving average. */
-constexpr double Newest = 0.125;
+constexpr double NewestWeight = 0.125;
 
 } // namespace
 
 SharedMembership::SharedMembership(MembershipSettings settings, PeerEvents &events,
-                                   DigestListener onHeard)
+                                   DigestListener onFreshHeartbeat)
     : self_(settings.self_)
     , events_(events)
-    , onHeard_(std::move(onHeard))
+    , onFreshHeartbeat_(std::move(onFreshHeartbeat))
     , membership_(std::move(settings))
 { }
 
@@ -40,25 +40,26 @@
     membership_.seed(addresses, BootClock::now());
 }
 
-HeardVerdict SharedMembership::heard(const Heartbeat &heartbeat,
-                                     const std::optional<PeerAddress> &askedAt)
+HeartbeatResult SharedMembership::onHeartbeat(const Heartbeat &heartbeat,
+                                              const std::optional<PeerAddress> &answeringAddress)
 {
     std::unique_lock lock(mutex_);
-    const HeardVerdict verdict = membership_.onHeartbeat(heartbeat, BootClock::now(), askedAt);
-    const std::optional<Member> member = onHeard_ && verdict == HeardVerdict::Fresh
+    const HeartbeatResult verdict =
+        membership_.onHeartbeat(heartbeat, BootClock::now(), answeringAddress);
+    const std::optional<Member> member = onFreshHeartbeat_ && verdict == HeartbeatResult::Fresh
                                              ? membership_.member(heartbeat.sender_.instance_)
                                              : std::nullopt;
     reportEvents(lock);
     if (member) {
-        onHeard_(*member);
+        onFreshHeartbeat_(*member);
     }
     return verdict;
 }
 
-void SharedMembership::unanswered(const PeerAddress &address)
+void SharedMembership::onNoAnswer(const PeerAddress &address)
 {
     std::unique_lock lock(mutex_);
-    membership_.unanswered(address, BootClock::now());
+    membership_.onNoAnswer(address, BootClock::now());
     reportEvents(lock);
 }
 
@@ -70,10 +71,10 @@
     return targets;
 }
 
-void SharedMembership::makeDue(TimePoint now)
+void SharedMembership::scheduleHeartbeatsNow(TimePoint now)
 {
     const std::lock_guard lock(mutex_);
-    membership_.makeDue(now);
+    membership_.scheduleHeartbeatsNow(now);
 }
 
 TimePoint SharedMembership::nextDeadline() const
@@ -112,12 +113,12 @@
     return membership_.member(instance);
 }
 
-void SharedMembership::exchanged(std::size_t bodyBytes)
+void SharedMembership::onExchanged(std::size_t bodyBytes)
 {
     const std::lock_guard lock(mutex_);
     const double bytes = static_cast<double>(bodyBytes) + ExchangeOverheadBytes;
     exchangeBytes_ =
-        exchangeBytes_ == 0 ? bytes : exchangeBytes_ + Newest * (bytes - exchangeBytes_);
+        exchangeBytes_ == 0 ? bytes : exchangeBytes_ + NewestWeight * (bytes - exchangeBytes_);
     membership_.setExchangeBytes(exchangeBytes_);
 }
 
--- a/libs/peers/src/sharedmembership.h
+++ b/libs/peers/src/sharedmembership.h
@@ -14,17 +14,19 @@
 class SharedMembership
 {
 public:
-    /** onHeard may be empty. It is called without the lock, on the thread that calls heard(). */
-    SharedMembership(MembershipSettings settings, PeerEvents &events, DigestListener onHeard);
+    /** onFreshHeartbeat may be empty. It is called without the lock, on the thread that calls
+     * onHeartbeat(). */
+    SharedMembership(MembershipSettings settings, PeerEvents &events,
+                     DigestListener onFreshHeartbeat);
 
     const PeerIdentity &self() const noexcept { return self_; }
 
     void seed(const std::vector<PeerAddress> &addresses);
-    HeardVerdict heard(const Heartbeat &heartbeat,
-                       const std::optional<PeerAddress> &askedAt = std::nullopt);
-    void unanswered(const PeerAddress &address);
+    HeartbeatResult onHeartbeat(const Heartbeat &heartbeat,
+                                const std::optional<PeerAddress> &answeringAddress = std::nullopt);
+    void onNoAnswer(const PeerAddress &address);
     std::vector<HeartbeatTarget> advance(TimePoint now);
-    void makeDue(TimePoint now);
+    void scheduleHeartbeatsNow(TimePoint now);
     TimePoint nextDeadline() const;
     Heartbeat compose(const InstanceId &to);
     void setLeaving();
@@ -32,7 +34,7 @@
     std::vector<Member> members() const;
     std::optional<Member> member(const InstanceId &instance) const;
     /** Updates the average exchange size. bodyBytes: both bodies of one exchange, no headers. */
-    void exchanged(std::size_t bodyBytes);
+    void onExchanged(std::size_t bodyBytes);
     /** The longest heartbeat interval in use; idle timeouts must exceed it. */
     Duration longestInterval() const;
 
@@ -41,7 +43,7 @@
 
     const PeerIdentity self_;
     PeerEvents &events_;
-    const DigestListener onHeard_;
+    const DigestListener onFreshHeartbeat_;
     mutable std::mutex mutex_;
     Membership membership_;
     nlohmann::json digest_;
--- a/libs/peers/tests/exchangetest.cpp
+++ b/libs/peers/tests/exchangetest.cpp
@@ -40,15 +40,15 @@
  * Opens the gate when a test ends. Declare it after the exchanges, whose destructors wait for their
  * handlers, also when the test fails.
  */
-class OpenAtEnd
+class GateOpener
 {
 public:
-    explicit OpenAtEnd(Gate &gate)
+    explicit GateOpener(Gate &gate)
         : gate_(gate)
     { }
-    ~OpenAtEnd() { gate_.open(); }
-    OpenAtEnd(const OpenAtEnd &) = delete;
-    OpenAtEnd &operator=(const OpenAtEnd &) = delete;
+    ~GateOpener() { gate_.open(); }
+    GateOpener(const GateOpener &) = delete;
+    GateOpener &operator=(const GateOpener &) = delete;
 
 private:
     Gate &gate_;
@@ -59,7 +59,7 @@
     return {InstanceId(id), DomainId("north"), 10'000};
 }
 
-bool happened(const observe::Timeline &timeline, std::string_view name,
+bool hasEvent(const observe::Timeline &timeline, std::string_view name,
               std::string_view detail = {})
 {
     const auto events = timeline.events();
@@ -69,7 +69,7 @@
 }
 
 /** A digest source that counts its calls. */
-DigestSource counting(std::atomic<int> &count)
+DigestSource countingDigest(std::atomic<int> &count)
 {
     return [&count] { return nlohmann::json(++count); };
 }
@@ -78,7 +78,7 @@
 
 BOOST_AUTO_TEST_SUITE(Exchange)
 
-BOOST_AUTO_TEST_CASE(twoFindEachOtherFromOneSeedAndDeliverTheirDigests)
+BOOST_AUTO_TEST_CASE(twoInstancesDiscoverEachOtherFromOneSeedAndDeliverDigests)
 {
     std::atomic<bool> delivered = false;
     auto listening = builder("a");
@@ -98,7 +98,7 @@
     BOOST_TEST(eventually([&] { return delivered.load(); }));
 }
 
-BOOST_AUTO_TEST_CASE(fiveFindEachOtherFromOneSeed)
+BOOST_AUTO_TEST_CASE(fiveInstancesDiscoverEachOtherFromOneSeed)
 {
     std::vector<std::unique_ptr<PeerExchange>> all;
     all.push_back(launch(builder("0")));
@@ -118,7 +118,7 @@
 // Guards against members of another domain that are missing, or stay alive after their death:
 // those without a link are known only from gateways' reports, which may fail to spread, or may
 // keep a dead member alive by circulating.
-BOOST_AUTO_TEST_CASE(membersWithoutALinkAreKnownAndTheirDeathIsSeenAcrossDomains)
+BOOST_AUTO_TEST_CASE(membersWithoutALinkAndTheirDeathAreKnownAcrossDomains)
 {
     const Duration timeout = millis(1'000);
     std::vector<std::unique_ptr<PeerExchange>> all;
@@ -186,7 +186,7 @@
             const std::string to = thread % 2 == 0 ? "b" : "a";
             for (int index = 0; index < Requests; ++index) {
                 const int message = thread * Requests + index;
-                const auto answer = ask(from, to, "echo", message);
+                const auto answer = sendRequest(from, to, "echo", message);
                 const auto *value = std::get_if<nlohmann::json>(&answer);
                 right += value != nullptr && value->at("message") == message ? 1 : 0;
             }
@@ -198,7 +198,7 @@
     BOOST_TEST(right == Threads * Requests);
 }
 
-BOOST_AUTO_TEST_CASE(aHandlersErrorReachesTheAskerWithItsKindAndRemedy)
+BOOST_AUTO_TEST_CASE(handlerErrorReachesTheRequesterWithKindAndRemedy)
 {
     auto failing = builder("a");
     failing.handle("fails", [](const InstanceId &, const nlohmann::json &) {
@@ -210,58 +210,59 @@
     const auto first = launch(failing);
     const auto second = launch(builder("b"), {addressOf(*first)});
     BOOST_REQUIRE(eventually([&] { return seesAlive(*second, "a"); }));
-    const auto failed = ask(*second, "a", "fails", nullptr);
+    const auto failed = sendRequest(*second, "a", "fails", nullptr);
     BOOST_TEST((kindOf(failed) == ErrorKind::Trimmed));
     BOOST_TEST(std::get<Error>(failed).remedy_ == "ask for later ones");
-    BOOST_TEST((kindOf(ask(*second, "a", "throws", {})) == ErrorKind::Internal));
-    BOOST_TEST((kindOf(ask(*second, "a", "nobody", {})) == ErrorKind::NotFound));
-    BOOST_TEST((kindOf(ask(*second, "a", "Not a topic", {})) == ErrorKind::InvalidInput));
-    BOOST_TEST((kindOf(ask(*second, "x", "echo", {})) == ErrorKind::Unavailable));
+    BOOST_TEST((kindOf(sendRequest(*second, "a", "throws", {})) == ErrorKind::Internal));
+    BOOST_TEST((kindOf(sendRequest(*second, "a", "nobody", {})) == ErrorKind::NotFound));
+    BOOST_TEST((kindOf(sendRequest(*second, "a", "Not a topic", {})) == ErrorKind::InvalidInput));
+    BOOST_TEST((kindOf(sendRequest(*second, "x", "echo", {})) == ErrorKind::Unavailable));
     const std::string large(5 << 20, 'x');
-    BOOST_TEST((kindOf(ask(*second, "a", "echo", large)) == ErrorKind::InvalidInput));
+    BOOST_TEST((kindOf(sendRequest(*second, "a", "echo", large)) == ErrorKind::InvalidInput));
 }
 
 // Guards against a working instance being marked dead because slow handlers run on the thread
 // that answers heartbeats.
-BOOST_AUTO_TEST_CASE(slowHandlersDoNotHoldUpHeartbeatsAndDeadlinesAreKept)
+BOOST_AUTO_TEST_CASE(slowHandlersDoNotDelayHeartbeatsOrDeadlines)
 {
     Gate gate;
-    std::atomic<int> beats = 0;
+    std::atomic<int> digestCalls = 0;
     // The requester has the lower id, so its heartbeats use the same connection.
     auto slow = builder("b");
-    slow.digest(counting(beats)).handle("wait", [&](const InstanceId &, const nlohmann::json &) {
-        gate.wait();
-        return Result<nlohmann::json>("done");
-    });
+    slow.digest(countingDigest(digestCalls))
+        .handle("wait", [&](const InstanceId &, const nlohmann::json &) {
+            gate.wait();
+            return Result<nlohmann::json>("done");
+        });
     const auto first = launch(slow);
     observe::Timeline events = timelineOf("a");
     const auto second = launch(builder("a").timeline(events), {addressOf(*first)});
-    const OpenAtEnd opener(gate);
+    const GateOpener gateOpener(gate);
     BOOST_REQUIRE(eventually([&] { return seesAlive(*second, "b"); }));
     std::vector<std::future<std::variant<nlohmann::json, Error>>> answers;
     const auto askMany = [&](int count) {
         for (int index = 0; index < count; ++index) {
-            answers.push_back(
-                std::async(std::launch::async, [&] { return ask(*second, "b", "wait", nullptr); }));
+            answers.push_back(std::async(
+                std::launch::async, [&] { return sendRequest(*second, "b", "wait", nullptr); }));
         }
     };
     askMany(4);
     BOOST_REQUIRE(eventually([&] { return gate.waiting() == 4; }));
-    const auto late = ask(*second, "b", "echo", 1, BootClock::now() + millis(100));
+    const auto late = sendRequest(*second, "b", "echo", 1, BootClock::now() + millis(100));
     BOOST_TEST((kindOf(late) == ErrorKind::Interrupted));
     askMany(76); // In total more than MaxStreams.
     const int before = memberOf(*second, "b")->digest_.get<int>();
     BOOST_TEST(
         eventually([&] { return memberOf(*second, "b")->digest_.get<int>() > before + 20; }));
     BOOST_TEST(seesAlive(*second, "b"));
-    BOOST_TEST(!happened(events, "peer.silent"));
+    BOOST_TEST(!hasEvent(events, "peer.silent"));
     gate.open();
     for (auto &answer : answers) {
         BOOST_TEST(answer.get().index() == 0U);
     }
 }
 
-BOOST_AUTO_TEST_CASE(stoppingEndsRequestsThatHandlersWaitFor)
+BOOST_AUTO_TEST_CASE(stopFailsRequestsThatAreInFlight)
 {
     Gate gate;
     auto slow = builder("a");
@@ -271,16 +272,17 @@
     });
     const auto first = launch(slow);
     const auto second = launch(builder("b"), {addressOf(*first)});
-    const OpenAtEnd opener(gate);
+    const GateOpener gateOpener(gate);
     BOOST_REQUIRE(eventually([&] { return seesAlive(*second, "a"); }));
-    auto answer = std::async(std::launch::async, [&] { return ask(*second, "a", "wait", 1); });
+    auto answer =
+        std::async(std::launch::async, [&] { return sendRequest(*second, "a", "wait", 1); });
     BOOST_REQUIRE(eventually([&] { return gate.waiting() == 1; }));
     second->stop();
     BOOST_TEST((kindOf(answer.get()) == ErrorKind::Interrupted));
-    BOOST_TEST((kindOf(ask(*second, "a", "echo", 1)) == ErrorKind::Unavailable));
+    BOOST_TEST((kindOf(sendRequest(*second, "a", "echo", 1)) == ErrorKind::Unavailable));
 }
 
-BOOST_AUTO_TEST_CASE(anInstanceWithAnotherKeyIsRefusedAndNeverAMember)
+BOOST_AUTO_TEST_CASE(instanceWithAnotherKeyIsRejectedAndNeverAMember)
 {
     observe::Timeline firstEvents = timelineOf("a");
     observe::Timeline strangerEvents = timelineOf("x");
@@ -288,8 +290,8 @@
     const auto stranger =
         launch(builder("x").key("some other key that is long").timeline(strangerEvents),
                {addressOf(*first)});
-    BOOST_TEST(eventually([&] { return happened(firstEvents, "peer.refused", "wrong-proof"); }));
-    BOOST_TEST(eventually([&] { return happened(strangerEvents, "peer.refused-by", "remedy="); }));
+    BOOST_TEST(eventually([&] { return hasEvent(firstEvents, "peer.refused", "wrong-proof"); }));
+    BOOST_TEST(eventually([&] { return hasEvent(strangerEvents, "peer.refused-by", "remedy="); }));
     BOOST_TEST(first->members().empty());
     BOOST_TEST(stranger->members().empty());
 }
@@ -305,10 +307,10 @@
     forwarder.forwardTo(second->port());
     const auto first = launch(builder("a"), {forwarder.address()});
     BOOST_REQUIRE(eventually([&] { return seesAlive(*second, "a"); }));
-    BOOST_TEST(!happened(events, "peer.refused"));
+    BOOST_TEST(!hasEvent(events, "peer.refused"));
     RawClient replayer(second->port());
     replayer.send(forwarder.recorded());
-    BOOST_TEST(eventually([&] { return happened(events, "peer.refused", "replayed"); }));
+    BOOST_TEST(eventually([&] { return hasEvent(events, "peer.refused", "replayed"); }));
     BOOST_TEST(replayer.closedByPeer());
 }
 
@@ -318,9 +320,9 @@
 {
     Gate gate;
     Forwarder forwarder;
-    std::atomic<int> beats = 0;
+    std::atomic<int> digestCalls = 0;
     observe::Timeline events = timelineOf("a");
-    auto behind = builder("b").advertise(forwarder.address()).digest(counting(beats));
+    auto behind = builder("b").advertise(forwarder.address()).digest(countingDigest(digestCalls));
     behind.handle("wait", [&](const InstanceId &, const nlohmann::json &) {
         gate.wait();
         return Result<nlohmann::json>("done");
@@ -328,22 +330,23 @@
     const auto second = launch(behind);
     forwarder.forwardTo(second->port());
     const auto first = launch(builder("a").timeline(events), {forwarder.address()});
-    const OpenAtEnd opener(gate);
+    const GateOpener gateOpener(gate);
     BOOST_REQUIRE(eventually([&] { return seesAlive(*first, "b"); }));
-    auto answer = std::async(std::launch::async, [&] { return ask(*first, "b", "wait", nullptr); });
+    auto answer =
+        std::async(std::launch::async, [&] { return sendRequest(*first, "b", "wait", nullptr); });
     BOOST_REQUIRE(eventually([&] { return gate.waiting() == 1; }));
     forwarder.silenceOpen();
     BOOST_TEST((kindOf(answer.get()) == ErrorKind::Interrupted));
-    BOOST_TEST(happened(events, "peer.silent"));
-    BOOST_TEST(ask(*first, "b", "echo", 1).index() == 0U);
+    BOOST_TEST(hasEvent(events, "peer.silent"));
+    BOOST_TEST(sendRequest(*first, "b", "echo", 1).index() == 0U);
     const int before = memberOf(*first, "b")->digest_.get<int>();
     BOOST_TEST(eventually([&] { return memberOf(*first, "b")->digest_.get<int>() > before; }));
-    BOOST_TEST(!happened(events, "peer.suspected"));
+    BOOST_TEST(!hasEvent(events, "peer.suspected"));
 }
 
 // The same for a connection without heartbeats, because the peer starts them: heartbeats on the
 // peer's connection succeed and don't reveal that this one is silent.
-BOOST_AUTO_TEST_CASE(aSilentConnectionForRequestsOnlyIsReplacedToo)
+BOOST_AUTO_TEST_CASE(silentConnectionWithoutHeartbeatsIsReplaced)
 {
     Forwarder forwarder;
     auto behind = builder("a").advertise(forwarder.address());
@@ -351,15 +354,16 @@
     forwarder.forwardTo(second->port());
     const auto first = launch(builder("z"), {forwarder.address()});
     BOOST_REQUIRE(eventually([&] { return seesAlive(*first, "a") && seesAlive(*second, "z"); }));
-    BOOST_REQUIRE(ask(*first, "a", "echo", 1).index() == 0U);
+    BOOST_REQUIRE(sendRequest(*first, "a", "echo", 1).index() == 0U);
     forwarder.silenceOpen();
-    BOOST_TEST((kindOf(ask(*first, "a", "echo", 2, BootClock::now() + millis(100)))
+    BOOST_TEST((kindOf(sendRequest(*first, "a", "echo", 2, BootClock::now() + millis(100)))
                 == ErrorKind::Interrupted));
-    BOOST_TEST(eventually(
-        [&] { return ask(*first, "a", "echo", 3, BootClock::now() + millis(500)).index() == 0; }));
+    BOOST_TEST(eventually([&] {
+        return sendRequest(*first, "a", "echo", 3, BootClock::now() + millis(500)).index() == 0;
+    }));
 }
 
-BOOST_AUTO_TEST_CASE(aDeadMemberIsNoticedByItsHeartbeatDeadline)
+BOOST_AUTO_TEST_CASE(deadMemberIsDetectedByItsHeartbeatDeadline)
 {
     const Duration timeout = millis(300);
     const auto first = launch(builder("a").heartbeat(Interval, timeout));
@@ -368,15 +372,15 @@
     second.reset();
     BOOST_TEST(eventually([&] { return !seesAlive(*first, "b"); }));
     BOOST_TEST(memberOf(*first, "b").has_value());
-    BOOST_TEST((kindOf(ask(*first, "b", "echo", 1)) == ErrorKind::Unavailable));
+    BOOST_TEST((kindOf(sendRequest(*first, "b", "echo", 1)) == ErrorKind::Unavailable));
 }
 
-BOOST_AUTO_TEST_CASE(leavingAndNewsAreSeenAtOnceNotAtTheNextInterval)
+BOOST_AUTO_TEST_CASE(leavingAndNewDigestsAreSentImmediately)
 {
-    std::atomic<int> beats = 0;
+    std::atomic<int> digestCalls = 0;
     const auto first = launch(builder("a").heartbeat(Hour, 3 * Hour));
-    auto second =
-        launch(builder("b").heartbeat(Hour, 3 * Hour).digest(counting(beats)), {addressOf(*first)});
+    auto second = launch(builder("b").heartbeat(Hour, 3 * Hour).digest(countingDigest(digestCalls)),
+                         {addressOf(*first)});
     BOOST_REQUIRE(eventually([&] { return seesAlive(*first, "b") && seesAlive(*second, "a"); }));
     const int before = memberOf(*first, "b")->digest_.get<int>();
     second->heartbeatNow();
@@ -386,7 +390,7 @@
     BOOST_TEST(seesAlive(*first, "b"));
 }
 
-BOOST_AUTO_TEST_CASE(aMemberThatSaidItLeavesIsGoneOnceItStops)
+BOOST_AUTO_TEST_CASE(leavingMemberIsRemovedOnceItStops)
 {
     observe::Timeline events = timelineOf("a");
     const auto first = launch(builder("a").timeline(events));
@@ -396,11 +400,11 @@
     BOOST_REQUIRE(eventually([&] { return memberOf(*first, "b")->leaving_; }));
     second.reset();
     BOOST_TEST(eventually([&] { return first->members().empty(); }));
-    BOOST_TEST(eventually([&] { return happened(events, "peer.left"); }));
-    BOOST_TEST(!happened(events, "peer.suspected"));
+    BOOST_TEST(eventually([&] { return hasEvent(events, "peer.left"); }));
+    BOOST_TEST(!hasEvent(events, "peer.suspected"));
 }
 
-BOOST_AUTO_TEST_CASE(aRestartUnderTheSameIdTakesThePlaceOfTheOldOne)
+BOOST_AUTO_TEST_CASE(restartedInstanceReplacesItsOldIncarnation)
 {
     observe::Timeline events = timelineOf("a");
     const auto first = launch(builder("a").timeline(events));
@@ -413,8 +417,8 @@
     BOOST_TEST(first->members().size() == 1U);
     BOOST_TEST(memberOf(*first, "b")->address_.port_ != oldPort);
     BOOST_TEST(memberOf(*first, "b")->domain_.value() == "south");
-    BOOST_TEST(eventually([&] { return happened(events, "peer.restarted"); }));
-    BOOST_TEST(ask(*first, "b", "echo", 1).index() == 0U);
+    BOOST_TEST(eventually([&] { return hasEvent(events, "peer.restarted"); }));
+    BOOST_TEST(sendRequest(*first, "b", "echo", 1).index() == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/peers/tests/hostileinputtest.cpp
+++ b/libs/peers/tests/hostileinputtest.cpp
@@ -27,7 +27,7 @@
 }
 
 /** Randomly changes, removes, repeats or truncates parts of bytes. */
-std::string mutated(Random &random, std::string bytes)
+std::string mutate(Random &random, std::string bytes)
 {
     for (std::size_t changes = 1 + random() % 4; changes > 0 && !bytes.empty(); --changes) {
         const std::size_t at = random() % bytes.size();
@@ -75,10 +75,10 @@
 }
 
 /** A client with the shared key that can send invalid requests. */
-class ProvedClient
+class AuthenticatedClient
 {
 public:
-    explicit ProvedClient(std::uint16_t port)
+    explicit AuthenticatedClient(std::uint16_t port)
         : address_ {"127.0.0.1", port}
         , client_(port)
     {
@@ -93,7 +93,7 @@
     {
         H2Message request = requestTo(path, address_, std::move(body));
         const Audience audience {address_, incarnation_, greeting_, session_.nextStream()};
-        request.proof_ = Prover(SharedKey).requestProof(request, toString(audience));
+        request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(audience));
         greeting_ = greeting_.empty() ? request.nonce_ : greeting_;
         session_.request(std::move(request));
         std::vector<H2Event> events;
@@ -132,7 +132,7 @@
 {
     H2Session session(H2Role::Client, 1 << 20);
     H2Message request = requestTo("/peer/heartbeat", address, encodeHeartbeat(rawHeartbeat()));
-    request.proof_ = Prover(SharedKey).requestProof(request, toString(address));
+    request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(address));
     session.request(std::move(request));
     std::string bytes;
     session.takeOutput(bytes, 1 << 16);
@@ -143,7 +143,7 @@
 
 BOOST_AUTO_TEST_SUITE(HostileInput)
 
-BOOST_AUTO_TEST_CASE(sessionsSurviveAnyBytes)
+BOOST_AUTO_TEST_CASE(sessionsSurviveArbitraryBytes)
 {
     Random random(1);
     const std::string valid = validStream({"127.0.0.1", 9});
@@ -152,7 +152,7 @@
         H2Session client(H2Role::Client, 1'000);
         client.request(requestTo("/peer/echo", {"127.0.0.1", 9}, "body"));
         const std::string bytes =
-            round % 4 == 0 ? randomBytes(random, random() % 300) : mutated(random, valid);
+            round % 4 == 0 ? randomBytes(random, random() % 300) : mutate(random, valid);
         std::string output;
         server.receive(bytes);
         for (const H2Event &event : server.takeEvents()) {
@@ -161,7 +161,7 @@
             server.answer(event.stream_, answer);
         }
         server.takeOutput(output, 1 << 16);
-        client.receive(mutated(random, output));
+        client.receive(mutate(random, output));
         client.takeEvents();
     }
     H2Session server(H2Role::Server, 1'000);
@@ -169,7 +169,7 @@
     BOOST_TEST(server.takeEvents().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(heartbeatsOfAnyBytesAreReadOrRefused)
+BOOST_AUTO_TEST_CASE(arbitraryBytesAreDecodedOrRejectedAsHeartbeats)
 {
     Random random(2);
     Heartbeat heartbeat = rawHeartbeat();
@@ -178,7 +178,7 @@
     const std::string valid = encodeHeartbeat(heartbeat);
     int refused = 0;
     for (int round = 0; round < 20'000; ++round) {
-        const std::string bytes = mutated(random, valid);
+        const std::string bytes = mutate(random, valid);
         const auto decoded =
             capture([&] { return decodeHeartbeat(bytes, InstanceId("raw"), DomainId("north")); });
         refused += decoded.index() == 1 ? 1 : 0;
@@ -189,7 +189,7 @@
 
 // Guards against crashes and hangs when a scanner or a faulty program sends arbitrary bytes to the
 // peer port and they are used before they are validated.
-BOOST_AUTO_TEST_CASE(anExchangeServesOnAfterAnyBytes)
+BOOST_AUTO_TEST_CASE(exchangeKeepsServingAfterArbitraryBytes)
 {
     Random random(3);
     const auto first = launch(builder("a"));
@@ -198,16 +198,16 @@
     for (int round = 0; round < 300; ++round) {
         RawClient client(first->port());
         client.send(round % 4 == 0 ? randomBytes(random, random() % 2'000)
-                                   : mutated(random, validStream(addressOf(*first))));
+                                   : mutate(random, validStream(addressOf(*first))));
     }
-    BOOST_TEST(ask(*second, "a", "echo", 1).index() == 0U);
+    BOOST_TEST(sendRequest(*second, "a", "echo", 1).index() == 0U);
     BOOST_TEST(seesAlive(*first, "b"));
 }
 
-BOOST_AUTO_TEST_CASE(bodiesThatAreNoCborOrTooLargeAreRefusedAndTheConnectionServesOn)
+BOOST_AUTO_TEST_CASE(invalidOrTooLargeBodiesAreRejectedAndTheConnectionStaysUsable)
 {
     const auto exchange = launch(builder("a").heartbeat(millis(500), millis(30'000)));
-    ProvedClient client(exchange->port());
+    AuthenticatedClient client(exchange->port());
     BOOST_TEST(client.exchange("/peer/echo", "\xff\xff").status_ == 400);
     BOOST_TEST(client.exchange("/peer/echo", std::string(100'000, '\x81')).status_ == 400);
     BOOST_TEST(client.exchange("/peer/echo", "").status_ == 400);
@@ -223,7 +223,7 @@
     const auto exchange = launch(builder("a"));
     const PeerAddress address = addressOf(*exchange);
     H2Message request = requestTo("/peer/echo", address, encodeCbor(1));
-    request.proof_ = Prover(SharedKey).requestProof(request, toString(address));
+    request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(address));
     H2Session session(H2Role::Client, 1 << 20);
     session.request(std::move(request));
     std::string bytes;
@@ -238,7 +238,7 @@
 
 // Guards against accepting state from a program that is not an instance, but listens at the address
 // of one that was replaced: answers must be authenticated too.
-BOOST_AUTO_TEST_CASE(aServerThatDoesNotKnowTheKeyIsNoticed)
+BOOST_AUTO_TEST_CASE(serverWithoutTheKeyIsRejected)
 {
     std::uint16_t port = 0;
     const OwnedDescriptor listener = listenOn({"127.0.0.1", 0}, port);
@@ -273,14 +273,14 @@
 BOOST_AUTO_TEST_CASE(halfOpenConnectionsAreClosedByADeadline)
 {
     const auto exchange = launch(builder("a").heartbeat(Interval, millis(200)));
-    RawClient quiet(exchange->port());
-    RawClient begun(exchange->port());
-    begun.send(validStream(addressOf(*exchange)).substr(0, 40));
-    BOOST_TEST(quiet.closedByPeer());
-    BOOST_TEST(begun.closedByPeer());
+    RawClient silentClient(exchange->port());
+    RawClient partialClient(exchange->port());
+    partialClient.send(validStream(addressOf(*exchange)).substr(0, 40));
+    BOOST_TEST(silentClient.closedByPeer());
+    BOOST_TEST(partialClient.closedByPeer());
 }
 
-BOOST_AUTO_TEST_CASE(unprovedConnectionsAreBoundedAndTheOldestGivesWay)
+BOOST_AUTO_TEST_CASE(unauthenticatedConnectionsAreLimitedAndTheOldestIsClosed)
 {
     const Duration hour = std::chrono::hours(1);
     const auto exchange = launch(builder("a").heartbeat(hour, 3 * hour));
@@ -292,7 +292,7 @@
     }
     BOOST_TEST(clients.front()->closedByPeer());
     // A client with the key is still accepted.
-    ProvedClient proved(exchange->port());
+    AuthenticatedClient proved(exchange->port());
     BOOST_TEST(proved.exchange("/peer/echo", encodeCbor(1)).status_ == StatusOk);
 }
 
--- a/libs/peers/tests/membershiptest.cpp
+++ b/libs/peers/tests/membershiptest.cpp
@@ -11,7 +11,7 @@
 
 constexpr Duration Second = std::chrono::seconds(1);
 constexpr Duration TestTimeout = 3 * Second;
-constexpr Duration TestForget = 60 * Second;
+constexpr Duration TestRetention = 60 * Second;
 const TimePoint Start = TimePoint(std::chrono::hours(1));
 
 PeerIdentity identity(const std::string &id, const std::string &domain = "north",
@@ -22,7 +22,7 @@
 
 Membership membershipOf(const std::string &id, double budget = 0)
 {
-    return Membership({identity(id, "north", 999), Second, TestTimeout, TestForget, budget});
+    return Membership({identity(id, "north", 999), Second, TestTimeout, TestRetention, budget});
 }
 
 Heartbeat heartbeatFrom(const PeerIdentity &sender, std::uint64_t sequence = 1)
@@ -45,7 +45,7 @@
     return kinds;
 }
 
-bool isOnly(Membership &membership, MemberEventKind kind)
+bool hasOnlyEvent(Membership &membership, MemberEventKind kind)
 {
     return kindsOf(membership.takeEvents()) == std::vector {kind};
 }
@@ -90,33 +90,33 @@
 {
     Membership membership = membershipOf("a");
     membership.onHeartbeat(heartbeatFrom(identity("b")), Start);
-    BOOST_TEST(isOnly(membership, MemberEventKind::Joined));
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::Joined));
     membership.advance(Start + TestTimeout - Duration(1));
     BOOST_TEST(membership.members().at(0).alive_);
     membership.advance(Start + TestTimeout);
-    BOOST_TEST(isOnly(membership, MemberEventKind::Suspected));
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::Suspected));
     BOOST_TEST(!membership.members().at(0).alive_);
     membership.onHeartbeat(heartbeatFrom(identity("b"), 2), Start + TestTimeout);
-    BOOST_TEST(isOnly(membership, MemberEventKind::Back));
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::Back));
     membership.advance(Start + 3 * TestTimeout);
     membership.takeEvents();
-    membership.advance(Start + 3 * TestTimeout + TestForget);
-    BOOST_TEST(isOnly(membership, MemberEventKind::Dropped));
+    membership.advance(Start + 3 * TestTimeout + TestRetention);
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::Dropped));
     BOOST_TEST(membership.members().empty());
 }
 
-BOOST_AUTO_TEST_CASE(theLowerIdStartsTheExchangeAndTheHigherOnlyWhenItDoesNot)
+BOOST_AUTO_TEST_CASE(lowerIdStartsTheExchangeAndHigherIdOnlyAsFallback)
 {
     Membership lower = membershipOf("a");
     Membership higher = membershipOf("c");
-    lower.heard(heartbeatFrom(identity("b")), Start);
-    higher.heard(heartbeatFrom(identity("b")), Start);
+    lower.onHeartbeat(heartbeatFrom(identity("b")), Start);
+    higher.onHeartbeat(heartbeatFrom(identity("b")), Start);
     BOOST_TEST(lower.advance(Start + Second).size() == 1U);
     BOOST_TEST(higher.advance(Start + Second).empty());
     BOOST_TEST(higher.advance(Start + Second + Second / 2).size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(seedsAreTriedAFewAtATimeAndLessOftenWhenTheyFail)
+BOOST_AUTO_TEST_CASE(seedProbesAreLimitedAndBackOffOnFailure)
 {
     Membership membership = membershipOf("a");
     std::vector<PeerAddress> addresses;
@@ -128,7 +128,7 @@
     BOOST_TEST(membership.advance(Start).size() == 3U);
     BOOST_TEST(membership.advance(Start).empty());
     for (std::uint16_t port = 1; port <= 3; ++port) {
-        membership.unanswered({"127.0.0.1", port}, Start);
+        membership.onNoAnswer({"127.0.0.1", port}, Start);
     }
     const auto second = membership.advance(Start + Second);
     BOOST_REQUIRE(second.size() == 2U);
@@ -136,7 +136,7 @@
     BOOST_TEST(membership.advance(Start + 2 * Second).size() == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(aSeedThatAnsweredIsNotTriedWhileItsMemberLives)
+BOOST_AUTO_TEST_CASE(answeredSeedIsNotProbedWhileItsMemberIsAlive)
 {
     Membership membership = membershipOf("a");
     membership.seed({{"127.0.0.1", 7}}, Start);
@@ -159,12 +159,12 @@
     member.leaving_ = true;
     membership.onHeartbeat(heartbeatFrom(member, 3), Start);
     member.leaving_ = false;
-    BOOST_TEST((membership.onHeartbeat(heartbeatFrom(member, 2), Start) == HeardVerdict::Late));
+    BOOST_TEST((membership.onHeartbeat(heartbeatFrom(member, 2), Start) == HeartbeatResult::Stale));
     BOOST_TEST(membership.members().at(0).leaving_);
     BOOST_TEST(membership.members().at(0).digest_ == 3);
     membership.takeEvents();
-    membership.unanswered(member.address_, Start + Second);
-    BOOST_TEST(isOnly(membership, MemberEventKind::Left));
+    membership.onNoAnswer(member.address_, Start + Second);
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::Left));
 }
 
 // Guards against an id that alternates between two processes: one is paused, another one starts
@@ -175,27 +175,27 @@
     membership.onHeartbeat(heartbeatFrom(identity("b", "north", 1, 10), 50), Start);
     membership.takeEvents();
     membership.onHeartbeat(heartbeatFrom(identity("b", "north", 2, 20), 1), Start + Second);
-    BOOST_TEST(isOnly(membership, MemberEventKind::Restarted));
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::Restarted));
     BOOST_TEST(membership.members().at(0).address_.port_ == 2);
     const Heartbeat old = heartbeatFrom(identity("b", "north", 1, 10), 51);
-    BOOST_TEST((membership.onHeartbeat(old, Start + Second) == HeardVerdict::OldIncarnation));
+    BOOST_TEST((membership.onHeartbeat(old, Start + Second) == HeartbeatResult::OldIncarnation));
     // Once the newer one is dead, a wrong wall clock must not block the id permanently.
     membership.advance(Start + 2 * TestTimeout);
-    BOOST_TEST((membership.onHeartbeat(old, Start + 2 * TestTimeout) == HeardVerdict::Fresh));
+    BOOST_TEST((membership.onHeartbeat(old, Start + 2 * TestTimeout) == HeartbeatResult::Fresh));
 }
 
-BOOST_AUTO_TEST_CASE(anotherProcessUnderTheOwnIdIsReported)
+BOOST_AUTO_TEST_CASE(duplicateOwnIdIsReported)
 {
     Membership membership = membershipOf("a");
     BOOST_TEST((membership.onHeartbeat(heartbeatFrom(identity("a", "north", 5, 99)), Start)
-                == HeardVerdict::Self));
-    BOOST_TEST(isOnly(membership, MemberEventKind::DuplicateId));
+                == HeartbeatResult::Self));
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::DuplicateId));
     BOOST_TEST(membership.members().empty());
 }
 
 // Guards against requests reaching the wrong instance when a replaced instance's address is reused
 // by one with a new id, so that two members have the same address.
-BOOST_AUTO_TEST_CASE(whoAnswersAtAnAddressHasIt)
+BOOST_AUTO_TEST_CASE(instanceThatAnswersAtAnAddressOwnsIt)
 {
     Membership membership = membershipOf("a");
     membership.onHeartbeat(heartbeatFrom(identity("b", "north", 7)), Start);
@@ -207,23 +207,23 @@
     membership.takeEvents();
     membership.onHeartbeat(heartbeatFrom(identity("c", "north", 7), 2), Start,
                            PeerAddress {"127.0.0.1", 7});
-    BOOST_TEST(isOnly(membership, MemberEventKind::AddressTaken));
+    BOOST_TEST(hasOnlyEvent(membership, MemberEventKind::AddressTaken));
     BOOST_REQUIRE(membership.members().size() == 1U);
     BOOST_TEST(membership.members().at(0).instance_.value() == "c");
 }
 
-BOOST_AUTO_TEST_CASE(aDomainIsLinkedWholeAndOthersByAFewGateways)
+BOOST_AUTO_TEST_CASE(ownDomainIsFullyLinkedAndOthersThroughGateways)
 {
     Membership membership = membershipOf("a");
     fill(membership, "north", 36, Start);
     fill(membership, "south", 37, Start);
-    std::size_t near = 0;
-    std::size_t far = 0;
+    std::size_t ownDomain = 0;
+    std::size_t crossDomain = 0;
     for (const HeartbeatTarget &target : membership.advance(Start + 2 * Second)) {
-        (target.instance_.value().rfind("north", 0) == 0 ? near : far) += 1;
+        (target.instance_.value().rfind("north", 0) == 0 ? ownDomain : crossDomain) += 1;
     }
-    BOOST_TEST(near == 36U);
-    BOOST_TEST(far == GatewaysPerDomain);
+    BOOST_TEST(ownDomain == 36U);
+    BOOST_TEST(crossDomain == GatewaysPerDomain);
 }
 
 BOOST_AUTO_TEST_CASE(gatewaysAreSpreadOverADomain)
@@ -246,7 +246,7 @@
 
 // Guards against marking most of a healthy remote domain dead: only a few of its members have a
 // link, and the others' liveness comes from those members' reports instead of own heartbeats.
-BOOST_AUTO_TEST_CASE(membersWithoutALinkLiveOnTheWordOfTheirDomain)
+BOOST_AUTO_TEST_CASE(membersWithoutALinkStayAliveByReportsOfTheirDomain)
 {
     Membership membership = membershipOf("a");
     std::set<InstanceId> asked;
@@ -269,7 +269,7 @@
 
 // Guards against losing contact with another domain: if its gateways are unreachable from here but
 // reported alive by their domain, those reports must not prevent choosing other gateways.
-BOOST_AUTO_TEST_CASE(aGatewayThatDoesNotAnswerGivesWayToTheNext)
+BOOST_AUTO_TEST_CASE(unresponsiveGatewayIsReplaced)
 {
     Membership membership = membershipOf("a");
     std::set<InstanceId> asked;
@@ -284,7 +284,7 @@
     BOOST_TEST(asked.size() > GatewaysPerDomain);
 }
 
-BOOST_AUTO_TEST_CASE(othersWordIsWorthNothingForTheOwnDomain)
+BOOST_AUTO_TEST_CASE(indirectReportsAreIgnoredForTheOwnDomain)
 {
     Membership membership = membershipOf("z");
     membership.onHeartbeat(listing("north", 3, 1), Start);
@@ -292,27 +292,27 @@
     BOOST_TEST(membership.advance(Start).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(membersAreListedOnlyToThoseWhoSeeOthers)
+BOOST_AUTO_TEST_CASE(membersAreListedOnlyToPeersWithDifferentHashes)
 {
     Membership one = membershipOf("a");
-    Membership two({identity("b", "north", 2), Second, TestTimeout, TestForget, 0});
+    Membership two({identity("b", "north", 2), Second, TestTimeout, TestRetention, 0});
     const auto exchange = [&](TimePoint now) {
-        two.heard(one.compose(InstanceId("b"), nullptr), now);
+        two.onHeartbeat(one.compose(InstanceId("b"), nullptr), now);
         const Heartbeat answer = two.compose(InstanceId("a"), nullptr);
-        one.heard(answer, now);
+        one.onHeartbeat(answer, now);
         return answer.members_.size();
     };
-    two.heard(heartbeatFrom(identity("c", "north", 3)), Start);
-    two.heard(heartbeatFrom(identity("d", "south", 4)), Start);
+    two.onHeartbeat(heartbeatFrom(identity("c", "north", 3)), Start);
+    two.onHeartbeat(heartbeatFrom(identity("d", "south", 4)), Start);
     BOOST_TEST(exchange(Start) == 3U);
     // Once "a" has direct heartbeats from "c" and "d", both sides' hashes match.
-    one.heard(heartbeatFrom(identity("c", "north", 3)), Start);
-    one.heard(heartbeatFrom(identity("d", "south", 4)), Start);
+    one.onHeartbeat(heartbeatFrom(identity("c", "north", 3)), Start);
+    one.onHeartbeat(heartbeatFrom(identity("d", "south", 4)), Start);
     BOOST_TEST(exchange(Start) == 0U);
     BOOST_TEST(one.compose(InstanceId("b"), nullptr).members_.empty());
 }
 
-BOOST_AUTO_TEST_CASE(intervalsStretchToKeepTheBudgetAndTheOthersAreTold)
+BOOST_AUTO_TEST_CASE(intervalsStretchToTheBudgetAndAreAnnounced)
 {
     Membership membership = membershipOf("a", 1'000);
     fill(membership, "north", 36, Start);
@@ -327,10 +327,10 @@
     membership.setExchangeBytes(500);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("north"))) == 18'250);
     BOOST_TEST(toMillis(membership.intervalTo(DomainId("south"))) == 4 * 18'250);
-    const Heartbeat told = membership.compose(InstanceId("south0"), nullptr);
-    BOOST_TEST(told.nextWithinMillis_ == 4 * 18'250 * 3 / 2);
-    Membership receiver({identity("south0", "south"), Second, TestTimeout, TestForget, 0});
-    receiver.heard(told, Start);
+    const Heartbeat sent = membership.compose(InstanceId("south0"), nullptr);
+    BOOST_TEST(sent.nextWithinMillis_ == 4 * 18'250 * 3 / 2);
+    Membership receiver({identity("south0", "south"), Second, TestTimeout, TestRetention, 0});
+    receiver.onHeartbeat(sent, Start);
     receiver.advance(Start + 100 * Second);
     BOOST_TEST(receiver.members().at(0).alive_);
     // Three of the sender's 73-second intervals.
--- a/libs/peers/tests/prooftest.cpp
+++ b/libs/peers/tests/prooftest.cpp
@@ -38,12 +38,13 @@
 
 BOOST_AUTO_TEST_CASE(aProofCoversEveryFieldAndTheKey)
 {
-    const Prover prover("sixteen characters");
+    const MessageAuthenticator prover("sixteen characters");
     const std::string proof = prover.requestProof(sample(), "here");
     BOOST_TEST(proof.size() == 64U);
-    BOOST_TEST(Prover::same(proof, prover.requestProof(sample(), "here")));
+    BOOST_TEST(
+        MessageAuthenticator::equalConstantTime(proof, prover.requestProof(sample(), "here")));
     BOOST_TEST(proof != prover.requestProof(sample(), "there"));
-    BOOST_TEST(proof != Prover("another key of 16").requestProof(sample(), "here"));
+    BOOST_TEST(proof != MessageAuthenticator("another key of 16").requestProof(sample(), "here"));
     for (auto field :
          {&H2Message::method_, &H2Message::path_, &H2Message::instance_, &H2Message::domain_,
           &H2Message::time_, &H2Message::clock_, &H2Message::nonce_, &H2Message::body_}) {
@@ -57,9 +58,9 @@
     BOOST_TEST(proof != prover.requestProof(moved, "here"));
 }
 
-BOOST_AUTO_TEST_CASE(anAnswersProofFitsItsOwnRequestOnly)
+BOOST_AUTO_TEST_CASE(answerProofIsValidOnlyForItsRequest)
 {
-    const Prover prover("sixteen characters");
+    const MessageAuthenticator prover("sixteen characters");
     H2Message answer = sample();
     answer.status_ = 200;
     const std::string proof = prover.answerProof(answer, "nonce");
@@ -68,7 +69,7 @@
     BOOST_TEST(proof != prover.answerProof(answer, "nonce"));
 }
 
-BOOST_AUTO_TEST_CASE(aNonceIsGoodOnceUntilItsMessageIsOutOfTime)
+BOOST_AUTO_TEST_CASE(nonceIsAcceptedOnceUntilItsMessageExpires)
 {
     const TimePoint now(std::chrono::hours(1));
     ReplayWindow window(2);
@@ -84,7 +85,7 @@
 
 // Guards against a message taking effect twice or at the wrong instance when an attacker on the
 // network replays it later, elsewhere or after a restart. The proof must cover the destination.
-BOOST_AUTO_TEST_CASE(aRequestIsGoodForOneStreamOfOneConnectionToOneIncarnation)
+BOOST_AUTO_TEST_CASE(requestIsValidForOneStreamOfOneConnectionToOneIncarnation)
 {
     ExchangeSettings settings;
     settings.instance_ = InstanceId("a");
@@ -110,24 +111,24 @@
         (credentials.checkRequest(greeting, address, now) == AuthenticationResult::Replayed));
 }
 
-BOOST_AUTO_TEST_CASE(timesFarOffOrMalformedAreOutOfTime)
+BOOST_AUTO_TEST_CASE(skewedOrMalformedTimesAreRejected)
 {
-    BOOST_TEST(inTime("1000000", 1'030'000));
-    BOOST_TEST(inTime("1000000", 970'000));
+    BOOST_TEST(isWithinClockSkew("1000000", 1'030'000));
+    BOOST_TEST(isWithinClockSkew("1000000", 970'000));
     for (const char *time :
          {"969999", "1030001", "", "x", "1000000x", "-1000000", "99999999999999999999"}) {
-        BOOST_TEST(!inTime(time, 1'000'000));
+        BOOST_TEST(!isWithinClockSkew(time, 1'000'000));
     }
 }
 
-BOOST_AUTO_TEST_CASE(aHeartbeatComesBackAsItWas)
+BOOST_AUTO_TEST_CASE(heartbeatSurvivesEncodingAndDecoding)
 {
     Heartbeat sent;
     const PeerAddress address {"127.0.0.1", 7};
     sent.sender_ = {InstanceId("a"), DomainId("north"), address, 12, true};
     sent.sequence_ = 3;
     sent.nextWithinMillis_ = 750;
-    sent.ownView_ = ~0ULL;
+    sent.ownDomainHash_ = ~0ULL;
     sent.members_.push_back({InstanceId("b"), DomainId("south"), address, 4, false});
     sent.digest_ = {{"revision", 9}};
     const Heartbeat got =
@@ -136,7 +137,7 @@
     BOOST_TEST(got.sender_.leaving_);
     BOOST_TEST(got.sequence_ == 3U);
     BOOST_TEST(got.nextWithinMillis_ == 750);
-    BOOST_TEST(got.ownView_ == ~0ULL);
+    BOOST_TEST(got.ownDomainHash_ == ~0ULL);
     BOOST_TEST(got.members_.at(0).instance_.value() == "b");
     BOOST_TEST((got.members_.at(0).address_ == address));
     BOOST_TEST(got.digest_ == sent.digest_);
--- a/libs/peers/tests/testpeers.h
+++ b/libs/peers/tests/testpeers.h
@@ -86,10 +86,9 @@
     return std::get<Error>(outcome).kind_;
 }
 
-inline std::variant<nlohmann::json, Error> ask(PeerExchange &exchange, const std::string &to,
-                                               const std::string &topic,
-                                               const nlohmann::json &message,
-                                               TimePoint deadline = soon())
+inline std::variant<nlohmann::json, Error>
+sendRequest(PeerExchange &exchange, const std::string &to, const std::string &topic,
+            const nlohmann::json &message, TimePoint deadline = soon())
 {
     return capture([&] { return exchange.request(InstanceId(to), topic, message, deadline); });
 }
