--- a/libs/peers/src/credentials.cpp
+++ b/libs/peers/src/credentials.cpp
@@ -8,7 +8,7 @@
 {
     std::string text = toString(audience.address_);
     if (audience.incarnation_ != 0) {
-        text += '#' + std::to_string(audience.incarnation_) + '#' + audience.greeting_ + '#'
+        text += '#' + std::to_string(audience.incarnation_) + '#' + audience.handshakeNonce_ + '#'
                 + std::to_string(audience.stream_);
     }
     return text;
@@ -63,14 +63,14 @@
     if (!isWithinClockSkew(request.time_, wallMillis())) {
         return AuthenticationResult::ClockSkewTooLarge;
     }
-    const bool greeting = audience.incarnation_ == 0;
-    const AuthenticationResult verdict =
-        greeting ? replayWindow_.admit(request.instance_, request.nonce_, now)
-                 : AuthenticationResult::Valid;
-    if (verdict == AuthenticationResult::Valid) {
-        events_.witness(request.clock_);
+    const bool isHandshake = audience.incarnation_ == 0;
+    const AuthenticationResult result =
+        isHandshake ? replayWindow_.admit(request.instance_, request.nonce_, now)
+                    : AuthenticationResult::Valid;
+    if (result == AuthenticationResult::Valid) {
+        events_.advanceClock(request.clock_);
     }
-    return verdict;
+    return result;
 }
 
 bool Credentials::checkAnswer(const H2Message &answer, const std::string &requestNonce)
@@ -80,7 +80,7 @@
             answer.proof_, authenticator_.answerProof(answer, requestNonce))) {
         return false;
     }
-    events_.witness(answer.clock_);
+    events_.advanceClock(answer.clock_);
     return true;
 }
 
--- a/libs/peers/src/eventloop.cpp
+++ b/libs/peers/src/eventloop.cpp
@@ -87,7 +87,7 @@
     ::epoll_ctl(poll_.value(), EPOLL_CTL_ADD, descriptor, &event);
 }
 
-void EventLoop::rewatch(int descriptor, std::uint64_t token, bool wantsWrite)
+void EventLoop::updateWatch(int descriptor, std::uint64_t token, bool wantsWrite)
 {
     epoll_event event = eventFor(token, wantsWrite);
     ::epoll_ctl(poll_.value(), EPOLL_CTL_MOD, descriptor, &event);
--- a/libs/peers/src/eventloop.h
+++ b/libs/peers/src/eventloop.h
@@ -51,7 +51,7 @@
 
     /** These must be called on the loop's thread or before start(). */
     void watch(int descriptor, std::uint64_t token, bool wantsWrite);
-    void rewatch(int descriptor, std::uint64_t token, bool wantsWrite);
+    void updateWatch(int descriptor, std::uint64_t token, bool wantsWrite);
     void unwatch(int descriptor);
 
 private:
--- a/libs/peers/src/h2session.cpp
+++ b/libs/peers/src/h2session.cpp
@@ -25,7 +25,7 @@
     H2Message incoming_;
     std::size_t headerBytes_ = 0;
     std::string outgoing_;
-    std::size_t outgoingAt_ = 0;
+    std::size_t outgoingOffset_ = 0;
 };
 
 } // namespace
@@ -44,13 +44,13 @@
     State(const State &) = delete;
     State &operator=(const State &) = delete;
 
-    bool begin();
-    void open();
+    bool initialize();
+    void submitSettings();
     void removeStream(std::int32_t stream, std::uint32_t errorCode);
     bool appendBody(std::int32_t stream, std::string_view bytes);
     void finishMessage(std::int32_t stream);
 
-    static State &of(void *user) { return *static_cast<State *>(user); }
+    static State &fromUserData(void *user) { return *static_cast<State *>(user); }
     static nghttp2_session_callbacks *makeCallbacks();
     static int onHeader(nghttp2_session *session, const nghttp2_frame *frame,
                         const std::uint8_t *name, std::size_t nameSize, const std::uint8_t *value,
@@ -84,7 +84,7 @@
     return callbacks;
 }
 
-bool H2Session::State::begin()
+bool H2Session::State::initialize()
 {
     nghttp2_session_callbacks *const callbacks = makeCallbacks();
     nghttp2_option *option = nullptr;
@@ -100,12 +100,12 @@
     nghttp2_option_del(option);
     nghttp2_session_callbacks_del(callbacks);
     if (error == 0) {
-        open();
+        submitSettings();
     }
     return error == 0;
 }
 
-void H2Session::State::open()
+void H2Session::State::submitSettings()
 {
     const std::array<nghttp2_settings_entry, 4> settings {{
         {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, MaxStreams},
@@ -122,7 +122,7 @@
 int H2Session::State::onBeginHeaders(nghttp2_session * /*session*/, const nghttp2_frame *frame,
                                      void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     if (state.role_ == H2Role::Server && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
         state.streams_[frame->hd.stream_id];
     }
@@ -134,7 +134,7 @@
                                const std::uint8_t *value, std::size_t valueSize,
                                std::uint8_t /*flags*/, void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     const auto found = state.streams_.find(frame->hd.stream_id);
     if (found == state.streams_.end()) {
         return 0;
@@ -163,7 +163,7 @@
 int H2Session::State::onData(nghttp2_session *session, std::uint8_t /*flags*/, std::int32_t stream,
                              const std::uint8_t *bytes, std::size_t size, void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     if (!state.appendBody(stream, viewOf(bytes, size))) {
         state.events_.push_back({H2EventKind::TooLarge, stream});
         state.removeStream(stream, NGHTTP2_CANCEL);
@@ -188,7 +188,7 @@
 {
     const bool carriesMessage = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
     if (carriesMessage && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0) {
-        of(user).finishMessage(frame->hd.stream_id);
+        fromUserData(user).finishMessage(frame->hd.stream_id);
     }
     return 0;
 }
@@ -197,8 +197,8 @@
                                      int /*error*/, void *user)
 {
     // The request was never sent; without this its stream would get no Closed event.
-    if (frame->hd.type == NGHTTP2_HEADERS && of(user).role_ == H2Role::Client) {
-        of(user).removeStream(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
+    if (frame->hd.type == NGHTTP2_HEADERS && fromUserData(user).role_ == H2Role::Client) {
+        fromUserData(user).removeStream(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
     }
     return 0;
 }
@@ -206,7 +206,7 @@
 int H2Session::State::onStreamClosed(nghttp2_session * /*session*/, std::int32_t stream,
                                      std::uint32_t errorCode, void *user)
 {
-    of(user).removeStream(stream, errorCode);
+    fromUserData(user).removeStream(stream, errorCode);
     return 0;
 }
 
@@ -227,16 +227,17 @@
                                    std::uint8_t *buffer, std::size_t size, std::uint32_t *flags,
                                    nghttp2_data_source * /*source*/, void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     const auto found = state.streams_.find(stream);
     if (found == state.streams_.end()) {
         return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     }
-    Stream &open = found->second;
-    const std::size_t count = std::min(size, open.outgoing_.size() - open.outgoingAt_);
-    open.outgoing_.copy(reinterpret_cast<char *>(buffer), count, open.outgoingAt_);
-    open.outgoingAt_ += count;
-    if (open.outgoingAt_ == open.outgoing_.size()) {
+    Stream &openStream = found->second;
+    const std::size_t count =
+        std::min(size, openStream.outgoing_.size() - openStream.outgoingOffset_);
+    openStream.outgoing_.copy(reinterpret_cast<char *>(buffer), count, openStream.outgoingOffset_);
+    openStream.outgoingOffset_ += count;
+    if (openStream.outgoingOffset_ == openStream.outgoing_.size()) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
     }
     return static_cast<ssize_t>(count);
@@ -254,7 +255,7 @@
 {
     state_->role_ = role;
     state_->bodyLimit_ = bodyLimit;
-    if (!state_->begin()) {
+    if (!state_->initialize()) {
         throw std::bad_alloc();
     }
 }
--- a/libs/peers/src/inbound.cpp
+++ b/libs/peers/src/inbound.cpp
@@ -25,13 +25,13 @@
 
 } // namespace
 
-Inbound::Inbound(ExchangeParts parts, OwnedDescriptor listener)
-    : parts_(parts)
+Inbound::Inbound(ExchangeContext context, OwnedDescriptor listener)
+    : context_(context)
     , listener_(std::move(listener))
-    , listenerToken_(++parts_.lastToken_)
+    , listenerToken_(++context_.lastToken_)
     , workers_(HandlerQueue)
 {
-    parts_.loop_.watch(listener_.value(), listenerToken_, false);
+    context_.loop_.watch(listener_.value(), listenerToken_, false);
 }
 
 void Inbound::startWorkers()
@@ -58,8 +58,8 @@
     const bool open = !readiness.readable_ || client.connection_.receive(BootClock::now());
     for (H2Event &event : client.connection_.session().takeEvents()) {
         if (event.kind_ == H2EventKind::TooLarge) {
-            parts_.events_.reportRefusal("peer.refused", toString(client.remote_),
-                                         "reason=body-too-large");
+            context_.events_.reportRefusal("peer.refused", toString(client.remote_),
+                                           "reason=body-too-large");
         } else if (event.kind_ == H2EventKind::Message) {
             processRequest(client, event.stream_, event.message_);
         }
@@ -76,7 +76,7 @@
 {
     for (int count = 0; count < MaxAcceptsInRow; ++count) {
         PeerAddress remote;
-        OwnedDescriptor socket = acceptFrom(listener_.value(), parts_.settings_.timeout_, remote);
+        OwnedDescriptor socket = acceptFrom(listener_.value(), context_.settings_.timeout_, remote);
         if (socket.valid()) {
             addClient(std::move(socket), remote);
             continue;
@@ -86,7 +86,7 @@
             logEvent(
                 LogLevel::Error, "peer.accept-failed",
                 {{"reason", std::strerror(errno)}, {"remedy", "raise the limit of open files"}});
-            parts_.loop_.unwatch(listener_.value());
+            context_.loop_.unwatch(listener_.value());
             listening_ = false;
             acceptResumeTime_ = BootClock::now() + AcceptPause;
         }
@@ -97,17 +97,17 @@
 void Inbound::addClient(OwnedDescriptor socket, const PeerAddress &remote)
 {
     if (clients_.size() >= MaxInbound) {
-        parts_.events_.reportRefusal("peer.refused", toString(remote),
-                                     "reason=too-many-connections");
+        context_.events_.reportRefusal("peer.refused", toString(remote),
+                                       "reason=too-many-connections");
         return;
     }
     evictUnauthenticated();
     const TimePoint now = BootClock::now();
-    const std::uint64_t token = ++parts_.lastToken_;
+    const std::uint64_t token = ++context_.lastToken_;
     Client client {token, remote,
                    Connection(std::move(socket), H2Role::Server, MaxUnauthenticatedBytes, now)};
-    client.deadline_ = now + parts_.settings_.timeout_;
-    parts_.loop_.watch(client.connection_.socket(), token, false);
+    client.deadline_ = now + context_.settings_.timeout_;
+    context_.loop_.watch(client.connection_.socket(), token, false);
     clients_.emplace(token, std::move(client));
     flush(token);
 }
@@ -124,8 +124,8 @@
         }
     }
     if (unauthenticated >= MaxUnauthenticated) {
-        parts_.events_.reportRefusal("peer.refused", toString(oldest->remote_),
-                                     "reason=too-many-unproved");
+        context_.events_.reportRefusal("peer.refused", toString(oldest->remote_),
+                                       "reason=too-many-unproved");
         close(oldest->token_);
     }
 }
@@ -134,7 +134,7 @@
 {
     const auto found = clients_.find(token);
     if (found != clients_.end()) {
-        parts_.loop_.unwatch(found->second.connection_.socket());
+        context_.loop_.unwatch(found->second.connection_.socket());
         clients_.erase(found);
     }
 }
@@ -167,7 +167,7 @@
     const bool wantsWrite = client.connection_.hasOutput();
     if (wantsWrite != client.watchesWrite_) {
         client.watchesWrite_ = wantsWrite;
-        parts_.loop_.rewatch(client.connection_.socket(), token, wantsWrite);
+        context_.loop_.updateWatch(client.connection_.socket(), token, wantsWrite);
     }
     scanDeadline_ = std::min(scanDeadline_, deadlineOf(client));
 }
@@ -194,17 +194,17 @@
 
 bool Inbound::authenticate(Client &client, std::int32_t stream, const H2Message &request)
 {
-    const PeerIdentity &self = parts_.membership_.self();
-    const bool greeting = client.instance_.empty();
-    const Audience audience {self.address_, greeting ? 0 : self.incarnation_, client.greeting_,
-                             stream};
-    const AuthenticationResult verdict =
-        parts_.credentials_.checkRequest(request, audience, BootClock::now());
-    if (verdict != AuthenticationResult::Valid) {
-        refuse(client, stream, request, nameOf(AuthenticationResultNames, verdict));
+    const PeerIdentity &self = context_.membership_.self();
+    const bool isHandshake = client.instance_.empty();
+    const Audience audience {self.address_, isHandshake ? 0 : self.incarnation_,
+                             client.handshakeNonce_, stream};
+    const AuthenticationResult result =
+        context_.credentials_.checkRequest(request, audience, BootClock::now());
+    if (result != AuthenticationResult::Valid) {
+        refuse(client, stream, request, nameOf(AuthenticationResultNames, result));
         return false;
     }
-    if (!greeting && request.instance_ != client.instance_.value()) {
+    if (!isHandshake && request.instance_ != client.instance_.value()) {
         refuse(client, stream, request, "another instance on the same connection");
         return false;
     }
@@ -215,9 +215,9 @@
 void Inbound::refuse(Client &client, std::int32_t stream, const H2Message &request,
                      std::string_view reason)
 {
-    parts_.events_.reportRefusal("peer.refused", toString(client.remote_),
-                                 "reason=" + quoteLogValue(reason)
-                                     + " claims=" + quoteLogValue(request.instance_.substr(0, 64)));
+    context_.events_.reportRefusal("peer.refused", toString(client.remote_),
+                                   "reason=" + quoteLogValue(reason) + " claims="
+                                       + quoteLogValue(request.instance_.substr(0, 64)));
     Error error = RejectedPeer;
     error.message_ = "rejected as a peer: " + std::string(reason);
     H2Message answer;
@@ -240,16 +240,16 @@
         return;
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
-    const PeerIdentity &self = parts_.membership_.self();
-    const HeartbeatResult verdict = parts_.membership_.onHeartbeat(heartbeat);
-    const bool accepted = verdict == HeartbeatResult::Fresh || verdict == HeartbeatResult::Stale;
+    const PeerIdentity &self = context_.membership_.self();
+    const HeartbeatResult result = context_.membership_.onHeartbeat(heartbeat);
+    const bool accepted = result == HeartbeatResult::Fresh || result == HeartbeatResult::Stale;
     // A heartbeat from this instance to itself, through an address that it does not know as its
-    // own, is answered, so that its sender side learns this.
+    // own, is answered, so that its outgoing link learns this.
     const bool fromSelf =
-        verdict == HeartbeatResult::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
+        result == HeartbeatResult::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
     if (!accepted && !fromSelf) {
-        const std::string reason(nameOf(HeartbeatResultNames, verdict));
-        parts_.events_.reportRefusal("peer.refused", from.value(), "reason=" + reason);
+        const std::string reason(nameOf(HeartbeatResultNames, result));
+        context_.events_.reportRefusal("peer.refused", from.value(), "reason=" + reason);
         answerError(client, stream, request.nonce_,
                     {ErrorKind::Conflict, "not accepted as a member: " + reason,
                      "run one process for each instance id"});
@@ -257,12 +257,12 @@
     }
     if (client.instance_.empty()) {
         client.instance_ = from;
-        client.greeting_ = request.nonce_;
+        client.handshakeNonce_ = request.nonce_;
         client.connection_.session().setBodyLimit(MaxBodyBytes);
         closeOlderConnections(client);
     }
-    std::string body = encodeHeartbeat(parts_.membership_.compose(from));
-    parts_.membership_.onExchanged(request.body_.size() + body.size());
+    std::string body = encodeHeartbeat(context_.membership_.compose(from));
+    context_.membership_.onExchanged(request.body_.size() + body.size());
     answer(client, stream, request.nonce_, StatusOk, std::move(body));
 }
 
@@ -271,7 +271,7 @@
     const auto refuseWith = [&](const Error &error) {
         answerError(client, stream, request.nonce_, error);
     };
-    const auto &handlers = parts_.settings_.handlers_;
+    const auto &handlers = context_.settings_.handlers_;
     const auto handler = handlers.find(request.path_.substr(PathPrefix.size()));
     if (handler == handlers.end()) {
         refuseWith({ErrorKind::NotFound, "no handler for " + request.path_,
@@ -306,7 +306,7 @@
         status = statusOf(tooLarge.kind_);
         body = encodeError(tooLarge);
     }
-    parts_.loop_.post([this, job = std::move(job), status, body = std::move(body)]() mutable {
+    context_.loop_.post([this, job = std::move(job), status, body = std::move(body)]() mutable {
         const auto client = clients_.find(job.token_);
         if (client != clients_.end()) {
             answer(client->second, job.stream_, job.nonce_, status, std::move(body));
@@ -319,7 +319,7 @@
                      std::string body)
 {
     client.connection_.session().answer(
-        stream, parts_.credentials_.signAnswer(status, nonce, std::move(body)));
+        stream, context_.credentials_.signAnswer(status, nonce, std::move(body)));
 }
 
 void Inbound::answerError(Client &client, std::int32_t stream, const std::string &nonce,
@@ -332,12 +332,12 @@
 {
     TimePoint deadline = client.deadline_;
     if (!client.instance_.empty()) {
-        const Duration longest = IdleIntervals * parts_.membership_.longestInterval();
+        const Duration longest = IdleIntervals * context_.membership_.longestInterval();
         deadline = client.connection_.lastReceived() + std::max(IdleTimeout, longest);
     }
     if (client.connection_.hasOutput()) {
         deadline =
-            std::min(deadline, client.connection_.stalledSince() + parts_.settings_.timeout_);
+            std::min(deadline, client.connection_.stalledSince() + context_.settings_.timeout_);
     }
     return deadline;
 }
@@ -346,7 +346,7 @@
 {
     if (!listening_ && acceptResumeTime_ <= now) {
         listening_ = true;
-        parts_.loop_.watch(listener_.value(), listenerToken_, false);
+        context_.loop_.watch(listener_.value(), listenerToken_, false);
     }
     if (now >= scanDeadline_) {
         closeOverdue(now);
--- a/libs/peers/src/inbound.h
+++ b/libs/peers/src/inbound.h
@@ -14,14 +14,13 @@
 class Inbound
 {
 public:
-    Inbound(ExchangeParts parts, OwnedDescriptor listener);
+    Inbound(ExchangeContext context, OwnedDescriptor listener);
 
     void startWorkers();
     /** Waits for running handlers. Must not be called from a handler or the I/O thread. */
     void stopWorkers();
 
-    /** Handles readiness. False if token belongs to neither an incoming connection nor the
-     * listener. */
+    /** Handles socket readiness. False if token is neither the listener nor a connection here. */
     bool ready(std::uint64_t token, Readiness readiness);
     TimePoint advance(TimePoint now);
     void closeAll();
@@ -32,9 +31,9 @@
         std::uint64_t token_ = 0;
         PeerAddress remote_;
         Connection connection_;
-        InstanceId instance_ {};  ///< Empty until a heartbeat is authenticated.
-        std::string greeting_ {}; ///< The nonce of that heartbeat.
-        bool closing_ = false;    ///< Rejected; closed after the answer is sent.
+        InstanceId instance_ {};        ///< Empty until a heartbeat is authenticated.
+        std::string handshakeNonce_ {}; ///< The nonce of that heartbeat.
+        bool closing_ = false;          ///< Rejected; closed after the answer is sent.
         bool watchesWrite_ = false;
         TimePoint deadline_ {};
     };
@@ -70,7 +69,7 @@
     TimePoint deadlineOf(const Client &client) const;
     void closeOverdue(TimePoint now);
 
-    ExchangeParts parts_;
+    ExchangeContext context_;
     OwnedDescriptor listener_;
     std::uint64_t listenerToken_ = 0;
     bool listening_ = true;
--- a/libs/peers/src/linkanswers.cpp
+++ b/libs/peers/src/linkanswers.cpp
@@ -40,7 +40,7 @@
 
 bool Links::processAnswer(Link &link, const PendingRequest &pending, const H2Message &answer)
 {
-    if (!parts_.credentials_.checkAnswer(answer, pending.nonce_)) {
+    if (!context_.credentials_.checkAnswer(answer, pending.nonce_)) {
         // A peer that rejects an unauthenticated request answers without a proof.
         const bool unauthenticated = answer.proof_.empty() && answer.status_ == StatusUnauthorized;
         const Error error =
@@ -78,11 +78,11 @@
         return false;
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
-    const HeartbeatResult verdict = parts_.membership_.onHeartbeat(heartbeat, link.address_);
-    parts_.membership_.onExchanged(pending.bodyBytes_ + answer.body_.size());
-    if (verdict != HeartbeatResult::Fresh && verdict != HeartbeatResult::Stale) {
+    const HeartbeatResult result = context_.membership_.onHeartbeat(heartbeat, link.address_);
+    context_.membership_.onExchanged(pending.bodyBytes_ + answer.body_.size());
+    if (result != HeartbeatResult::Fresh && result != HeartbeatResult::Stale) {
         close(link.token_, "the instance there was not accepted as a member: "
-                               + std::string(nameOf(HeartbeatResultNames, verdict)));
+                               + std::string(nameOf(HeartbeatResultNames, result)));
         return false;
     }
     onHeartbeatAnswer(link, heartbeat.sender_);
--- a/libs/peers/src/linkdeadlines.cpp
+++ b/libs/peers/src/linkdeadlines.cpp
@@ -53,7 +53,7 @@
             return true;
         }
         close(token, "no answer from " + toString(address));
-        parts_.membership_.onNoAnswer(address);
+        context_.membership_.onNoAnswer(address);
         return false;
     }
     const bool silent = std::any_of(
@@ -85,7 +85,7 @@
         const PendingRequest &pending = entry->second;
         const bool nothingReceived = link.connection_.lastReceived() < pending.sentAt_;
         const bool expired = pending.call_ != 0 && pending.deadline_ <= now;
-        const bool overdue = pending.sentAt_ + parts_.settings_.interval_ <= now;
+        const bool overdue = pending.sentAt_ + context_.settings_.interval_ <= now;
         maybeSilent =
             maybeSilent || (pending.call_ != 0 && nothingReceived && (expired || overdue));
         if (!expired) {
@@ -110,7 +110,7 @@
         next = std::min(next, pending.deadline_);
         const bool nothingReceived = link.connection_.lastReceived() < pending.sentAt_;
         if (pending.call_ != 0 && nothingReceived && !heartbeatPending) {
-            next = std::min(next, pending.sentAt_ + parts_.settings_.interval_);
+            next = std::min(next, pending.sentAt_ + context_.settings_.interval_);
         }
     }
     return next;
@@ -118,7 +118,7 @@
 
 TimePoint Links::idleDeadline(const Link &link) const
 {
-    const Duration longest = IdleIntervals * parts_.membership_.longestInterval();
+    const Duration longest = IdleIntervals * context_.membership_.longestInterval();
     return link.connection_.lastReceived() + std::max(IdleTimeout, longest);
 }
 
--- a/libs/peers/src/links.cpp
+++ b/libs/peers/src/links.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-Links::Links(ExchangeParts parts, PendingCalls &calls)
-    : parts_(parts)
+Links::Links(ExchangeContext context, PendingCalls &calls)
+    : context_(context)
     , calls_(calls)
 { }
 
@@ -33,13 +33,13 @@
 Links::Link *Links::open(const PeerAddress &address, const InstanceId &instance)
 {
     const TimePoint now = BootClock::now();
-    OwnedDescriptor socket = connectTo(address, parts_.settings_.timeout_);
+    OwnedDescriptor socket = connectTo(address, context_.settings_.timeout_);
     if (!socket.valid()) {
-        parts_.membership_.onNoAnswer(address);
+        context_.membership_.onNoAnswer(address);
         return nullptr;
     }
-    const std::uint64_t token = ++parts_.lastToken_;
-    parts_.loop_.watch(socket.value(), token, true);
+    const std::uint64_t token = ++context_.lastToken_;
+    context_.loop_.watch(socket.value(), token, true);
     Link link {token,
                address,
                instance,
@@ -47,14 +47,14 @@
                {},
                LinkState::Connecting,
                Connection(std::move(socket), H2Role::Client, MaxBodyBytes, now)};
-    link.openDeadline_ = now + parts_.settings_.answerTimeout();
+    link.openDeadline_ = now + context_.settings_.answerTimeout();
     byAddress_[toString(address)] = token;
     scanDeadline_ = std::min(scanDeadline_, link.openDeadline_);
     return &links_.emplace(token, std::move(link)).first->second;
 }
 
 /** Closes a link and fails all its calls. */
-void Links::close(std::uint64_t token, const std::string &why)
+void Links::close(std::uint64_t token, const std::string &reason)
 {
     const auto found = links_.find(token);
     if (found == links_.end()) {
@@ -63,14 +63,14 @@
     Link link = std::move(found->second);
     links_.erase(found);
     byAddress_.erase(toString(link.address_));
-    parts_.loop_.unwatch(link.connection_.socket());
+    context_.loop_.unwatch(link.connection_.socket());
     for (const auto &[stream, pending] : link.pendingRequests_) {
         if (pending.call_ != 0) {
-            calls_.failCall(pending.call_, why);
+            calls_.failCall(pending.call_, reason);
         }
     }
     for (const OutgoingCall &call : link.queue_) {
-        calls_.failCall(call.id_, why);
+        calls_.failCall(call.id_, reason);
     }
 }
 
@@ -82,14 +82,14 @@
         return;
     }
     const PeerAddress address = found->second.address_;
-    parts_.events_.reportRefusal("peer.refused-by", toString(address),
-                                 "reason=" + quoteLogValue(error.message_)
-                                     + " remedy=" + quoteLogValue(error.remedy_));
+    context_.events_.reportRefusal("peer.refused-by", toString(address),
+                                   "reason=" + quoteLogValue(error.message_)
+                                       + " remedy=" + quoteLogValue(error.remedy_));
     for (const OutgoingCall &call : std::exchange(found->second.queue_, {})) {
         calls_.finish(call.id_, error);
     }
     close(token, error.message_);
-    parts_.membership_.onNoAnswer(address);
+    context_.membership_.onNoAnswer(address);
 }
 
 /**
@@ -103,9 +103,9 @@
     const Link &link = links_.at(token);
     const PeerAddress address = link.address_;
     const InstanceId instance = link.instance_;
-    parts_.events_.report("peer.silent", instance.value(),
-                          "address=" + toString(address) + " cut_requests="
-                              + std::to_string(link.pendingRequests_.size() - 1));
+    context_.events_.report("peer.silent", instance.value(),
+                            "address=" + toString(address) + " cut_requests="
+                                + std::to_string(link.pendingRequests_.size() - 1));
     close(token, "the connection went silent");
     open(address, instance);
 }
@@ -151,24 +151,24 @@
 H2Message Links::makeRequest(const Link &link, std::string path, std::string body)
 {
     const std::int32_t stream = link.connection_.session().nextStream();
-    const Audience audience {link.address_, link.incarnation_, link.greeting_, stream};
-    return parts_.credentials_.signRequest(std::move(path), audience, std::move(body));
+    const Audience audience {link.address_, link.incarnation_, link.handshakeNonce_, stream};
+    return context_.credentials_.signRequest(std::move(path), audience, std::move(body));
 }
 
 void Links::sendHeartbeat(Link &link)
 {
-    std::string body = encodeHeartbeat(parts_.membership_.compose(link.instance_));
+    std::string body = encodeHeartbeat(context_.membership_.compose(link.instance_));
     const std::size_t bytes = body.size();
     H2Message message = makeRequest(link, HeartbeatPath, std::move(body));
     std::string nonce = message.nonce_;
-    if (link.greeting_.empty()) {
-        link.greeting_ = nonce;
+    if (link.handshakeNonce_.empty()) {
+        link.handshakeNonce_ = nonce;
     }
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     const TimePoint now = BootClock::now();
     // Stream 0 means that the session takes no more; the entry's deadline then closes the link.
     link.pendingRequests_[stream] = {0, std::move(nonce), bytes, now,
-                                     now + parts_.settings_.answerTimeout()};
+                                     now + context_.settings_.answerTimeout()};
 }
 
 /** Sends queued calls up to MaxCallsInFlight. */
@@ -215,7 +215,7 @@
         if (link.connection_.socketError() != 0) {
             const PeerAddress address = link.address_;
             close(token, "no connection to " + toString(address));
-            parts_.membership_.onNoAnswer(address);
+            context_.membership_.onNoAnswer(address);
             return true;
         }
         onConnected(link);
@@ -227,7 +227,7 @@
     if (!open) {
         const PeerAddress address = link.address_;
         close(token, "the peer closed the connection");
-        parts_.membership_.onNoAnswer(address);
+        context_.membership_.onNoAnswer(address);
         return true;
     }
     if (link.state_ == LinkState::Open) {
@@ -239,18 +239,18 @@
 
 void Links::onConnected(Link &link)
 {
-    link.state_ = LinkState::Greeting;
+    link.state_ = LinkState::Handshake;
     sendHeartbeat(link);
 }
 
-void Links::onHeartbeatAnswer(Link &link, const PeerIdentity &who)
+void Links::onHeartbeatAnswer(Link &link, const PeerIdentity &identity)
 {
-    link.instance_ = who.instance_;
+    link.instance_ = identity.instance_;
     if (link.state_ == LinkState::Open) {
         return;
     }
     link.state_ = LinkState::Open;
-    link.incarnation_ = who.incarnation_;
+    link.incarnation_ = identity.incarnation_;
     if (std::exchange(link.heartbeatQueued_, false)) {
         sendHeartbeat(link);
     }
@@ -267,13 +267,13 @@
     if (!link.connection_.flush(BootClock::now())) {
         const PeerAddress address = link.address_;
         close(token, "the connection broke");
-        parts_.membership_.onNoAnswer(address);
+        context_.membership_.onNoAnswer(address);
         return;
     }
     const bool wantsWrite = link.connection_.hasOutput();
     if (wantsWrite != link.watchesWrite_) {
         link.watchesWrite_ = wantsWrite;
-        parts_.loop_.rewatch(link.connection_.socket(), token, wantsWrite);
+        context_.loop_.updateWatch(link.connection_.socket(), token, wantsWrite);
     }
     scanDeadline_ = std::min(scanDeadline_, nextDeadline(link));
 }
--- a/libs/peers/src/links.h
+++ b/libs/peers/src/links.h
@@ -32,7 +32,7 @@
 };
 
 /** Objects shared by outgoing and incoming connections. */
-struct ExchangeParts
+struct ExchangeContext
 {
     const ExchangeSettings &settings_;
     EventLoop &loop_;
@@ -45,7 +45,7 @@
 class Links
 {
 public:
-    Links(ExchangeParts parts, PendingCalls &calls);
+    Links(ExchangeContext context, PendingCalls &calls);
 
     /**
      * Sends a heartbeat, connecting first if needed. urgent: sends it even if another is in
@@ -61,7 +61,7 @@
 private:
     enum class LinkState {
         Connecting,
-        Greeting, ///< The first heartbeat is in flight.
+        Handshake, ///< The first heartbeat is in flight.
         Open,
     };
 
@@ -81,7 +81,7 @@
         PeerAddress address_;
         InstanceId instance_; ///< Expected instance; once open, the one that answered.
         std::uint64_t incarnation_ = 0;
-        std::string greeting_ {}; ///< The nonce of the first request.
+        std::string handshakeNonce_ {}; ///< The nonce of the first request.
         LinkState state_ = LinkState::Connecting;
         Connection connection_;
         bool watchesWrite_ = true;
@@ -93,11 +93,11 @@
 
     Link *find(const PeerAddress &address);
     Link *open(const PeerAddress &address, const InstanceId &instance);
-    void close(std::uint64_t token, const std::string &why);
+    void close(std::uint64_t token, const std::string &reason);
     void onRefused(std::uint64_t token, const Error &error);
     void reconnect(std::uint64_t token);
     void onConnected(Link &link);
-    void onHeartbeatAnswer(Link &link, const PeerIdentity &who);
+    void onHeartbeatAnswer(Link &link, const PeerIdentity &identity);
     void sendHeartbeat(Link &link);
     void sendCall(Link &link, OutgoingCall call);
     void sendQueued(Link &link);
@@ -115,7 +115,7 @@
     TimePoint earliestDeadline() const;
     static bool heartbeatInFlight(const Link &link) noexcept;
 
-    ExchangeParts parts_;
+    ExchangeContext context_;
     PendingCalls &calls_;
     std::unordered_map<std::uint64_t, Link> links_;
     std::unordered_map<std::string, std::uint64_t> byAddress_;
--- a/libs/peers/src/membershipviews.cpp
+++ b/libs/peers/src/membershipviews.cpp
@@ -62,10 +62,10 @@
         restart(record, identity);
     }
     // Only instances of its own domain have a direct link to every member of it.
-    const bool reportIsDirect =
+    const bool senderHasDirectLink =
         identity.domain_ == from.sender_.domain_ && identity.domain_ != settings_.self_.domain_;
-    const bool judgedByOwnLink = record.directOnly_ || record.linked_;
-    if (reportIsDirect && !judgedByOwnLink) {
+    const bool requiresDirectHeartbeat = record.directOnly_ || record.linked_;
+    if (senderHasDirectLink && !requiresDirectHeartbeat) {
         changed_ = changed_ || identity.leaving_ != record.member_.leaving_;
         record.member_.leaving_ = record.member_.leaving_ || identity.leaving_;
         revive(record, now + IndirectTimeouts * timeoutFor(from.nextWithinMillis_));
--- a/libs/peers/src/peerevents.cpp
+++ b/libs/peers/src/peerevents.cpp
@@ -58,7 +58,7 @@
     return std::to_string(now.wallMillis_) + "." + std::to_string(now.counter_);
 }
 
-void PeerEvents::witness(std::string_view clock)
+void PeerEvents::advanceClock(std::string_view clock)
 {
     const std::size_t point = clock.find('.');
     if (timeline_ == nullptr || point == std::string_view::npos) {
--- a/libs/peers/src/peerevents.h
+++ b/libs/peers/src/peerevents.h
@@ -31,7 +31,7 @@
     /** Hybrid time for the next message: "millis.counter". Empty without a timeline. */
     std::string clock();
     /** Advances the hybrid clock past that of an authenticated message. */
-    void witness(std::string_view clock);
+    void advanceClock(std::string_view clock);
 
 private:
     observe::Timeline *const timeline_;
--- a/libs/peers/src/peerexchange.cpp
+++ b/libs/peers/src/peerexchange.cpp
@@ -38,8 +38,8 @@
     }
     for (const auto &[topic, handler] : settings.handlers_) {
         if (!isTopic(topic) || topic == "heartbeat") {
-            return refuse("a handler has a topic that is reserved or not a word",
-                          "use lower case letters, digits and hyphens; heartbeat is taken");
+            return refuse("a handler's topic is reserved or invalid",
+                          "use lower case letters, digits and hyphens; \"heartbeat\" is reserved");
         }
     }
     return {};
@@ -120,8 +120,8 @@
                                              const nlohmann::json &message, TimePoint deadline)
 {
     if (!isTopic(topic) || topic == "heartbeat") {
-        return fail(ErrorKind::InvalidInput, "not a topic: '" + topic + "'",
-                    "use lower case letters, digits and hyphens; heartbeat is taken");
+        return fail(ErrorKind::InvalidInput, "invalid topic: '" + topic + "'",
+                    "use lower case letters, digits and hyphens; \"heartbeat\" is reserved");
     }
     if (!state_->core_) {
         return fail(ErrorKind::Unavailable, "the exchange was not started", "start it first");
--- a/libs/peers/src/pendingcalls.cpp
+++ b/libs/peers/src/pendingcalls.cpp
@@ -3,13 +3,13 @@
 namespace almondridge::peers {
 namespace {
 
-Error noAnswerError(bool sent, const std::string &why)
+Error noAnswerError(bool sent, const std::string &reason)
 {
     if (sent) {
-        return {ErrorKind::Interrupted, "the peer may have received the request: " + why,
+        return {ErrorKind::Interrupted, "the peer may have received the request: " + reason,
                 "check its effect before sending it again"};
     }
-    return {ErrorKind::Unavailable, "the request was not sent: " + why,
+    return {ErrorKind::Unavailable, "the request was not sent: " + reason,
             "try again, or send it to another instance"};
 }
 
@@ -53,7 +53,7 @@
     shard.finished_.notify_all();
 }
 
-void PendingCalls::failCall(CallId id, const std::string &why)
+void PendingCalls::failCall(CallId id, const std::string &reason)
 {
     Shard &shard = shardOf(id);
     {
@@ -62,7 +62,7 @@
         if (call == shard.calls_.end() || call->second.outcome_) {
             return;
         }
-        call->second.outcome_ = noAnswerError(call->second.sent_, why);
+        call->second.outcome_ = noAnswerError(call->second.sent_, reason);
     }
     shard.finished_.notify_all();
 }
--- a/libs/peers/src/pendingcalls.h
+++ b/libs/peers/src/pendingcalls.h
@@ -32,7 +32,7 @@
     /** Sets the outcome. Ignored if the caller no longer waits. */
     void finish(CallId id, CallOutcome outcome);
     /** Fails the call: Interrupted if it was marked as sent, Unavailable if not. */
-    void failCall(CallId id, const std::string &why);
+    void failCall(CallId id, const std::string &reason);
 
     /** Waits for the outcome until deadline, then fails the call. */
     CallOutcome wait(CallId id, TimePoint deadline);
--- a/libs/peers/src/sharedmembership.cpp
+++ b/libs/peers/src/sharedmembership.cpp
@@ -44,16 +44,16 @@
                                               const std::optional<PeerAddress> &answeringAddress)
 {
     std::unique_lock lock(mutex_);
-    const HeartbeatResult verdict =
+    const HeartbeatResult result =
         membership_.onHeartbeat(heartbeat, BootClock::now(), answeringAddress);
-    const std::optional<Member> member = onFreshHeartbeat_ && verdict == HeartbeatResult::Fresh
+    const std::optional<Member> member = onFreshHeartbeat_ && result == HeartbeatResult::Fresh
                                              ? membership_.member(heartbeat.sender_.instance_)
                                              : std::nullopt;
     reportEvents(lock);
     if (member) {
         onFreshHeartbeat_(*member);
     }
-    return verdict;
+    return result;
 }
 
 void SharedMembership::onNoAnswer(const PeerAddress &address)
--- a/libs/peers/tests/exchangetest.cpp
+++ b/libs/peers/tests/exchangetest.cpp
@@ -322,12 +322,12 @@
     Forwarder forwarder;
     std::atomic<int> digestCalls = 0;
     observe::Timeline events = timelineOf("a");
-    auto behind = builder("b").advertise(forwarder.address()).digest(countingDigest(digestCalls));
-    behind.handle("wait", [&](const InstanceId &, const nlohmann::json &) {
+    auto options = builder("b").advertise(forwarder.address()).digest(countingDigest(digestCalls));
+    options.handle("wait", [&](const InstanceId &, const nlohmann::json &) {
         gate.wait();
         return Result<nlohmann::json>("done");
     });
-    const auto second = launch(behind);
+    const auto second = launch(options);
     forwarder.forwardTo(second->port());
     const auto first = launch(builder("a").timeline(events), {forwarder.address()});
     const GateOpener gateOpener(gate);
@@ -349,8 +349,8 @@
 BOOST_AUTO_TEST_CASE(silentConnectionWithoutHeartbeatsIsReplaced)
 {
     Forwarder forwarder;
-    auto behind = builder("a").advertise(forwarder.address());
-    const auto second = launch(behind);
+    auto options = builder("a").advertise(forwarder.address());
+    const auto second = launch(options);
     forwarder.forwardTo(second->port());
     const auto first = launch(builder("z"), {forwarder.address()});
     BOOST_REQUIRE(eventually([&] { return seesAlive(*first, "a") && seesAlive(*second, "z"); }));
--- a/libs/peers/tests/hostileinputtest.cpp
+++ b/libs/peers/tests/hostileinputtest.cpp
@@ -92,9 +92,9 @@
     H2Message exchange(const std::string &path, std::string body)
     {
         H2Message request = requestTo(path, address_, std::move(body));
-        const Audience audience {address_, incarnation_, greeting_, session_.nextStream()};
+        const Audience audience {address_, incarnation_, handshakeNonce_, session_.nextStream()};
         request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(audience));
-        greeting_ = greeting_.empty() ? request.nonce_ : greeting_;
+        handshakeNonce_ = handshakeNonce_.empty() ? request.nonce_ : handshakeNonce_;
         session_.request(std::move(request));
         std::vector<H2Event> events;
         std::size_t taken = 0;
@@ -124,7 +124,7 @@
     RawClient client_;
     H2Session session_ {H2Role::Client, 1 << 20};
     std::uint64_t incarnation_ = 0;
-    std::string greeting_;
+    std::string handshakeNonce_;
 };
 
 /** The bytes of a client that sends an authenticated heartbeat on a new connection. */
@@ -292,8 +292,8 @@
     }
     BOOST_TEST(clients.front()->closedByPeer());
     // A client with the key is still accepted.
-    AuthenticatedClient proved(exchange->port());
-    BOOST_TEST(proved.exchange("/peer/echo", encodeCbor(1)).status_ == StatusOk);
+    AuthenticatedClient peer(exchange->port());
+    BOOST_TEST(peer.exchange("/peer/echo", encodeCbor(1)).status_ == StatusOk);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/peers/tests/prooftest.cpp
+++ b/libs/peers/tests/prooftest.cpp
@@ -92,23 +92,23 @@
     settings.key_ = "sixteen characters";
     PeerEvents events(nullptr);
     Credentials credentials(settings, events);
-    const Audience meant {{"127.0.0.1", 7}, 5, "greeting", 3};
-    const H2Message request = credentials.signRequest("/peer/echo", meant, "body");
-    const auto verdictFor = [&](const Audience &audience) {
+    const Audience destination {{"127.0.0.1", 7}, 5, "greeting", 3};
+    const H2Message request = credentials.signRequest("/peer/echo", destination, "body");
+    const auto resultFor = [&](const Audience &audience) {
         return credentials.checkRequest(request, audience, BootClock::now());
     };
-    BOOST_TEST((verdictFor(meant) == AuthenticationResult::Valid));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 8}, 5, "greeting", 3}) == AuthenticationResult::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 6, "greeting", 3}) == AuthenticationResult::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 5, "another", 3}) == AuthenticationResult::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 5, "greeting", 5}) == AuthenticationResult::Wrong));
-    BOOST_TEST((verdictFor({{"127.0.0.1", 7}, 0, {}, 0}) == AuthenticationResult::Wrong));
+    BOOST_TEST((resultFor(destination) == AuthenticationResult::Valid));
+    BOOST_TEST((resultFor({{"127.0.0.1", 8}, 5, "greeting", 3}) == AuthenticationResult::Wrong));
+    BOOST_TEST((resultFor({{"127.0.0.1", 7}, 6, "greeting", 3}) == AuthenticationResult::Wrong));
+    BOOST_TEST((resultFor({{"127.0.0.1", 7}, 5, "another", 3}) == AuthenticationResult::Wrong));
+    BOOST_TEST((resultFor({{"127.0.0.1", 7}, 5, "greeting", 5}) == AuthenticationResult::Wrong));
+    BOOST_TEST((resultFor({{"127.0.0.1", 7}, 0, {}, 0}) == AuthenticationResult::Wrong));
     const Audience address {{"127.0.0.1", 7}, 0, {}, 1};
-    const H2Message greeting = credentials.signRequest("/peer/heartbeat", address, "body");
+    const H2Message handshake = credentials.signRequest("/peer/heartbeat", address, "body");
     const TimePoint now = BootClock::now();
-    BOOST_TEST((credentials.checkRequest(greeting, address, now) == AuthenticationResult::Valid));
+    BOOST_TEST((credentials.checkRequest(handshake, address, now) == AuthenticationResult::Valid));
     BOOST_TEST(
-        (credentials.checkRequest(greeting, address, now) == AuthenticationResult::Replayed));
+        (credentials.checkRequest(handshake, address, now) == AuthenticationResult::Replayed));
 }
 
 BOOST_AUTO_TEST_CASE(skewedOrMalformedTimesAreRejected)
