--- a/libs/peers/src/credentials.cpp
+++ b/libs/peers/src/credentials.cpp
@@ -8,7 +8,7 @@
 {
     std::string text = toString(audience.address_);
     if (audience.incarnation_ != 0) {
-        text += '#' + std::to_string(audience.incarnation_) + '#' + audience.greeting_ + '#'
+        text += '#' + std::to_string(audience.incarnation_) + '#' + audience.handshakeNonce_ + '#'
                 + std::to_string(audience.stream_);
     }
     return text;
@@ -17,11 +17,11 @@
 Credentials::Credentials(const ExchangeSettings &settings, PeerEvents &events)
     : instance_(settings.instance_)
     , domain_(settings.domain_)
-    , prover_(settings.key_)
+    , authenticator_(settings.key_)
     , events_(events)
 { }
 
-void Credentials::sign(H2Message &message)
+void Credentials::addSenderFields(H2Message &message)
 {
     message.instance_ = instance_.value();
     message.domain_ = domain_.value();
@@ -29,7 +29,7 @@
     message.clock_ = events_.clock();
 }
 
-H2Message Credentials::sealRequest(std::string path, const Audience &audience, std::string body)
+H2Message Credentials::signRequest(std::string path, const Audience &audience, std::string body)
 {
     H2Message request;
     request.method_ = "POST";
@@ -37,44 +37,47 @@
     request.authority_ = toString(audience.address_);
     request.nonce_ = randomNonce();
     request.body_ = std::move(body);
-    sign(request);
-    request.proof_ = prover_.requestProof(request, toString(audience));
+    addSenderFields(request);
+    request.proof_ = authenticator_.requestProof(request, toString(audience));
     return request;
 }
 
-H2Message Credentials::sealAnswer(int status, const std::string &requestNonce, std::string body)
+H2Message Credentials::signAnswer(int status, const std::string &requestNonce, std::string body)
 {
     H2Message answer;
     answer.status_ = status;
     answer.body_ = std::move(body);
-    sign(answer);
-    answer.proof_ = prover_.answerProof(answer, requestNonce);
+    addSenderFields(answer);
+    answer.proof_ = authenticator_.answerProof(answer, requestNonce);
     return answer;
 }
 
-ProofVerdict Credentials::checkRequest(const H2Message &request, const Audience &audience,
-                                       TimePoint now)
+AuthenticationResult Credentials::checkRequest(const H2Message &request, const Audience &audience,
+                                               TimePoint now)
 {
     if (request.instance_.empty() || request.nonce_.empty()
-        || !Prover::same(request.proof_, prover_.requestProof(request, toString(audience)))) {
-        return ProofVerdict::Wrong;
+        || !MessageAuthenticator::equalConstantTime(
+            request.proof_, authenticator_.requestProof(request, toString(audience)))) {
+        return AuthenticationResult::Wrong;
     }
-    if (!inTime(request.time_, wallMillis())) {
-        return ProofVerdict::OutOfTime;
+    if (!isWithinClockSkew(request.time_, wallMillis())) {
+        return AuthenticationResult::ClockSkewTooLarge;
     }
-    const bool greeting = audience.incarnation_ == 0;
-    const ProofVerdict verdict =
-        greeting ? window_.admit(request.instance_, request.nonce_, now) : ProofVerdict::Valid;
-    if (verdict == ProofVerdict::Valid) {
+    const bool isHandshake = audience.incarnation_ == 0;
+    const AuthenticationResult result =
+        isHandshake ? replayWindow_.admit(request.instance_, request.nonce_, now)
+                    : AuthenticationResult::Valid;
+    if (result == AuthenticationResult::Valid) {
         events_.advanceClock(request.clock_);
     }
-    return verdict;
+    return result;
 }
 
 bool Credentials::checkAnswer(const H2Message &answer, const std::string &requestNonce)
 {
     if (answer.instance_.empty()
-        || !Prover::same(answer.proof_, prover_.answerProof(answer, requestNonce))) {
+        || !MessageAuthenticator::equalConstantTime(
+            answer.proof_, authenticator_.answerProof(answer, requestNonce))) {
         return false;
     }
     events_.advanceClock(answer.clock_);
--- a/libs/peers/src/credentials.h
+++ b/libs/peers/src/credentials.h
@@ -1,5 +1,5 @@
 /**
- * Seals the messages of this instance and checks those of others.
+ * Signs the messages of this instance and authenticates those of others.
  */
 #pragma once
 
@@ -11,45 +11,46 @@
 namespace almondridge::peers {
 
 /**
- * Whom and what a request is meant for. It is part of the proof, so that a message caught on its
- * way is worth nothing anywhere else.
+ * Destination of a request. The proof covers it, so that an intercepted message is not valid
+ * anywhere else.
  *
- * The first request on a connection, the greeting, can only name the address; its nonce is kept
- * in the replay window. Later ones name the incarnation that answered, the greeting's nonce and
- * their stream as well, and none of the three comes twice: they need no memory of nonces, which a
- * busy peer would fill, and they stay worthless after a restart, which forgets all nonces.
+ * The first request on a connection (handshake) contains only the address; its nonce is kept in
+ * the replay window. Later requests also contain the incarnation that answered, the handshake's
+ * nonce and their stream, a combination that is never reused. They need no replay window, which a
+ * busy peer would fill, and stay invalid after a restart, which clears the window.
  */
 struct Audience
 {
     PeerAddress address_;
-    std::uint64_t incarnation_ = 0; ///< 0: this is the greeting.
-    std::string greeting_ {};       ///< The nonce that the connection began with.
+    std::uint64_t incarnation_ = 0; ///< 0 for the handshake.
+    std::string handshakeNonce_ {}; ///< Nonce of the first request of the connection.
     std::int32_t stream_ = 0;
 };
 
-/** As it stands in the proof. */
+/** Text form used in the proof. */
 std::string toString(const Audience &audience);
 
-/** Used by the I/O thread. */
+/** Used by the I/O thread only. */
 class Credentials
 {
 public:
     Credentials(const ExchangeSettings &settings, PeerEvents &events);
 
-    H2Message sealRequest(std::string path, const Audience &audience, std::string body);
-    H2Message sealAnswer(int status, const std::string &requestNonce, std::string body);
+    H2Message signRequest(std::string path, const Audience &audience, std::string body);
+    H2Message signAnswer(int status, const std::string &requestNonce, std::string body);
 
-    /** Also remembers a greeting's nonce, and moves the hybrid clock on when all is well. */
-    ProofVerdict checkRequest(const H2Message &request, const Audience &audience, TimePoint now);
+    /** Checks proof, time and, for a handshake, replay. Valid messages advance the hybrid clock. */
+    AuthenticationResult checkRequest(const H2Message &request, const Audience &audience,
+                                      TimePoint now);
     bool checkAnswer(const H2Message &answer, const std::string &requestNonce);
 
 private:
-    void sign(H2Message &message);
+    void addSenderFields(H2Message &message);
 
     InstanceId instance_;
     DomainId domain_;
-    Prover prover_;
-    ReplayWindow window_ {MaxNonces};
+    MessageAuthenticator authenticator_;
+    ReplayWindow replayWindow_ {MaxNonces};
     PeerEvents &events_;
 };
 
--- a/libs/peers/src/errormessage.cpp
+++ b/libs/peers/src/errormessage.cpp
@@ -49,11 +49,12 @@
 Error decodeError(int status, std::string_view body)
 {
     const std::optional<nlohmann::json> value = decodeCbor(body);
-    const bool whole = value && value->is_array() && value->size() >= ErrorFields
-                       && (*value)[0].is_string() && (*value)[1].is_string()
-                       && (*value)[2].is_string();
-    if (!whole) {
-        return {ErrorKind::Protocol, "a peer answered with status " + std::to_string(status),
+    const bool wellFormed = value && value->is_array() && value->size() >= ErrorFields
+                            && (*value)[0].is_string() && (*value)[1].is_string()
+                            && (*value)[2].is_string();
+    if (!wellFormed) {
+        return {ErrorKind::Protocol,
+                "unreadable error from a peer with HTTP status " + std::to_string(status),
                 "run the same version of almondridge on all entry instances"};
     }
     const auto kind = valueOf(ErrorKindNames, (*value)[0].get_ref<const std::string &>());
--- a/libs/peers/src/h2session.cpp
+++ b/libs/peers/src/h2session.cpp
@@ -19,13 +19,13 @@
     return {reinterpret_cast<const char *>(bytes), size};
 }
 
-/** A stream that is open. */
+/** State of an open stream. */
 struct Stream
 {
     H2Message incoming_;
     std::size_t headerBytes_ = 0;
     std::string outgoing_;
-    std::size_t outgoingAt_ = 0;
+    std::size_t outgoingOffset_ = 0;
 };
 
 } // namespace
@@ -34,7 +34,7 @@
 {
     H2Role role_ = H2Role::Client;
     std::size_t bodyLimit_ = 0;
-    std::size_t incompleteBytes_ = 0; ///< Of all incoming bodies together.
+    std::size_t incompleteBytes_ = 0; ///< Total of all incomplete incoming bodies.
     nghttp2_session *session_ = nullptr;
     std::unordered_map<std::int32_t, Stream> streams_;
     std::vector<H2Event> events_;
@@ -44,13 +44,13 @@
     State(const State &) = delete;
     State &operator=(const State &) = delete;
 
-    bool begin();
-    void open();
-    void forget(std::int32_t stream, std::uint32_t errorCode);
-    bool takeBody(std::int32_t stream, std::string_view bytes);
+    bool initialize();
+    void submitSettings();
+    void removeStream(std::int32_t stream, std::uint32_t errorCode);
+    bool appendBody(std::int32_t stream, std::string_view bytes);
     void finishMessage(std::int32_t stream);
 
-    static State &of(void *user) { return *static_cast<State *>(user); }
+    static State &fromUserData(void *user) { return *static_cast<State *>(user); }
     static nghttp2_session_callbacks *makeCallbacks();
     static int onHeader(nghttp2_session *session, const nghttp2_frame *frame,
                         const std::uint8_t *name, std::size_t nameSize, const std::uint8_t *value,
@@ -66,7 +66,7 @@
     static ssize_t readBody(nghttp2_session *session, std::int32_t stream, std::uint8_t *buffer,
                             std::size_t size, std::uint32_t *flags, nghttp2_data_source *source,
                             void *user);
-    nghttp2_data_provider provider() noexcept;
+    nghttp2_data_provider bodyProvider() noexcept;
 };
 
 nghttp2_session_callbacks *H2Session::State::makeCallbacks()
@@ -84,7 +84,7 @@
     return callbacks;
 }
 
-bool H2Session::State::begin()
+bool H2Session::State::initialize()
 {
     nghttp2_session_callbacks *const callbacks = makeCallbacks();
     nghttp2_option *option = nullptr;
@@ -100,12 +100,12 @@
     nghttp2_option_del(option);
     nghttp2_session_callbacks_del(callbacks);
     if (error == 0) {
-        open();
+        submitSettings();
     }
     return error == 0;
 }
 
-void H2Session::State::open()
+void H2Session::State::submitSettings()
 {
     const std::array<nghttp2_settings_entry, 4> settings {{
         {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, MaxStreams},
@@ -113,7 +113,7 @@
         {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, MaxHeaderBytes},
         {NGHTTP2_SETTINGS_ENABLE_PUSH, 0},
     }};
-    // A server may not send the last one: pushing is a thing that only clients refuse.
+    // Only a client may send ENABLE_PUSH, which is the last one.
     const std::size_t count = role_ == H2Role::Client ? settings.size() : settings.size() - 1;
     nghttp2_submit_settings(session_, NGHTTP2_FLAG_NONE, settings.data(), count);
     nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0, WindowBytes);
@@ -122,7 +122,7 @@
 int H2Session::State::onBeginHeaders(nghttp2_session * /*session*/, const nghttp2_frame *frame,
                                      void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     if (state.role_ == H2Role::Server && frame->headers.cat == NGHTTP2_HCAT_REQUEST) {
         state.streams_[frame->hd.stream_id];
     }
@@ -134,14 +134,14 @@
                                const std::uint8_t *value, std::size_t valueSize,
                                std::uint8_t /*flags*/, void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     const auto found = state.streams_.find(frame->hd.stream_id);
     if (found == state.streams_.end()) {
         return 0;
     }
     Stream &stream = found->second;
     stream.headerBytes_ += nameSize + valueSize;
-    // A stream of endless headers would fill the memory before any proof can be checked.
+    // Unlimited headers would exhaust memory before the message can be authenticated.
     if (stream.headerBytes_ > MaxHeaderBytes) {
         return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     }
@@ -149,7 +149,7 @@
     return 0;
 }
 
-bool H2Session::State::takeBody(std::int32_t stream, std::string_view bytes)
+bool H2Session::State::appendBody(std::int32_t stream, std::string_view bytes)
 {
     const auto found = streams_.find(stream);
     if (found == streams_.end()) {
@@ -163,10 +163,10 @@
 int H2Session::State::onData(nghttp2_session *session, std::uint8_t /*flags*/, std::int32_t stream,
                              const std::uint8_t *bytes, std::size_t size, void *user)
 {
-    State &state = of(user);
-    if (!state.takeBody(stream, viewOf(bytes, size))) {
+    State &state = fromUserData(user);
+    if (!state.appendBody(stream, viewOf(bytes, size))) {
         state.events_.push_back({H2EventKind::TooLarge, stream});
-        state.forget(stream, NGHTTP2_CANCEL);
+        state.removeStream(stream, NGHTTP2_CANCEL);
         nghttp2_submit_rst_stream(session, NGHTTP2_FLAG_NONE, stream, NGHTTP2_CANCEL);
     }
     return 0;
@@ -188,7 +188,7 @@
 {
     const bool carriesMessage = frame->hd.type == NGHTTP2_DATA || frame->hd.type == NGHTTP2_HEADERS;
     if (carriesMessage && (frame->hd.flags & NGHTTP2_FLAG_END_STREAM) != 0) {
-        of(user).finishMessage(frame->hd.stream_id);
+        fromUserData(user).finishMessage(frame->hd.stream_id);
     }
     return 0;
 }
@@ -196,9 +196,9 @@
 int H2Session::State::onFrameNotSent(nghttp2_session * /*session*/, const nghttp2_frame *frame,
                                      int /*error*/, void *user)
 {
-    // The request never left this process; without this nobody would hear of its stream again.
-    if (frame->hd.type == NGHTTP2_HEADERS && of(user).role_ == H2Role::Client) {
-        of(user).forget(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
+    // The request was never sent; without this its stream would get no Closed event.
+    if (frame->hd.type == NGHTTP2_HEADERS && fromUserData(user).role_ == H2Role::Client) {
+        fromUserData(user).removeStream(frame->hd.stream_id, NGHTTP2_REFUSED_STREAM);
     }
     return 0;
 }
@@ -206,11 +206,11 @@
 int H2Session::State::onStreamClosed(nghttp2_session * /*session*/, std::int32_t stream,
                                      std::uint32_t errorCode, void *user)
 {
-    of(user).forget(stream, errorCode);
+    fromUserData(user).removeStream(stream, errorCode);
     return 0;
 }
 
-void H2Session::State::forget(std::int32_t stream, std::uint32_t errorCode)
+void H2Session::State::removeStream(std::int32_t stream, std::uint32_t errorCode)
 {
     const auto found = streams_.find(stream);
     if (found == streams_.end()) {
@@ -227,22 +227,23 @@
                                    std::uint8_t *buffer, std::size_t size, std::uint32_t *flags,
                                    nghttp2_data_source * /*source*/, void *user)
 {
-    State &state = of(user);
+    State &state = fromUserData(user);
     const auto found = state.streams_.find(stream);
     if (found == state.streams_.end()) {
         return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
     }
-    Stream &open = found->second;
-    const std::size_t count = std::min(size, open.outgoing_.size() - open.outgoingAt_);
-    open.outgoing_.copy(reinterpret_cast<char *>(buffer), count, open.outgoingAt_);
-    open.outgoingAt_ += count;
-    if (open.outgoingAt_ == open.outgoing_.size()) {
+    Stream &openStream = found->second;
+    const std::size_t count =
+        std::min(size, openStream.outgoing_.size() - openStream.outgoingOffset_);
+    openStream.outgoing_.copy(reinterpret_cast<char *>(buffer), count, openStream.outgoingOffset_);
+    openStream.outgoingOffset_ += count;
+    if (openStream.outgoingOffset_ == openStream.outgoing_.size()) {
         *flags |= NGHTTP2_DATA_FLAG_EOF;
     }
     return static_cast<ssize_t>(count);
 }
 
-nghttp2_data_provider H2Session::State::provider() noexcept
+nghttp2_data_provider H2Session::State::bodyProvider() noexcept
 {
     nghttp2_data_provider body {};
     body.read_callback = readBody;
@@ -254,7 +255,7 @@
 {
     state_->role_ = role;
     state_->bodyLimit_ = bodyLimit;
-    if (!state_->begin()) {
+    if (!state_->initialize()) {
         throw std::bad_alloc();
     }
 }
@@ -294,7 +295,7 @@
 std::int32_t H2Session::request(H2Message message)
 {
     const std::vector<nghttp2_nv> pairs = requestFields(message);
-    const nghttp2_data_provider body = state_->provider();
+    const nghttp2_data_provider body = state_->bodyProvider();
     const std::int32_t stream = nghttp2_submit_request(state_->session_, nullptr, pairs.data(),
                                                        pairs.size(), &body, nullptr);
     if (stream <= 0) {
@@ -313,7 +314,7 @@
     const std::string status = std::to_string(message.status_);
     const std::vector<nghttp2_nv> pairs = answerFields(message, status);
     found->second.outgoing_ = std::move(message.body_);
-    const nghttp2_data_provider body = state_->provider();
+    const nghttp2_data_provider body = state_->bodyProvider();
     return nghttp2_submit_response(state_->session_, stream, pairs.data(), pairs.size(), &body)
            == 0;
 }
--- a/libs/peers/src/inbound.cpp
+++ b/libs/peers/src/inbound.cpp
@@ -12,26 +12,26 @@
 
 constexpr std::string_view PathPrefix = "/peer/";
 constexpr std::string_view HeartbeatTopic = "heartbeat";
-/** Connections taken in one go, so that a burst of them does not hold up the others. */
-constexpr int AcceptsAtOnce = 32;
-/** Wait after the process ran out of descriptors. */
+/** Connections accepted in a row, so that a burst does not delay existing ones. */
+constexpr int MaxAcceptsInRow = 32;
+/** Pause of accepting after the process ran out of descriptors or memory. */
 constexpr Duration AcceptPause = millis(100);
-/** A proved connection without traffic is closed after this; its owner closes it earlier. */
-constexpr Duration IdleSpan = std::chrono::minutes(5);
+/** Idle timeout of authenticated connections; longer than the client's own. */
+constexpr Duration IdleTimeout = std::chrono::minutes(5);
 constexpr int IdleIntervals = 8;
 
-const Error UnknownPeer {ErrorKind::Unauthorized, "",
-                         "check peerKey, instance, peer address and clock of both instances"};
+const Error RejectedPeer {ErrorKind::Unauthorized, "",
+                          "check peerKey, instance, peer address and clock of both instances"};
 
 } // namespace
 
-Inbound::Inbound(ExchangeParts parts, OwnedDescriptor listener)
-    : parts_(parts)
+Inbound::Inbound(ExchangeContext context, OwnedDescriptor listener)
+    : context_(context)
     , listener_(std::move(listener))
-    , listenerToken_(++parts_.lastToken_)
+    , listenerToken_(++context_.lastToken_)
     , workers_(HandlerQueue)
 {
-    parts_.loop_.watch(listener_.value(), listenerToken_, false);
+    context_.loop_.watch(listener_.value(), listenerToken_, false);
 }
 
 void Inbound::startWorkers()
@@ -50,18 +50,18 @@
         accept();
         return true;
     }
-    const auto found = guests_.find(token);
-    if (found == guests_.end()) {
+    const auto found = clients_.find(token);
+    if (found == clients_.end()) {
         return false;
     }
-    Guest &guest = found->second;
-    const bool open = !readiness.readable_ || guest.connection_.receive(BootClock::now());
-    for (H2Event &event : guest.connection_.session().takeEvents()) {
+    Client &client = found->second;
+    const bool open = !readiness.readable_ || client.connection_.receive(BootClock::now());
+    for (H2Event &event : client.connection_.session().takeEvents()) {
         if (event.kind_ == H2EventKind::TooLarge) {
-            parts_.events_.reportRefusal("peer.refused", toString(guest.remote_),
-                                         "reason=body-too-large");
+            context_.events_.reportRefusal("peer.refused", toString(client.remote_),
+                                           "reason=body-too-large");
         } else if (event.kind_ == H2EventKind::Message) {
-            takeRequest(guest, event.stream_, event.message_);
+            processRequest(client, event.stream_, event.message_);
         }
     }
     if (open) {
@@ -74,76 +74,77 @@
 
 void Inbound::accept()
 {
-    for (int count = 0; count < AcceptsAtOnce; ++count) {
+    for (int count = 0; count < MaxAcceptsInRow; ++count) {
         PeerAddress remote;
-        OwnedDescriptor socket = acceptFrom(listener_.value(), parts_.settings_.timeout_, remote);
+        OwnedDescriptor socket = acceptFrom(listener_.value(), context_.settings_.timeout_, remote);
         if (socket.valid()) {
-            welcome(std::move(socket), remote);
+            addClient(std::move(socket), remote);
             continue;
         }
         if (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM) {
-            // The waiting connection keeps the listener readable, so the loop would spin on it.
-            logEvent(LogLevel::Error, "peer.accept-failed",
-                     {{"reason", std::strerror(errno)}, {"remedy", "raise the limit of files"}});
-            parts_.loop_.unwatch(listener_.value());
+            // The pending connection keeps the listener readable, so the loop would spin.
+            logEvent(
+                LogLevel::Error, "peer.accept-failed",
+                {{"reason", std::strerror(errno)}, {"remedy", "raise the limit of open files"}});
+            context_.loop_.unwatch(listener_.value());
             listening_ = false;
-            acceptAgain_ = BootClock::now() + AcceptPause;
+            acceptResumeTime_ = BootClock::now() + AcceptPause;
         }
         return;
     }
 }
 
-void Inbound::welcome(OwnedDescriptor socket, const PeerAddress &remote)
+void Inbound::addClient(OwnedDescriptor socket, const PeerAddress &remote)
 {
-    if (guests_.size() >= MaxInbound) {
-        parts_.events_.reportRefusal("peer.refused", toString(remote),
-                                     "reason=too-many-connections");
+    if (clients_.size() >= MaxInbound) {
+        context_.events_.reportRefusal("peer.refused", toString(remote),
+                                       "reason=too-many-connections");
         return;
     }
-    makeRoom();
+    evictUnauthenticated();
     const TimePoint now = BootClock::now();
-    const std::uint64_t token = ++parts_.lastToken_;
-    Guest guest {token, remote,
-                 Connection(std::move(socket), H2Role::Server, MaxUnprovedBytes, now)};
-    guest.deadline_ = now + parts_.settings_.timeout_;
-    parts_.loop_.watch(guest.connection_.socket(), token, false);
-    guests_.emplace(token, std::move(guest));
+    const std::uint64_t token = ++context_.lastToken_;
+    Client client {token, remote,
+                   Connection(std::move(socket), H2Role::Server, MaxUnauthenticatedBytes, now)};
+    client.deadline_ = now + context_.settings_.timeout_;
+    context_.loop_.watch(client.connection_.socket(), token, false);
+    clients_.emplace(token, std::move(client));
     flush(token);
 }
 
-/** Closes the connection that has gone longest without a proof when there are too many such. */
-void Inbound::makeRoom()
+/** Closes the oldest unauthenticated connection if there are too many. */
+void Inbound::evictUnauthenticated()
 {
-    std::size_t unproved = 0;
-    const Guest *oldest = nullptr;
-    for (const auto &[token, guest] : guests_) {
-        if (guest.instance_.empty()) {
-            ++unproved;
-            oldest = oldest == nullptr || token < oldest->token_ ? &guest : oldest;
+    std::size_t unauthenticated = 0;
+    const Client *oldest = nullptr;
+    for (const auto &[token, client] : clients_) {
+        if (client.instance_.empty()) {
+            ++unauthenticated;
+            oldest = oldest == nullptr || token < oldest->token_ ? &client : oldest;
         }
     }
-    if (unproved >= MaxUnproved) {
-        parts_.events_.reportRefusal("peer.refused", toString(oldest->remote_),
-                                     "reason=too-many-unproved");
+    if (unauthenticated >= MaxUnauthenticated) {
+        context_.events_.reportRefusal("peer.refused", toString(oldest->remote_),
+                                       "reason=too-many-unproved");
         close(oldest->token_);
     }
 }
 
 void Inbound::close(std::uint64_t token)
 {
-    const auto found = guests_.find(token);
-    if (found != guests_.end()) {
-        parts_.loop_.unwatch(found->second.connection_.socket());
-        guests_.erase(found);
+    const auto found = clients_.find(token);
+    if (found != clients_.end()) {
+        context_.loop_.unwatch(found->second.connection_.socket());
+        clients_.erase(found);
     }
 }
 
-/** An instance keeps one connection; a new one means that it has given up the one before. */
-void Inbound::closeOlder(const Guest &guest)
+/** Closes earlier connections of the same instance, which a new one replaces. */
+void Inbound::closeOlderConnections(const Client &client)
 {
     std::vector<std::uint64_t> older;
-    for (const auto &[token, other] : guests_) {
-        if (token != guest.token_ && other.instance_ == guest.instance_) {
+    for (const auto &[token, other] : clients_) {
+        if (token != client.token_ && other.instance_ == client.instance_) {
             older.push_back(token);
         }
     }
@@ -154,124 +155,126 @@
 
 void Inbound::flush(std::uint64_t token)
 {
-    const auto found = guests_.find(token);
-    if (found == guests_.end()) {
+    const auto found = clients_.find(token);
+    if (found == clients_.end()) {
         return;
     }
-    Guest &guest = found->second;
-    if (!guest.connection_.flush(BootClock::now())) {
+    Client &client = found->second;
+    if (!client.connection_.flush(BootClock::now())) {
         close(token);
         return;
     }
-    const bool wantsWrite = guest.connection_.hasOutput();
-    if (wantsWrite != guest.watchesWrite_) {
-        guest.watchesWrite_ = wantsWrite;
-        parts_.loop_.rewatch(guest.connection_.socket(), token, wantsWrite);
+    const bool wantsWrite = client.connection_.hasOutput();
+    if (wantsWrite != client.watchesWrite_) {
+        client.watchesWrite_ = wantsWrite;
+        context_.loop_.updateWatch(client.connection_.socket(), token, wantsWrite);
     }
-    scanDeadline_ = std::min(scanDeadline_, deadlineOf(guest));
+    scanDeadline_ = std::min(scanDeadline_, deadlineOf(client));
 }
 
-void Inbound::takeRequest(Guest &guest, std::int32_t stream, const H2Message &request)
+void Inbound::processRequest(Client &client, std::int32_t stream, const H2Message &request)
 {
-    if (guest.leaving_ || !proved(guest, stream, request)) {
+    if (client.closing_ || !authenticate(client, stream, request)) {
         return;
     }
     const std::string_view path = request.path_;
     const bool isPeerPath = path.substr(0, PathPrefix.size()) == PathPrefix;
     if (!isPeerPath || request.method_ != "POST") {
-        answerError(guest, stream, request.nonce_,
-                    {ErrorKind::NotFound, "not a peer request", "POST to /peer/TOPIC"});
+        answerError(
+            client, stream, request.nonce_,
+            {ErrorKind::NotFound, "not a peer request", "send a POST request to /peer/TOPIC"});
     } else if (path.substr(PathPrefix.size()) == HeartbeatTopic) {
-        takeHeartbeat(guest, stream, request);
-    } else if (guest.instance_.empty()) {
-        refuse(guest, stream, request, "no heartbeat before the first request");
+        processHeartbeat(client, stream, request);
+    } else if (client.instance_.empty()) {
+        refuse(client, stream, request, "no heartbeat before the first request");
     } else {
-        dispatch(guest, stream, request);
+        dispatch(client, stream, request);
     }
 }
 
-bool Inbound::proved(Guest &guest, std::int32_t stream, const H2Message &request)
+bool Inbound::authenticate(Client &client, std::int32_t stream, const H2Message &request)
 {
-    const PeerIdentity &self = parts_.membership_.self();
-    const bool greeting = guest.instance_.empty();
-    const Audience audience {self.address_, greeting ? 0 : self.incarnation_, guest.greeting_,
-                             stream};
-    const ProofVerdict verdict =
-        parts_.credentials_.checkRequest(request, audience, BootClock::now());
-    if (verdict != ProofVerdict::Valid) {
-        refuse(guest, stream, request, nameOf(ProofVerdictNames, verdict));
+    const PeerIdentity &self = context_.membership_.self();
+    const bool isHandshake = client.instance_.empty();
+    const Audience audience {self.address_, isHandshake ? 0 : self.incarnation_,
+                             client.handshakeNonce_, stream};
+    const AuthenticationResult result =
+        context_.credentials_.checkRequest(request, audience, BootClock::now());
+    if (result != AuthenticationResult::Valid) {
+        refuse(client, stream, request, nameOf(AuthenticationResultNames, result));
         return false;
     }
-    if (!greeting && request.instance_ != guest.instance_.value()) {
-        refuse(guest, stream, request, "another instance on the same connection");
+    if (!isHandshake && request.instance_ != client.instance_.value()) {
+        refuse(client, stream, request, "another instance on the same connection");
         return false;
     }
     return true;
 }
 
-/** Without a proof of its own: who cannot prove itself gets nothing signed. */
-void Inbound::refuse(Guest &guest, std::int32_t stream, const H2Message &request,
+/** Answers without a proof: unauthenticated clients get nothing signed with the key. */
+void Inbound::refuse(Client &client, std::int32_t stream, const H2Message &request,
                      std::string_view reason)
 {
-    parts_.events_.reportRefusal("peer.refused", toString(guest.remote_),
-                                 "reason=" + quoteLogValue(reason)
-                                     + " claims=" + quoteLogValue(request.instance_.substr(0, 64)));
-    Error error = UnknownPeer;
-    error.message_ = "refused as a peer: " + std::string(reason);
+    context_.events_.reportRefusal("peer.refused", toString(client.remote_),
+                                   "reason=" + quoteLogValue(reason) + " claims="
+                                       + quoteLogValue(request.instance_.substr(0, 64)));
+    Error error = RejectedPeer;
+    error.message_ = "rejected as a peer: " + std::string(reason);
     H2Message answer;
     answer.status_ = StatusUnauthorized;
     answer.body_ = encodeError(error);
-    guest.connection_.session().answer(stream, std::move(answer));
-    if (guest.instance_.empty()) {
-        guest.leaving_ = true;
-        guest.connection_.session().finish();
+    client.connection_.session().answer(stream, std::move(answer));
+    if (client.instance_.empty()) {
+        client.closing_ = true;
+        client.connection_.session().finish();
     }
 }
 
-void Inbound::takeHeartbeat(Guest &guest, std::int32_t stream, const H2Message &request)
+void Inbound::processHeartbeat(Client &client, std::int32_t stream, const H2Message &request)
 {
     const InstanceId from(request.instance_);
     const auto decoded =
         capture([&] { return decodeHeartbeat(request.body_, from, DomainId(request.domain_)); });
     if (const Error *error = std::get_if<Error>(&decoded)) {
-        answerError(guest, stream, request.nonce_, *error);
+        answerError(client, stream, request.nonce_, *error);
         return;
     }
     const Heartbeat &heartbeat = std::get<Heartbeat>(decoded);
-    const PeerIdentity &self = parts_.membership_.self();
-    const HeardVerdict verdict = parts_.membership_.heard(heartbeat);
-    const bool taken = verdict == HeardVerdict::Fresh || verdict == HeardVerdict::Late;
-    // This instance itself, by an address that it did not know for its own: the answer tells it.
-    const bool itself =
-        verdict == HeardVerdict::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
-    if (!taken && !itself) {
-        const std::string reason(nameOf(HeardVerdictNames, verdict));
-        parts_.events_.reportRefusal("peer.refused", from.value(), "reason=" + reason);
-        answerError(guest, stream, request.nonce_,
-                    {ErrorKind::Conflict, "not taken up as a member: " + reason,
+    const PeerIdentity &self = context_.membership_.self();
+    const HeartbeatResult result = context_.membership_.onHeartbeat(heartbeat);
+    const bool accepted = result == HeartbeatResult::Fresh || result == HeartbeatResult::Stale;
+    // A heartbeat from this instance to itself, through an address that it does not know as its
+    // own, is answered, so that its outgoing link learns this.
+    const bool fromSelf =
+        result == HeartbeatResult::Self && heartbeat.sender_.incarnation_ == self.incarnation_;
+    if (!accepted && !fromSelf) {
+        const std::string reason(nameOf(HeartbeatResultNames, result));
+        context_.events_.reportRefusal("peer.refused", from.value(), "reason=" + reason);
+        answerError(client, stream, request.nonce_,
+                    {ErrorKind::Conflict, "not accepted as a member: " + reason,
                      "run one process for each instance id"});
         return;
     }
-    if (guest.instance_.empty()) {
-        guest.instance_ = from;
-        guest.greeting_ = request.nonce_;
-        guest.connection_.session().setBodyLimit(MaxBodyBytes);
-        closeOlder(guest);
+    if (client.instance_.empty()) {
+        client.instance_ = from;
+        client.handshakeNonce_ = request.nonce_;
+        client.connection_.session().setBodyLimit(MaxBodyBytes);
+        closeOlderConnections(client);
     }
-    std::string body = encodeHeartbeat(parts_.membership_.compose(from));
-    parts_.membership_.exchanged(request.body_.size() + body.size());
-    answer(guest, stream, request.nonce_, StatusOk, std::move(body));
+    std::string body = encodeHeartbeat(context_.membership_.compose(from));
+    context_.membership_.onExchanged(request.body_.size() + body.size());
+    answer(client, stream, request.nonce_, StatusOk, std::move(body));
 }
 
-void Inbound::dispatch(Guest &guest, std::int32_t stream, const H2Message &request)
+void Inbound::dispatch(Client &client, std::int32_t stream, const H2Message &request)
 {
     const auto refuseWith = [&](const Error &error) {
-        answerError(guest, stream, request.nonce_, error);
+        answerError(client, stream, request.nonce_, error);
     };
-    const auto &handlers = parts_.settings_.handlers_;
+    const auto &handlers = context_.settings_.handlers_;
     const auto handler = handlers.find(request.path_.substr(PathPrefix.size()));
     if (handler == handlers.end()) {
-        refuseWith({ErrorKind::NotFound, "nobody handles " + request.path_,
+        refuseWith({ErrorKind::NotFound, "no handler for " + request.path_,
                     "run the same version of almondridge on all entry instances"});
         return;
     }
@@ -281,15 +284,15 @@
                     "run the same version of almondridge on all entry instances"});
         return;
     }
-    Job job {guest.token_,    stream,           request.nonce_,
-             guest.instance_, &handler->second, std::move(*message)};
+    Job job {client.token_,    stream,           request.nonce_,
+             client.instance_, &handler->second, std::move(*message)};
     if (!workers_.post([this, job = std::move(job)]() mutable { run(std::move(job)); })) {
-        refuseWith({ErrorKind::Overloaded, "too many peer requests wait here",
-                    "try again later, or ask another instance"});
+        refuseWith({ErrorKind::Overloaded, "too many peer requests are queued",
+                    "try again later, or send it to another instance"});
     }
 }
 
-/** On a worker thread. */
+/** Runs on a worker thread. */
 void Inbound::run(Job job)
 {
     const auto outcome = capture([&] { return (*job.handler_)(job.from_, job.message_); });
@@ -299,77 +302,78 @@
         error == nullptr ? encodeCbor(std::get<nlohmann::json>(outcome)) : encodeError(*error);
     if (body.size() > MaxBodyBytes) {
         const Error tooLarge {ErrorKind::Overloaded, "the answer is too large",
-                              "ask for less at a time"};
+                              "request less data at a time"};
         status = statusOf(tooLarge.kind_);
         body = encodeError(tooLarge);
     }
-    parts_.loop_.post([this, job = std::move(job), status, body = std::move(body)]() mutable {
-        const auto guest = guests_.find(job.token_);
-        if (guest != guests_.end()) {
-            answer(guest->second, job.stream_, job.nonce_, status, std::move(body));
+    context_.loop_.post([this, job = std::move(job), status, body = std::move(body)]() mutable {
+        const auto client = clients_.find(job.token_);
+        if (client != clients_.end()) {
+            answer(client->second, job.stream_, job.nonce_, status, std::move(body));
             flush(job.token_);
         }
     });
 }
 
-void Inbound::answer(Guest &guest, std::int32_t stream, const std::string &nonce, int status,
+void Inbound::answer(Client &client, std::int32_t stream, const std::string &nonce, int status,
                      std::string body)
 {
-    guest.connection_.session().answer(
-        stream, parts_.credentials_.sealAnswer(status, nonce, std::move(body)));
+    client.connection_.session().answer(
+        stream, context_.credentials_.signAnswer(status, nonce, std::move(body)));
 }
 
-void Inbound::answerError(Guest &guest, std::int32_t stream, const std::string &nonce,
+void Inbound::answerError(Client &client, std::int32_t stream, const std::string &nonce,
                           const Error &error)
 {
-    answer(guest, stream, nonce, statusOf(error.kind_), encodeError(error));
+    answer(client, stream, nonce, statusOf(error.kind_), encodeError(error));
 }
 
-TimePoint Inbound::deadlineOf(const Guest &guest) const
+TimePoint Inbound::deadlineOf(const Client &client) const
 {
-    TimePoint deadline = guest.deadline_;
-    if (!guest.instance_.empty()) {
-        const Duration longest = IdleIntervals * parts_.membership_.longestInterval();
-        deadline = guest.connection_.lastReceived() + std::max(IdleSpan, longest);
+    TimePoint deadline = client.deadline_;
+    if (!client.instance_.empty()) {
+        const Duration longest = IdleIntervals * context_.membership_.longestInterval();
+        deadline = client.connection_.lastReceived() + std::max(IdleTimeout, longest);
     }
-    if (guest.connection_.hasOutput()) {
-        deadline = std::min(deadline, guest.connection_.stalledSince() + parts_.settings_.timeout_);
+    if (client.connection_.hasOutput()) {
+        deadline =
+            std::min(deadline, client.connection_.stalledSince() + context_.settings_.timeout_);
     }
     return deadline;
 }
 
 TimePoint Inbound::advance(TimePoint now)
 {
-    if (!listening_ && acceptAgain_ <= now) {
+    if (!listening_ && acceptResumeTime_ <= now) {
         listening_ = true;
-        parts_.loop_.watch(listener_.value(), listenerToken_, false);
+        context_.loop_.watch(listener_.value(), listenerToken_, false);
     }
     if (now >= scanDeadline_) {
         closeOverdue(now);
     }
-    return listening_ ? scanDeadline_ : std::min(scanDeadline_, acceptAgain_);
+    return listening_ ? scanDeadline_ : std::min(scanDeadline_, acceptResumeTime_);
 }
 
 void Inbound::closeOverdue(TimePoint now)
 {
     scanDeadline_ = TimePoint::max();
-    std::vector<std::uint64_t> over;
-    for (const auto &[token, guest] : guests_) {
-        const TimePoint deadline = deadlineOf(guest);
+    std::vector<std::uint64_t> expired;
+    for (const auto &[token, client] : clients_) {
+        const TimePoint deadline = deadlineOf(client);
         if (deadline <= now) {
-            over.push_back(token);
+            expired.push_back(token);
         } else {
             scanDeadline_ = std::min(scanDeadline_, deadline);
         }
     }
-    for (const std::uint64_t token : over) {
+    for (const std::uint64_t token : expired) {
         close(token);
     }
 }
 
 void Inbound::closeAll()
 {
-    guests_.clear();
+    clients_.clear();
 }
 
 } // namespace almondridge::peers
--- a/libs/peers/src/inbound.h
+++ b/libs/peers/src/inbound.h
@@ -1,6 +1,6 @@
 /**
- * Incoming connections: other instances' heartbeats and requests. Used by the I/O thread, but
- * for the handlers, which run on worker threads.
+ * Incoming connections: heartbeats and requests of other instances. Used by the I/O thread only,
+ * except that request handlers run on worker threads.
  */
 #pragma once
 
@@ -14,31 +14,31 @@
 class Inbound
 {
 public:
-    Inbound(ExchangeParts parts, OwnedDescriptor listener);
+    Inbound(ExchangeContext context, OwnedDescriptor listener);
 
     void startWorkers();
-    /** Waits for the handlers that run. From any thread but theirs and the loop's. */
+    /** Waits for running handlers. Must not be called from a handler or the I/O thread. */
     void stopWorkers();
 
-    /** False when token is none of an inbound connection or of the listener. */
+    /** Handles socket readiness. False if token is neither the listener nor a connection here. */
     bool ready(std::uint64_t token, Readiness readiness);
     TimePoint advance(TimePoint now);
     void closeAll();
 
 private:
-    struct Guest
+    struct Client
     {
         std::uint64_t token_ = 0;
         PeerAddress remote_;
         Connection connection_;
-        InstanceId instance_ {};  ///< Empty until a heartbeat proved that it knows the key.
-        std::string greeting_ {}; ///< The nonce of that heartbeat.
-        bool leaving_ = false;    ///< It was refused, and is closed once it has the answer.
+        InstanceId instance_ {};        ///< Empty until a heartbeat is authenticated.
+        std::string handshakeNonce_ {}; ///< The nonce of that heartbeat.
+        bool closing_ = false;          ///< Rejected; closed after the answer is sent.
         bool watchesWrite_ = false;
         TimePoint deadline_ {};
     };
 
-    /** A request that goes to a handler. */
+    /** A request for a handler thread. */
     struct Job
     {
         std::uint64_t token_ = 0;
@@ -50,32 +50,32 @@
     };
 
     void accept();
-    void welcome(OwnedDescriptor socket, const PeerAddress &remote);
-    void makeRoom();
+    void addClient(OwnedDescriptor socket, const PeerAddress &remote);
+    void evictUnauthenticated();
     void close(std::uint64_t token);
-    void closeOlder(const Guest &guest);
+    void closeOlderConnections(const Client &client);
     void flush(std::uint64_t token);
-    void takeRequest(Guest &guest, std::int32_t stream, const H2Message &request);
-    bool proved(Guest &guest, std::int32_t stream, const H2Message &request);
-    void refuse(Guest &guest, std::int32_t stream, const H2Message &request,
+    void processRequest(Client &client, std::int32_t stream, const H2Message &request);
+    bool authenticate(Client &client, std::int32_t stream, const H2Message &request);
+    void refuse(Client &client, std::int32_t stream, const H2Message &request,
                 std::string_view reason);
-    void takeHeartbeat(Guest &guest, std::int32_t stream, const H2Message &request);
-    void dispatch(Guest &guest, std::int32_t stream, const H2Message &request);
+    void processHeartbeat(Client &client, std::int32_t stream, const H2Message &request);
+    void dispatch(Client &client, std::int32_t stream, const H2Message &request);
     void run(Job job);
-    void answer(Guest &guest, std::int32_t stream, const std::string &nonce, int status,
+    void answer(Client &client, std::int32_t stream, const std::string &nonce, int status,
                 std::string body);
-    void answerError(Guest &guest, std::int32_t stream, const std::string &nonce,
+    void answerError(Client &client, std::int32_t stream, const std::string &nonce,
                      const Error &error);
-    TimePoint deadlineOf(const Guest &guest) const;
+    TimePoint deadlineOf(const Client &client) const;
     void closeOverdue(TimePoint now);
 
-    ExchangeParts parts_;
+    ExchangeContext context_;
     OwnedDescriptor listener_;
     std::uint64_t listenerToken_ = 0;
     bool listening_ = true;
-    TimePoint acceptAgain_ {};
-    std::unordered_map<std::uint64_t, Guest> guests_;
-    TimePoint scanDeadline_ {}; ///< No guest's deadline is earlier.
+    TimePoint acceptResumeTime_ {};
+    std::unordered_map<std::uint64_t, Client> clients_;
+    TimePoint scanDeadline_ {}; ///< Lower bound of all connections' deadlines.
     Workers workers_;
 };
 
--- a/libs/peers/src/links.cpp
+++ b/libs/peers/src/links.cpp
@@ -8,18 +8,19 @@
 namespace {
 
 const std::string HeartbeatPath = "/peer/heartbeat";
-/** Requests that may wait for or run on one link. */
+/** Maximum requests queued or in flight on one link. */
 constexpr std::size_t MaxCallsPerLink = 1'024;
 /**
- * Requests under way on one link; more wait. The other side takes MaxStreams at a time, and a
- * heartbeat that had to wait for slow handlers would look like a silent connection.
+ * Maximum requests in flight on one link; more are queued. The peer accepts MaxStreams at a time;
+ * some are reserved for heartbeats, as one that waits for slow handlers would look like a silent
+ * connection.
  */
-constexpr std::size_t MaxCallsUnderWay = MaxStreams - 8;
+constexpr std::size_t MaxCallsInFlight = MaxStreams - 8;
 
 } // namespace
 
-Links::Links(ExchangeParts parts, PendingCalls &calls)
-    : parts_(parts)
+Links::Links(ExchangeContext context, PendingCalls &calls)
+    : context_(context)
     , calls_(calls)
 { }
 
@@ -32,13 +33,13 @@
 Links::Link *Links::open(const PeerAddress &address, const InstanceId &instance)
 {
     const TimePoint now = BootClock::now();
-    OwnedDescriptor socket = connectTo(address, parts_.settings_.timeout_);
+    OwnedDescriptor socket = connectTo(address, context_.settings_.timeout_);
     if (!socket.valid()) {
-        parts_.membership_.unanswered(address);
+        context_.membership_.onNoAnswer(address);
         return nullptr;
     }
-    const std::uint64_t token = ++parts_.lastToken_;
-    parts_.loop_.watch(socket.value(), token, true);
+    const std::uint64_t token = ++context_.lastToken_;
+    context_.loop_.watch(socket.value(), token, true);
     Link link {token,
                address,
                instance,
@@ -46,14 +47,14 @@
                {},
                LinkState::Connecting,
                Connection(std::move(socket), H2Role::Client, MaxBodyBytes, now)};
-    link.openDeadline_ = now + parts_.settings_.answerTimeout();
+    link.openDeadline_ = now + context_.settings_.answerTimeout();
     byAddress_[toString(address)] = token;
     scanDeadline_ = std::min(scanDeadline_, link.openDeadline_);
     return &links_.emplace(token, std::move(link)).first->second;
 }
 
-/** Ends a link and all that waits on it. */
-void Links::close(std::uint64_t token, const std::string &why)
+/** Closes a link and fails all its calls. */
+void Links::close(std::uint64_t token, const std::string &reason)
 {
     const auto found = links_.find(token);
     if (found == links_.end()) {
@@ -62,48 +63,49 @@
     Link link = std::move(found->second);
     links_.erase(found);
     byAddress_.erase(toString(link.address_));
-    parts_.loop_.unwatch(link.connection_.socket());
-    for (const auto &[stream, exchange] : link.exchanges_) {
-        if (exchange.call_ != 0) {
-            calls_.giveUp(exchange.call_, why);
+    context_.loop_.unwatch(link.connection_.socket());
+    for (const auto &[stream, pending] : link.pendingRequests_) {
+        if (pending.call_ != 0) {
+            calls_.failCall(pending.call_, reason);
         }
     }
-    for (const OutgoingCall &call : link.waiting_) {
-        calls_.giveUp(call.id_, why);
+    for (const OutgoingCall &call : link.queue_) {
+        calls_.failCall(call.id_, reason);
     }
 }
 
-/** The other side does not take this instance for a peer, or is none itself. */
-void Links::refused(std::uint64_t token, const Error &error)
+/** Closes a link whose other side rejected this instance, or is not a valid peer itself. */
+void Links::onRefused(std::uint64_t token, const Error &error)
 {
     const auto found = links_.find(token);
     if (found == links_.end()) {
         return;
     }
     const PeerAddress address = found->second.address_;
-    parts_.events_.reportRefusal("peer.refused-by", toString(address),
-                                 "reason=" + quoteLogValue(error.message_)
-                                     + " remedy=" + quoteLogValue(error.remedy_));
-    for (const OutgoingCall &call : std::exchange(found->second.waiting_, {})) {
+    context_.events_.reportRefusal("peer.refused-by", toString(address),
+                                   "reason=" + quoteLogValue(error.message_)
+                                       + " remedy=" + quoteLogValue(error.remedy_));
+    for (const OutgoingCall &call : std::exchange(found->second.queue_, {})) {
         calls_.finish(call.id_, error);
     }
     close(token, error.message_);
-    parts_.membership_.unanswered(address);
+    context_.membership_.onNoAnswer(address);
 }
 
 /**
- * Something between the two ends has lost track of the connection: it stays open, and nothing
- * comes through. Only a missing answer shows that, and only a new connection mends it. The member
- * stays alive if it answers there before its heartbeat deadline.
+ * Reconnects a silent link. A network device between the two sides may drop the state of a
+ * connection, which then stays open but carries no data. Only a missing answer reveals that, and
+ * only a new connection helps. The member stays alive if it answers there before its heartbeat
+ * deadline.
  */
-void Links::replace(std::uint64_t token)
+void Links::reconnect(std::uint64_t token)
 {
     const Link &link = links_.at(token);
     const PeerAddress address = link.address_;
     const InstanceId instance = link.instance_;
-    parts_.events_.report("peer.silent", instance.value(),
-                          "address=" + toString(address)
-                              + " cut_requests=" + std::to_string(link.exchanges_.size() - 1));
+    context_.events_.report("peer.silent", instance.value(),
+                            "address=" + toString(address) + " cut_requests="
+                                + std::to_string(link.pendingRequests_.size() - 1));
     close(token, "the connection went silent");
     open(address, instance);
 }
@@ -114,8 +116,8 @@
     if (link == nullptr) {
         open(target.address_, target.instance_);
     } else if (link->state_ != LinkState::Open) {
-        link->newsWaiting_ = link->newsWaiting_ || urgent;
-    } else if (urgent || !heartbeatUnderWay(*link)) {
+        link->heartbeatQueued_ = link->heartbeatQueued_ || urgent;
+    } else if (urgent || !heartbeatInFlight(*link)) {
         const std::uint64_t token = link->token_;
         sendHeartbeat(*link);
         flush(token);
@@ -129,52 +131,52 @@
         link = open(call.address_, call.to_);
     }
     if (link == nullptr) {
-        calls_.giveUp(call.id_, "no connection to " + toString(call.address_));
+        calls_.failCall(call.id_, "no connection to " + toString(call.address_));
         return;
     }
-    if (link->waiting_.size() + link->exchanges_.size() >= MaxCallsPerLink) {
+    if (link->queue_.size() + link->pendingRequests_.size() >= MaxCallsPerLink) {
         calls_.finish(call.id_, Error {ErrorKind::Overloaded,
                                        "too many requests to " + call.to_.value() + " at once",
-                                       "try again when some are answered"});
+                                       "retry when some of them have been answered"});
         return;
     }
     const std::uint64_t token = link->token_;
-    link->waiting_.push_back(std::move(call));
+    link->queue_.push_back(std::move(call));
     if (link->state_ == LinkState::Open) {
-        sendWaiting(*link);
+        sendQueued(*link);
         flush(token);
     }
 }
 
-H2Message Links::seal(const Link &link, std::string path, std::string body)
+H2Message Links::makeRequest(const Link &link, std::string path, std::string body)
 {
     const std::int32_t stream = link.connection_.session().nextStream();
-    const Audience audience {link.address_, link.incarnation_, link.greeting_, stream};
-    return parts_.credentials_.sealRequest(std::move(path), audience, std::move(body));
+    const Audience audience {link.address_, link.incarnation_, link.handshakeNonce_, stream};
+    return context_.credentials_.signRequest(std::move(path), audience, std::move(body));
 }
 
 void Links::sendHeartbeat(Link &link)
 {
-    std::string body = encodeHeartbeat(parts_.membership_.compose(link.instance_));
+    std::string body = encodeHeartbeat(context_.membership_.compose(link.instance_));
     const std::size_t bytes = body.size();
-    H2Message message = seal(link, HeartbeatPath, std::move(body));
+    H2Message message = makeRequest(link, HeartbeatPath, std::move(body));
     std::string nonce = message.nonce_;
-    if (link.greeting_.empty()) {
-        link.greeting_ = nonce;
+    if (link.handshakeNonce_.empty()) {
+        link.handshakeNonce_ = nonce;
     }
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     const TimePoint now = BootClock::now();
-    // Without a stream the session is at its end; the entry makes its deadline close the link.
-    link.exchanges_[stream] = {0, std::move(nonce), bytes, now,
-                               now + parts_.settings_.answerTimeout()};
+    // Stream 0 means that the session takes no more; the entry's deadline then closes the link.
+    link.pendingRequests_[stream] = {0, std::move(nonce), bytes, now,
+                                     now + context_.settings_.answerTimeout()};
 }
 
-/** Sends what waits, as far as there is room. */
-void Links::sendWaiting(Link &link)
+/** Sends queued calls up to MaxCallsInFlight. */
+void Links::sendQueued(Link &link)
 {
-    while (!link.waiting_.empty() && link.exchanges_.size() < MaxCallsUnderWay) {
-        OutgoingCall call = std::move(link.waiting_.front());
-        link.waiting_.pop_front();
+    while (!link.queue_.empty() && link.pendingRequests_.size() < MaxCallsInFlight) {
+        OutgoingCall call = std::move(link.queue_.front());
+        link.queue_.pop_front();
         sendCall(link, std::move(call));
     }
 }
@@ -182,20 +184,21 @@
 void Links::sendCall(Link &link, OutgoingCall call)
 {
     if (call.to_ != link.instance_) {
-        calls_.giveUp(call.id_, "another instance answers at " + toString(call.address_));
+        calls_.failCall(call.id_, "another instance answers at " + toString(call.address_));
         return;
     }
     if (!calls_.markSent(call.id_)) {
         return;
     }
-    H2Message message = seal(link, std::move(call.path_), std::move(call.body_));
+    H2Message message = makeRequest(link, std::move(call.path_), std::move(call.body_));
     std::string nonce = message.nonce_;
     const std::int32_t stream = link.connection_.session().request(std::move(message));
     if (stream == 0) {
-        calls_.giveUp(call.id_, "the connection takes no more requests");
+        calls_.failCall(call.id_, "the connection accepts no more requests");
         return;
     }
-    link.exchanges_[stream] = {call.id_, std::move(nonce), 0, BootClock::now(), call.deadline_};
+    link.pendingRequests_[stream] = {call.id_, std::move(nonce), 0, BootClock::now(),
+                                     call.deadline_};
 }
 
 bool Links::ready(std::uint64_t token, Readiness readiness)
@@ -212,46 +215,46 @@
         if (link.connection_.socketError() != 0) {
             const PeerAddress address = link.address_;
             close(token, "no connection to " + toString(address));
-            parts_.membership_.unanswered(address);
+            context_.membership_.onNoAnswer(address);
             return true;
         }
-        connected(link);
+        onConnected(link);
     }
     const bool open = !readiness.readable_ || link.connection_.receive(BootClock::now());
-    if (!takeEvents(token)) {
+    if (!processEvents(token)) {
         return true;
     }
     if (!open) {
         const PeerAddress address = link.address_;
         close(token, "the peer closed the connection");
-        parts_.membership_.unanswered(address);
+        context_.membership_.onNoAnswer(address);
         return true;
     }
     if (link.state_ == LinkState::Open) {
-        sendWaiting(link);
+        sendQueued(link);
     }
     flush(token);
     return true;
 }
 
-void Links::connected(Link &link)
+void Links::onConnected(Link &link)
 {
-    link.state_ = LinkState::Greeting;
+    link.state_ = LinkState::Handshake;
     sendHeartbeat(link);
 }
 
-void Links::greeted(Link &link, const PeerIdentity &who)
+void Links::onHeartbeatAnswer(Link &link, const PeerIdentity &identity)
 {
-    link.instance_ = who.instance_;
+    link.instance_ = identity.instance_;
     if (link.state_ == LinkState::Open) {
         return;
     }
     link.state_ = LinkState::Open;
-    link.incarnation_ = who.incarnation_;
-    if (std::exchange(link.newsWaiting_, false)) {
+    link.incarnation_ = identity.incarnation_;
+    if (std::exchange(link.heartbeatQueued_, false)) {
         sendHeartbeat(link);
     }
-    sendWaiting(link);
+    sendQueued(link);
 }
 
 void Links::flush(std::uint64_t token)
@@ -264,13 +267,13 @@
     if (!link.connection_.flush(BootClock::now())) {
         const PeerAddress address = link.address_;
         close(token, "the connection broke");
-        parts_.membership_.unanswered(address);
+        context_.membership_.onNoAnswer(address);
         return;
     }
     const bool wantsWrite = link.connection_.hasOutput();
     if (wantsWrite != link.watchesWrite_) {
         link.watchesWrite_ = wantsWrite;
-        parts_.loop_.rewatch(link.connection_.socket(), token, wantsWrite);
+        context_.loop_.updateWatch(link.connection_.socket(), token, wantsWrite);
     }
     scanDeadline_ = std::min(scanDeadline_, nextDeadline(link));
 }
@@ -278,7 +281,7 @@
 void Links::closeAll()
 {
     while (!links_.empty()) {
-        close(links_.begin()->first, "this instance stops");
+        close(links_.begin()->first, "this instance is stopping");
     }
 }
 
--- a/libs/peers/src/links.h
+++ b/libs/peers/src/links.h
@@ -1,9 +1,9 @@
 /**
- * Outgoing connections: one for each peer address, kept open. Used by the I/O thread.
+ * Outgoing connections: one persistent connection per peer address. Used by the I/O thread only.
  *
- * The first request on a connection is a heartbeat. Requests wait until it is answered with a
- * valid proof, so they never reach an instance that does not know the key, and until then they
- * are known to be unsent.
+ * The first request on a connection is a heartbeat. Other requests are queued until it is answered
+ * with a valid proof. They therefore never reach a process without the shared key, and queued
+ * requests are known to be unsent.
  */
 #pragma once
 
@@ -20,7 +20,7 @@
 
 namespace almondridge::peers {
 
-/** A request() on its way. */
+/** A call of PeerExchange::request(). */
 struct OutgoingCall
 {
     CallId id_ = 0;
@@ -31,8 +31,8 @@
     TimePoint deadline_;
 };
 
-/** What the two directions of an exchange share. */
-struct ExchangeParts
+/** Objects shared by outgoing and incoming connections. */
+struct ExchangeContext
 {
     const ExchangeSettings &settings_;
     EventLoop &loop_;
@@ -45,12 +45,15 @@
 class Links
 {
 public:
-    Links(ExchangeParts parts, PendingCalls &calls);
+    Links(ExchangeContext context, PendingCalls &calls);
 
-    /** urgent: also when one is under way already, since it carries older news. */
+    /**
+     * Sends a heartbeat, connecting first if needed. urgent: sends it even if another is in
+     * flight, because that one carries older state.
+     */
     void heartbeat(const HeartbeatTarget &target, bool urgent);
     void call(OutgoingCall call);
-    /** False when token is none of a link. */
+    /** Handles socket readiness. False if token does not belong to a link. */
     bool ready(std::uint64_t token, Readiness readiness);
     TimePoint advance(TimePoint now);
     void closeAll();
@@ -58,12 +61,12 @@
 private:
     enum class LinkState {
         Connecting,
-        Greeting, ///< The first heartbeat is under way.
+        Handshake, ///< The first heartbeat is in flight.
         Open,
     };
 
-    /** A stream that waits for its answer. */
-    struct Exchange
+    /** A request that waits for its answer, by stream. */
+    struct PendingRequest
     {
         CallId call_ = 0; ///< 0: a heartbeat.
         std::string nonce_;
@@ -76,47 +79,47 @@
     {
         std::uint64_t token_ = 0;
         PeerAddress address_;
-        InstanceId instance_; ///< Who is expected there; once open, who answered.
+        InstanceId instance_; ///< Expected instance; once open, the one that answered.
         std::uint64_t incarnation_ = 0;
-        std::string greeting_ {}; ///< The nonce of the first request.
+        std::string handshakeNonce_ {}; ///< The nonce of the first request.
         LinkState state_ = LinkState::Connecting;
         Connection connection_;
         bool watchesWrite_ = true;
-        bool newsWaiting_ = false; ///< Another heartbeat is to follow the greeting.
+        bool heartbeatQueued_ = false; ///< Send another heartbeat once open.
         TimePoint openDeadline_ {};
-        std::map<std::int32_t, Exchange> exchanges_ {};
-        std::deque<OutgoingCall> waiting_ {};
+        std::map<std::int32_t, PendingRequest> pendingRequests_ {};
+        std::deque<OutgoingCall> queue_ {};
     };
 
     Link *find(const PeerAddress &address);
     Link *open(const PeerAddress &address, const InstanceId &instance);
-    void close(std::uint64_t token, const std::string &why);
-    void refused(std::uint64_t token, const Error &error);
-    void replace(std::uint64_t token);
-    void connected(Link &link);
-    void greeted(Link &link, const PeerIdentity &who);
+    void close(std::uint64_t token, const std::string &reason);
+    void onRefused(std::uint64_t token, const Error &error);
+    void reconnect(std::uint64_t token);
+    void onConnected(Link &link);
+    void onHeartbeatAnswer(Link &link, const PeerIdentity &identity);
     void sendHeartbeat(Link &link);
     void sendCall(Link &link, OutgoingCall call);
-    void sendWaiting(Link &link);
-    H2Message seal(const Link &link, std::string path, std::string body);
+    void sendQueued(Link &link);
+    H2Message makeRequest(const Link &link, std::string path, std::string body);
     void flush(std::uint64_t token);
-    /** False when the link was closed on the way. */
-    bool takeEvents(std::uint64_t token);
-    bool takeAnswer(Link &link, const Exchange &exchange, const H2Message &answer);
-    bool takeHeartbeat(Link &link, const Exchange &exchange, const H2Message &answer);
-    void takeCallAnswer(const Exchange &exchange, const H2Message &answer);
+    /** False if the link was closed meanwhile. */
+    bool processEvents(std::uint64_t token);
+    bool processAnswer(Link &link, const PendingRequest &pending, const H2Message &answer);
+    bool processHeartbeatAnswer(Link &link, const PendingRequest &pending, const H2Message &answer);
+    void processCallAnswer(const PendingRequest &pending, const H2Message &answer);
     bool checkDeadlines(Link &link, TimePoint now);
-    bool endCalls(Link &link, TimePoint now);
+    bool expireCalls(Link &link, TimePoint now);
     TimePoint nextDeadline(const Link &link) const;
     TimePoint idleDeadline(const Link &link) const;
     TimePoint earliestDeadline() const;
-    static bool heartbeatUnderWay(const Link &link) noexcept;
+    static bool heartbeatInFlight(const Link &link) noexcept;
 
-    ExchangeParts parts_;
+    ExchangeContext context_;
     PendingCalls &calls_;
     std::unordered_map<std::uint64_t, Link> links_;
     std::unordered_map<std::string, std::uint64_t> byAddress_;
-    TimePoint scanDeadline_ {}; ///< No link's deadline is earlier.
+    TimePoint scanDeadline_ {}; ///< Lower bound of all links' deadlines.
 };
 
 } // namespace almondridge::peers
--- a/libs/peers/src/membership.cpp
+++ b/libs/peers/src/membership.cpp
@@ -8,10 +8,10 @@
 namespace almondridge::peers {
 namespace {
 
-/** Addresses from the instance list that are tried at once; the rest is learned from members. */
-constexpr std::size_t SeedTries = 3;
-/** A listed instance that never answers is forgotten after this many timeouts. */
-constexpr int CandidateTimeouts = 10;
+/** Seed addresses probed per call of advance(); other members are learned from those found. */
+constexpr std::size_t MaxSeedProbes = 3;
+/** An instance known only from lists, never alive, is removed after this many timeouts. */
+constexpr int UnconfirmedTimeouts = 10;
 
 } // namespace
 
@@ -19,7 +19,7 @@
     : settings_(std::move(settings))
     , intervals_ {settings_.interval_, settings_.interval_}
 {
-    settle();
+    refreshDerivedState();
 }
 
 void Membership::seed(const std::vector<PeerAddress> &addresses, TimePoint now)
@@ -28,59 +28,61 @@
     for (const PeerAddress &address : addresses) {
         const auto same = [&](const Seed &seed) { return seed.address_ == address; };
         const auto known = std::find_if(seeds_.begin(), seeds_.end(), same);
-        const bool twice = std::any_of(seeds.begin(), seeds.end(), same);
-        if (twice || address == settings_.self_.address_ || seeds.size() == MaxMembers) {
+        const bool duplicate = std::any_of(seeds.begin(), seeds.end(), same);
+        if (duplicate || address == settings_.self_.address_ || seeds.size() == MaxMembers) {
             continue;
         }
         seeds.push_back(known == seeds_.end() ? Seed {address, {}, false, 0, now} : *known);
     }
     seeds_ = std::move(seeds);
     refreshSeeds();
-    noteDeadline(now);
+    lowerScanDeadline(now);
 }
 
-HeardVerdict Membership::heard(const Heartbeat &heartbeat, TimePoint now,
-                               const std::optional<PeerAddress> &askedAt)
+HeartbeatResult Membership::onHeartbeat(const Heartbeat &heartbeat, TimePoint now,
+                                        const std::optional<PeerAddress> &answeringAddress)
 {
     const PeerIdentity &sender = heartbeat.sender_;
-    if (askedAt) {
-        noteSeedAnswered(*askedAt, sender.instance_);
+    if (answeringAddress) {
+        onSeedAnswered(*answeringAddress, sender.instance_);
     }
     if (sender.instance_ == settings_.self_.instance_) {
         if (sender.incarnation_ != settings_.self_.incarnation_) {
             events_.push_back({MemberEventKind::DuplicateId, sender});
         }
-        return HeardVerdict::Self;
+        return HeartbeatResult::Self;
     }
     const bool known = records_.count(sender.instance_) != 0;
     if (!known && records_.size() >= MaxMembers) {
-        return HeardVerdict::TooMany;
+        return HeartbeatResult::TooMany;
     }
     Record &record = known ? records_.at(sender.instance_) : insert(sender, now);
     if (record.incarnation_ != sender.incarnation_) {
-        // A process that was paused while another took over its id must not get it back. Wall
-        // clocks can be wrong, so a lower incarnation counts once the higher one is dead.
+        // A process that was paused while another took over its id must not reclaim the id.
+        // Incarnations come from wall clocks, which can be wrong, so a lower incarnation is
+        // accepted once the higher one is dead.
         if (sender.incarnation_ < record.incarnation_ && record.member_.alive_) {
-            return HeardVerdict::OldIncarnation;
+            return HeartbeatResult::OldIncarnation;
         }
         restart(record, sender);
     }
     const bool fresh = heartbeat.sequence_ > record.sequence_;
     if (fresh) {
-        takeUp(record, heartbeat);
+        applyHeartbeat(record, heartbeat);
     }
-    takeSignOfLife(record, heartbeat, now);
-    takeAddress(record, record.member_.address_, askedAt == record.member_.address_, now);
-    if (askedAt) {
-        takeAddress(record, *askedAt, true, now);
+    extendDeadlines(record, heartbeat, now);
+    resolveAddressConflict(record, record.member_.address_,
+                           answeringAddress == record.member_.address_, now);
+    if (answeringAddress) {
+        resolveAddressConflict(record, *answeringAddress, true, now);
     }
-    settle();
-    learn(heartbeat, now);
-    settle();
-    return fresh ? HeardVerdict::Fresh : HeardVerdict::Late;
+    refreshDerivedState();
+    applyIndirectReports(heartbeat, now);
+    refreshDerivedState();
+    return fresh ? HeartbeatResult::Fresh : HeartbeatResult::Stale;
 }
 
-void Membership::noteSeedAnswered(const PeerAddress &address, const InstanceId &instance)
+void Membership::onSeedAnswered(const PeerAddress &address, const InstanceId &instance)
 {
     for (Seed &seed : seeds_) {
         if (seed.address_ == address) {
@@ -89,49 +91,49 @@
             seed.failures_ = 0;
         }
     }
-    settle();
+    refreshDerivedState();
 }
 
-void Membership::takeSignOfLife(Record &record, const Heartbeat &heartbeat, TimePoint now)
+void Membership::extendDeadlines(Record &record, const Heartbeat &heartbeat, TimePoint now)
 {
     record.directOnly_ = false;
     record.direct_ = true;
     record.failures_ = 0;
-    record.directDeadline_ = now + timeoutFor(heartbeat.withinMillis_);
+    record.directDeadline_ = now + timeoutFor(heartbeat.nextWithinMillis_);
     revive(record, record.directDeadline_);
     record.nextHeartbeat_ = nextExchange(record, now);
-    noteDeadline(record.nextHeartbeat_);
+    lowerScanDeadline(record.nextHeartbeat_);
 }
 
-/** Takes over what a heartbeat says. Leaving is final for an incarnation. */
-void Membership::takeUp(Record &record, const Heartbeat &heartbeat)
+/** Applies the contents of a heartbeat. Leaving is final for an incarnation. */
+void Membership::applyHeartbeat(Record &record, const Heartbeat &heartbeat)
 {
     Member &member = record.member_;
-    const bool firstWord = heartbeat.sender_.leaving_ && !member.leaving_;
+    const bool startsLeaving = heartbeat.sender_.leaving_ && !member.leaving_;
     const bool moved = !(member.address_ == heartbeat.sender_.address_)
                        || member.domain_ != heartbeat.sender_.domain_;
-    changed_ = changed_ || firstWord || moved;
+    changed_ = changed_ || startsLeaving || moved;
     record.sequence_ = heartbeat.sequence_;
-    record.viewsKnown_ = true;
-    record.yourView_ = heartbeat.yourView_;
-    record.fleetView_ = heartbeat.fleetView_;
+    record.hashesKnown_ = true;
+    record.receiverDomainHash_ = heartbeat.receiverDomainHash_;
+    record.fleetHash_ = heartbeat.fleetHash_;
     member.domain_ = heartbeat.sender_.domain_;
     member.address_ = heartbeat.sender_.address_;
     member.leaving_ = member.leaving_ || heartbeat.sender_.leaving_;
     member.digest_ = heartbeat.digest_;
-    if (firstWord) {
+    if (startsLeaving) {
         report(MemberEventKind::Leaving, record);
     }
 }
 
-void Membership::unanswered(const PeerAddress &address, TimePoint now)
+void Membership::onNoAnswer(const PeerAddress &address, TimePoint now)
 {
     for (auto record = records_.begin(); record != records_.end();) {
         Member &member = record->second.member_;
         if (!(member.address_ == address)) {
             ++record;
         } else if (member.leaving_) {
-            // It said that it stops and does not answer any more: it has stopped.
+            // A member that announced its shutdown and does not answer has stopped.
             record = drop(record, MemberEventKind::Left);
         } else {
             ++record->second.failures_;
@@ -141,11 +143,11 @@
     for (Seed &seed : seeds_) {
         if (seed.address_ == address) {
             ++seed.failures_;
-            seed.nextTry_ = now + backoff(seed.failures_);
-            noteDeadline(seed.nextTry_);
+            seed.nextProbe_ = now + backoff(seed.failures_);
+            lowerScanDeadline(seed.nextProbe_);
         }
     }
-    settle();
+    refreshDerivedState();
 }
 
 std::vector<HeartbeatTarget> Membership::advance(TimePoint now)
@@ -155,9 +157,9 @@
         return due;
     }
     expire(now);
-    settle();
-    collectMembers(now, due);
-    collectSeeds(now, due);
+    refreshDerivedState();
+    collectDueMembers(now, due);
+    collectDueSeeds(now, due);
     scanDeadline_ = earliestDeadline();
     return due;
 }
@@ -171,7 +173,7 @@
             record.directOnly_ = record.linked_;
             record.member_.alive_ = false;
             record.nextHeartbeat_ = now;
-            record.dropDeadline_ = now + settings_.forget_;
+            record.dropDeadline_ = now + settings_.deadRetention_;
             if (record.member_.leaving_) {
                 entry = drop(entry, MemberEventKind::Left);
                 continue;
@@ -190,7 +192,7 @@
     }
 }
 
-void Membership::collectMembers(TimePoint now, std::vector<HeartbeatTarget> &due)
+void Membership::collectDueMembers(TimePoint now, std::vector<HeartbeatTarget> &due)
 {
     std::vector<Record *> dead;
     for (auto &[instance, record] : records_) {
@@ -202,46 +204,48 @@
         } else if (record.linked_ || record.urgent_) {
             due.push_back({record.member_.address_, instance});
             record.urgent_ = false;
-            // Until it is answered the next try comes after the plain interval: the other side
-            // counts on what was promised before the interval was stretched last.
+            // Until it is answered, retry after the unstretched interval: the receiver's deadline
+            // is based on the interval announced before the last stretch.
             record.nextHeartbeat_ = now + settings_.interval_;
         }
     }
-    // When a whole domain is cut off, only a few of it are tried at a time: those whose turn is
-    // the longest ago. The wait that follows a try lets the others come next.
+    // If a whole domain is unreachable, retry only a few of its members at a time, the longest
+    // overdue first. Each then backs off, so the others follow.
     std::sort(dead.begin(), dead.end(), [](const Record *left, const Record *right) {
         return left->nextHeartbeat_ < right->nextHeartbeat_;
     });
-    std::map<DomainId, std::size_t> triedFar;
+    std::map<DomainId, std::size_t> crossDomainProbes;
     for (Record *record : dead) {
         const DomainId &domain = record->member_.domain_;
-        const bool near = domain == settings_.self_.domain_;
-        if (near || triedFar[domain]++ < GatewaysPerDomain) {
+        const bool ownDomain = domain == settings_.self_.domain_;
+        if (ownDomain || crossDomainProbes[domain]++ < GatewaysPerDomain) {
             due.push_back({record->member_.address_, record->member_.instance_});
         }
         record->nextHeartbeat_ = now + backoff(record->failures_);
     }
 }
 
-void Membership::collectSeeds(TimePoint now, std::vector<HeartbeatTarget> &due)
+void Membership::collectDueSeeds(TimePoint now, std::vector<HeartbeatTarget> &due)
 {
-    const auto isDue = [&](const Seed &seed) { return seed.nextTry_ <= now && !seed.served_; };
-    // Those that were tried last stand behind those whose turn has not come.
+    const auto isDue = [&](const Seed &seed) {
+        return seed.nextProbe_ <= now && !seed.usedByMember_;
+    };
+    // Seeds that are not due go to the back, behind those still to be tried.
     std::stable_partition(seeds_.begin(), seeds_.end(), isDue);
     std::size_t tries = 0;
     for (Seed &seed : seeds_) {
         if (!isDue(seed)) {
             return;
         }
-        if (tries < SeedTries) {
+        if (tries < MaxSeedProbes) {
             due.push_back({seed.address_});
             ++tries;
         }
-        seed.nextTry_ = now + backoff(seed.failures_);
+        seed.nextProbe_ = now + backoff(seed.failures_);
     }
 }
 
-void Membership::makeDue(TimePoint now)
+void Membership::scheduleHeartbeatsNow(TimePoint now)
 {
     for (auto &[instance, record] : records_) {
         if (record.member_.alive_ && (record.linked_ || record.direct_)) {
@@ -249,10 +253,10 @@
             record.urgent_ = true;
         }
     }
-    noteDeadline(now);
+    lowerScanDeadline(now);
 }
 
-void Membership::noteDeadline(TimePoint deadline) noexcept
+void Membership::lowerScanDeadline(TimePoint deadline) noexcept
 {
     scanDeadline_ = std::min(scanDeadline_, deadline);
 }
@@ -267,7 +271,7 @@
                                                     : record.dropDeadline_);
     }
     for (const Seed &seed : seeds_) {
-        next = std::min(next, seed.served_ ? next : seed.nextTry_);
+        next = std::min(next, seed.usedByMember_ ? next : seed.nextProbe_);
     }
     return next;
 }
@@ -295,7 +299,7 @@
     record.incarnation_ = identity.incarnation_;
     record.weight_ = gatewayWeight(settings_.self_.instance_, identity.instance_);
     record.nextHeartbeat_ = now;
-    record.dropDeadline_ = now + CandidateTimeouts * settings_.timeout_;
+    record.dropDeadline_ = now + UnconfirmedTimeouts * settings_.timeout_;
     changed_ = true;
     return record;
 }
@@ -328,7 +332,7 @@
     record.incarnation_ = identity.incarnation_;
     record.sequence_ = 0;
     record.directOnly_ = false;
-    record.viewsKnown_ = false;
+    record.hashesKnown_ = false;
     record.member_.domain_ = identity.domain_;
     record.member_.address_ = identity.address_;
     record.member_.leaving_ = false;
@@ -338,22 +342,22 @@
 }
 
 /**
- * Instances are replaced all the time, and addresses are used again. Whoever answers at an
- * address has it for certain; whoever merely says so has it unless the other is alive, in which
- * case both are asked.
+ * Resolves two members with the same address, which occurs when an instance is replaced and its
+ * address is reused. An instance that answered at the address owns it (certain). An instance that
+ * only claims it owns it unless the other member is alive; then that member is probed.
  */
-void Membership::takeAddress(const Record &owner, const PeerAddress &address, bool certain,
-                             TimePoint now)
+void Membership::resolveAddressConflict(const Record &owner, const PeerAddress &address,
+                                        bool confirmed, TimePoint now)
 {
     for (auto entry = records_.begin(); entry != records_.end();) {
         Record &other = entry->second;
         if (&other == &owner || !(other.member_.address_ == address)) {
             ++entry;
-        } else if (certain || !other.member_.alive_) {
+        } else if (confirmed || !other.member_.alive_) {
             entry = drop(entry, MemberEventKind::AddressTaken);
         } else {
             other.nextHeartbeat_ = now;
-            noteDeadline(now);
+            lowerScanDeadline(now);
             ++entry;
         }
     }
@@ -363,7 +367,7 @@
 {
     settings_.self_.leaving_ = true;
     changed_ = true;
-    settle();
+    refreshDerivedState();
 }
 
 std::vector<Member> Membership::members() const
--- a/libs/peers/src/membershiptiming.cpp
+++ b/libs/peers/src/membershiptiming.cpp
@@ -1,5 +1,5 @@
 /**
- * The part of membership that turns settings, promises and the byte budget into deadlines.
+ * Membership: derives deadlines from settings, announced intervals and the byte budget.
  */
 #include "membership.h"
 
@@ -9,7 +9,7 @@
 namespace almondridge::peers {
 namespace {
 
-/** The longest wait between two tries of a dead member or seed, in intervals: 2 to this power. */
+/** Limit of the backoff for dead members and seeds: 2^MaxBackoffShift intervals. */
 constexpr unsigned MaxBackoffShift = 4;
 
 } // namespace
@@ -36,30 +36,32 @@
 
 void Membership::setExchangeBytes(double bytes)
 {
-    // The links are counted again only when it matters: this comes with every exchange.
-    constexpr double Noticeable = 0.02;
-    if (std::abs(bytes - exchangeBytes_) > Noticeable * exchangeBytes_) {
+    // Called after every exchange, so small changes don't recompute the intervals.
+    constexpr double MinRelativeChange = 0.02;
+    if (std::abs(bytes - exchangeBytes_) > MinRelativeChange * exchangeBytes_) {
         exchangeBytes_ = bytes;
         refreshIntervals();
     }
 }
 
-Intervals stretchedIntervals(Duration interval, double nearLinks, double farLinks,
-                             double exchangesPerSecond)
+Intervals stretchIntervals(Duration interval, double ownDomainLinks, double crossDomainLinks,
+                           double exchangesPerSecond)
 {
     const double plain = toSeconds(interval);
-    if ((nearLinks + farLinks) / plain <= exchangesPerSecond) {
+    if ((ownDomainLinks + crossDomainLinks) / plain <= exchangesPerSecond) {
         return {interval, interval};
     }
     const auto seconds = [](double count) {
         return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
     };
-    const double leftForFar = exchangesPerSecond - nearLinks / plain;
-    if (leftForFar > 0 && farLinks / leftForFar <= FarIntervalFactor * plain) {
-        return {interval, seconds(farLinks / leftForFar)};
+    const double crossDomainRate = exchangesPerSecond - ownDomainLinks / plain;
+    if (crossDomainRate > 0
+        && crossDomainLinks / crossDomainRate <= CrossDomainIntervalFactor * plain) {
+        return {interval, seconds(crossDomainLinks / crossDomainRate)};
     }
-    const Duration near = seconds((nearLinks + farLinks / FarIntervalFactor) / exchangesPerSecond);
-    return {near, FarIntervalFactor * near};
+    const Duration ownDomainInterval = seconds(
+        (ownDomainLinks + crossDomainLinks / CrossDomainIntervalFactor) / exchangesPerSecond);
+    return {ownDomainInterval, CrossDomainIntervalFactor * ownDomainInterval};
 }
 
 void Membership::refreshIntervals()
@@ -68,20 +70,21 @@
     if (settings_.budgetBytesPerSecond_ <= 0 || exchangeBytes_ <= 0) {
         return;
     }
-    double near = 0;
-    double far = 0;
+    double ownDomainLinks = 0;
+    double crossDomainLinks = 0;
     for (const auto &[instance, record] : records_) {
         if (record.member_.alive_ && (record.linked_ || record.direct_)) {
-            (record.member_.domain_ == settings_.self_.domain_ ? near : far) += 1;
+            (record.member_.domain_ == settings_.self_.domain_ ? ownDomainLinks
+                                                               : crossDomainLinks) += 1;
         }
     }
-    intervals_ = stretchedIntervals(settings_.interval_, near, far,
-                                    settings_.budgetBytesPerSecond_ / exchangeBytes_);
+    intervals_ = stretchIntervals(settings_.interval_, ownDomainLinks, crossDomainLinks,
+                                  settings_.budgetBytesPerSecond_ / exchangeBytes_);
 }
 
 Duration Membership::intervalTo(const DomainId &domain) const
 {
-    return domain == settings_.self_.domain_ ? intervals_.near_ : intervals_.far_;
+    return domain == settings_.self_.domain_ ? intervals_.ownDomain_ : intervals_.crossDomain_;
 }
 
 } // namespace almondridge::peers
--- a/libs/peers/src/proof.cpp
+++ b/libs/peers/src/proof.cpp
@@ -27,8 +27,8 @@
 }
 
 /**
- * Appends a field with its length before it. Without the lengths two different messages could
- * give the same text ("ab" + "c" and "a" + "bc") and thus share a proof.
+ * Appends a field prefixed with its length. Without the lengths two different messages could
+ * give the same text ("ab" + "c" and "a" + "bc") and thus the same proof.
  */
 void appendField(std::string &text, std::string_view field)
 {
@@ -45,7 +45,7 @@
     if (HMAC(EVP_sha256(), key.data(), static_cast<int>(key.size()), bytes, text.size(),
              digest.data(), &size)
         == nullptr) {
-        throw std::runtime_error("OpenSSL refused to compute HMAC-SHA256");
+        throw std::runtime_error("OpenSSL failed to compute HMAC-SHA256");
     }
     return toHex(digest.data(), size);
 }
@@ -60,11 +60,12 @@
 
 } // namespace
 
-Prover::Prover(std::string key)
+MessageAuthenticator::MessageAuthenticator(std::string key)
     : key_(std::move(key))
 { }
 
-std::string Prover::requestProof(const H2Message &request, std::string_view audience) const
+std::string MessageAuthenticator::requestProof(const H2Message &request,
+                                               std::string_view audience) const
 {
     std::string text;
     text.reserve(request.body_.size() + 256);
@@ -77,11 +78,12 @@
     return hmac(key_, text);
 }
 
-std::string Prover::answerProof(const H2Message &answer, std::string_view requestNonce) const
+std::string MessageAuthenticator::answerProof(const H2Message &answer,
+                                              std::string_view requestNonce) const
 {
     std::string text;
     text.reserve(answer.body_.size() + 256);
-    // No method is called so, which keeps the proof of an answer from passing for a request's.
+    // No HTTP method has this name, so the proof of an answer is never valid for a request.
     appendField(text, "answer");
     appendField(text, std::to_string(answer.status_));
     appendSender(text, answer);
@@ -90,7 +92,7 @@
     return hmac(key_, text);
 }
 
-bool Prover::same(std::string_view left, std::string_view right) noexcept
+bool MessageAuthenticator::equalConstantTime(std::string_view left, std::string_view right) noexcept
 {
     return left.size() == right.size()
            && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
@@ -100,7 +102,7 @@
 {
     std::array<unsigned char, NonceBytes> bytes {};
     if (RAND_bytes(bytes.data(), static_cast<int>(bytes.size())) != 1) {
-        throw std::runtime_error("OpenSSL has no random bytes");
+        throw std::runtime_error("OpenSSL failed to generate random bytes");
     }
     return toHex(bytes.data(), bytes.size());
 }
@@ -109,28 +111,29 @@
     : capacity_(capacity)
 { }
 
-ProofVerdict ReplayWindow::admit(std::string_view instance, std::string_view nonce, TimePoint now)
+AuthenticationResult ReplayWindow::admit(std::string_view instance, std::string_view nonce,
+                                         TimePoint now)
 {
-    while (!inOrder_.empty() && inOrder_.front().deadline_ <= now) {
-        seen_.erase(inOrder_.front().key_);
-        inOrder_.pop_front();
+    while (!byDeadline_.empty() && byDeadline_.front().deadline_ <= now) {
+        seen_.erase(byDeadline_.front().key_);
+        byDeadline_.pop_front();
     }
     std::string key(instance);
     key += '/';
     key += nonce;
     if (seen_.count(key) != 0) {
-        return ProofVerdict::Replayed;
+        return AuthenticationResult::Replayed;
     }
     if (seen_.size() >= capacity_) {
-        return ProofVerdict::Full;
+        return AuthenticationResult::Full;
     }
-    // A message from a clock that is MaxClockSkew ahead stays in time for twice that span.
-    inOrder_.push_back({now + 2 * MaxClockSkew, key});
+    // A message from a clock that is MaxClockSkew ahead is accepted for twice that time.
+    byDeadline_.push_back({now + 2 * MaxClockSkew, key});
     seen_.insert(std::move(key));
-    return ProofVerdict::Valid;
+    return AuthenticationResult::Valid;
 }
 
-bool inTime(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept
+bool isWithinClockSkew(std::string_view messageMillis, std::int64_t wallNowMillis) noexcept
 {
     std::int64_t sent = 0;
     const char *const end = messageMillis.data() + messageMillis.size();
--- a/libs/peers/src/sharedmembership.cpp
+++ b/libs/peers/src/sharedmembership.cpp
@@ -4,21 +4,21 @@
 namespace {
 
 /**
- * What one exchange costs besides its two bodies: HTTP/2 frames and fields both ways, as measured
- * by benchmarks/peers.cpp, and three TCP segments of 52 bytes of headers each (request, answer,
+ * Bytes of one exchange besides its two bodies: HTTP/2 frames and fields in both directions (see
+ * benchmarks/peers.cpp), and three TCP segments with 52 bytes of headers each (request, answer,
  * acknowledgement).
  */
 constexpr double ExchangeOverheadBytes = 360;
-/** Share of the newest exchange in the average. */
-constexpr double Newest = 0.125;
+/** Weight of the newest exchange in the moving average. */
+constexpr double NewestWeight = 0.125;
 
 } // namespace
 
 SharedMembership::SharedMembership(MembershipSettings settings, PeerEvents &events,
-                                   DigestListener onHeard)
+                                   DigestListener onFreshHeartbeat)
     : self_(settings.self_)
     , events_(events)
-    , onHeard_(std::move(onHeard))
+    , onFreshHeartbeat_(std::move(onFreshHeartbeat))
     , membership_(std::move(settings))
 { }
 
@@ -40,25 +40,26 @@
     membership_.seed(addresses, BootClock::now());
 }
 
-HeardVerdict SharedMembership::heard(const Heartbeat &heartbeat,
-                                     const std::optional<PeerAddress> &askedAt)
+HeartbeatResult SharedMembership::onHeartbeat(const Heartbeat &heartbeat,
+                                              const std::optional<PeerAddress> &answeringAddress)
 {
     std::unique_lock lock(mutex_);
-    const HeardVerdict verdict = membership_.heard(heartbeat, BootClock::now(), askedAt);
-    const std::optional<Member> member = onHeard_ && verdict == HeardVerdict::Fresh
+    const HeartbeatResult result =
+        membership_.onHeartbeat(heartbeat, BootClock::now(), answeringAddress);
+    const std::optional<Member> member = onFreshHeartbeat_ && result == HeartbeatResult::Fresh
                                              ? membership_.member(heartbeat.sender_.instance_)
                                              : std::nullopt;
     reportEvents(lock);
     if (member) {
-        onHeard_(*member);
+        onFreshHeartbeat_(*member);
     }
-    return verdict;
+    return result;
 }
 
-void SharedMembership::unanswered(const PeerAddress &address)
+void SharedMembership::onNoAnswer(const PeerAddress &address)
 {
     std::unique_lock lock(mutex_);
-    membership_.unanswered(address, BootClock::now());
+    membership_.onNoAnswer(address, BootClock::now());
     reportEvents(lock);
 }
 
@@ -70,10 +71,10 @@
     return targets;
 }
 
-void SharedMembership::makeDue(TimePoint now)
+void SharedMembership::scheduleHeartbeatsNow(TimePoint now)
 {
     const std::lock_guard lock(mutex_);
-    membership_.makeDue(now);
+    membership_.scheduleHeartbeatsNow(now);
 }
 
 TimePoint SharedMembership::nextDeadline() const
@@ -112,19 +113,19 @@
     return membership_.member(instance);
 }
 
-void SharedMembership::exchanged(std::size_t bodyBytes)
+void SharedMembership::onExchanged(std::size_t bodyBytes)
 {
     const std::lock_guard lock(mutex_);
     const double bytes = static_cast<double>(bodyBytes) + ExchangeOverheadBytes;
     exchangeBytes_ =
-        exchangeBytes_ == 0 ? bytes : exchangeBytes_ + Newest * (bytes - exchangeBytes_);
+        exchangeBytes_ == 0 ? bytes : exchangeBytes_ + NewestWeight * (bytes - exchangeBytes_);
     membership_.setExchangeBytes(exchangeBytes_);
 }
 
 Duration SharedMembership::longestInterval() const
 {
     const std::lock_guard lock(mutex_);
-    // No member stands in a domain without a name, so this is an interval to another domain.
+    // No member has an empty domain, so this is the interval to other domains.
     return membership_.intervalTo(DomainId());
 }
 
--- a/libs/peers/src/sharedmembership.h
+++ b/libs/peers/src/sharedmembership.h
@@ -1,5 +1,5 @@
 /**
- * Membership for several threads: its lock, this instance's digest, and events reported on.
+ * Thread-safe Membership that also stores this instance's digest and reports member events.
  */
 #pragma once
 
@@ -14,26 +14,28 @@
 class SharedMembership
 {
 public:
-    /** onHeard, if any, is called on the thread that heard, without the lock. */
-    SharedMembership(MembershipSettings settings, PeerEvents &events, DigestListener onHeard);
+    /** onFreshHeartbeat may be empty. It is called without the lock, on the thread that calls
+     * onHeartbeat(). */
+    SharedMembership(MembershipSettings settings, PeerEvents &events,
+                     DigestListener onFreshHeartbeat);
 
     const PeerIdentity &self() const noexcept { return self_; }
 
     void seed(const std::vector<PeerAddress> &addresses);
-    HeardVerdict heard(const Heartbeat &heartbeat,
-                       const std::optional<PeerAddress> &askedAt = std::nullopt);
-    void unanswered(const PeerAddress &address);
+    HeartbeatResult onHeartbeat(const Heartbeat &heartbeat,
+                                const std::optional<PeerAddress> &answeringAddress = std::nullopt);
+    void onNoAnswer(const PeerAddress &address);
     std::vector<HeartbeatTarget> advance(TimePoint now);
-    void makeDue(TimePoint now);
+    void scheduleHeartbeatsNow(TimePoint now);
     TimePoint nextDeadline() const;
     Heartbeat compose(const InstanceId &to);
     void setLeaving();
     void setDigest(nlohmann::json digest);
     std::vector<Member> members() const;
     std::optional<Member> member(const InstanceId &instance) const;
-    /** Bodies of one exchange of heartbeats, without headers. */
-    void exchanged(std::size_t bodyBytes);
-    /** The longest interval in use, for what must not be shorter. */
+    /** Updates the average exchange size. bodyBytes: both bodies of one exchange, no headers. */
+    void onExchanged(std::size_t bodyBytes);
+    /** The longest heartbeat interval in use; idle timeouts must exceed it. */
     Duration longestInterval() const;
 
 private:
@@ -41,7 +43,7 @@
 
     const PeerIdentity self_;
     PeerEvents &events_;
-    const DigestListener onHeard_;
+    const DigestListener onFreshHeartbeat_;
     mutable std::mutex mutex_;
     Membership membership_;
     nlohmann::json digest_;
--- a/libs/peers/tests/hostileinputtest.cpp
+++ b/libs/peers/tests/hostileinputtest.cpp
@@ -26,8 +26,8 @@
     return bytes;
 }
 
-/** Flips, removes, repeats or cuts off parts of bytes. */
-std::string mutated(Random &random, std::string bytes)
+/** Randomly changes, removes, repeats or truncates parts of bytes. */
+std::string mutate(Random &random, std::string bytes)
 {
     for (std::size_t changes = 1 + random() % 4; changes > 0 && !bytes.empty(); --changes) {
         const std::size_t at = random() % bytes.size();
@@ -67,18 +67,18 @@
 Heartbeat rawHeartbeat()
 {
     Heartbeat heartbeat;
-    // Nobody listens there; the port is out of the range that the system deals out.
+    // Nothing listens there; the port is outside of the ephemeral range.
     heartbeat.sender_ = {InstanceId("raw"), DomainId("north"), {"127.0.0.1", 9}, 1, false};
     heartbeat.sequence_ = 1;
-    heartbeat.withinMillis_ = 60'000;
+    heartbeat.nextWithinMillis_ = 60'000;
     return heartbeat;
 }
 
-/** A peer that knows the key and says what no exchange would say. */
-class ProvedClient
+/** A client with the shared key that can send invalid requests. */
+class AuthenticatedClient
 {
 public:
-    explicit ProvedClient(std::uint16_t port)
+    explicit AuthenticatedClient(std::uint16_t port)
         : address_ {"127.0.0.1", port}
         , client_(port)
     {
@@ -88,13 +88,13 @@
                            .sender_.incarnation_;
     }
 
-    /** Status 0 when the stream was reset instead of answered. */
+    /** Returns the answer; its status is 0 if the stream was reset. */
     H2Message exchange(const std::string &path, std::string body)
     {
         H2Message request = requestTo(path, address_, std::move(body));
-        const Audience audience {address_, incarnation_, greeting_, session_.nextStream()};
-        request.proof_ = Prover(SharedKey).requestProof(request, toString(audience));
-        greeting_ = greeting_.empty() ? request.nonce_ : greeting_;
+        const Audience audience {address_, incarnation_, handshakeNonce_, session_.nextStream()};
+        request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(audience));
+        handshakeNonce_ = handshakeNonce_.empty() ? request.nonce_ : handshakeNonce_;
         session_.request(std::move(request));
         std::vector<H2Event> events;
         std::size_t taken = 0;
@@ -124,15 +124,15 @@
     RawClient client_;
     H2Session session_ {H2Role::Client, 1 << 20};
     std::uint64_t incarnation_ = 0;
-    std::string greeting_;
+    std::string handshakeNonce_;
 };
 
-/** The bytes of a client that opens a connection and sends a proved heartbeat. */
+/** The bytes of a client that sends an authenticated heartbeat on a new connection. */
 std::string validStream(const PeerAddress &address)
 {
     H2Session session(H2Role::Client, 1 << 20);
     H2Message request = requestTo("/peer/heartbeat", address, encodeHeartbeat(rawHeartbeat()));
-    request.proof_ = Prover(SharedKey).requestProof(request, toString(address));
+    request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(address));
     session.request(std::move(request));
     std::string bytes;
     session.takeOutput(bytes, 1 << 16);
@@ -143,7 +143,7 @@
 
 BOOST_AUTO_TEST_SUITE(HostileInput)
 
-BOOST_AUTO_TEST_CASE(sessionsSurviveAnyBytes)
+BOOST_AUTO_TEST_CASE(sessionsSurviveArbitraryBytes)
 {
     Random random(1);
     const std::string valid = validStream({"127.0.0.1", 9});
@@ -152,7 +152,7 @@
         H2Session client(H2Role::Client, 1'000);
         client.request(requestTo("/peer/echo", {"127.0.0.1", 9}, "body"));
         const std::string bytes =
-            round % 4 == 0 ? randomBytes(random, random() % 300) : mutated(random, valid);
+            round % 4 == 0 ? randomBytes(random, random() % 300) : mutate(random, valid);
         std::string output;
         server.receive(bytes);
         for (const H2Event &event : server.takeEvents()) {
@@ -161,7 +161,7 @@
             server.answer(event.stream_, answer);
         }
         server.takeOutput(output, 1 << 16);
-        client.receive(mutated(random, output));
+        client.receive(mutate(random, output));
         client.takeEvents();
     }
     H2Session server(H2Role::Server, 1'000);
@@ -169,7 +169,7 @@
     BOOST_TEST(server.takeEvents().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(heartbeatsOfAnyBytesAreReadOrRefused)
+BOOST_AUTO_TEST_CASE(arbitraryBytesAreDecodedOrRejectedAsHeartbeats)
 {
     Random random(2);
     Heartbeat heartbeat = rawHeartbeat();
@@ -178,7 +178,7 @@
     const std::string valid = encodeHeartbeat(heartbeat);
     int refused = 0;
     for (int round = 0; round < 20'000; ++round) {
-        const std::string bytes = mutated(random, valid);
+        const std::string bytes = mutate(random, valid);
         const auto decoded =
             capture([&] { return decodeHeartbeat(bytes, InstanceId("raw"), DomainId("north")); });
         refused += decoded.index() == 1 ? 1 : 0;
@@ -187,10 +187,9 @@
     BOOST_TEST(refused < 20'000);
 }
 
-// A user sees instances fall one after the other, or stand still.
-// Something on the network, a scanner or a faulty program, sends bytes to the peer port.
-// Cause: bytes that are trusted before they are checked.
-BOOST_AUTO_TEST_CASE(anExchangeServesOnAfterAnyBytes)
+// Guards against crashes and hangs when a scanner or a faulty program sends arbitrary bytes to the
+// peer port and they are used before they are validated.
+BOOST_AUTO_TEST_CASE(exchangeKeepsServingAfterArbitraryBytes)
 {
     Random random(3);
     const auto first = launch(builder("a"));
@@ -199,16 +198,16 @@
     for (int round = 0; round < 300; ++round) {
         RawClient client(first->port());
         client.send(round % 4 == 0 ? randomBytes(random, random() % 2'000)
-                                   : mutated(random, validStream(addressOf(*first))));
+                                   : mutate(random, validStream(addressOf(*first))));
     }
-    BOOST_TEST(ask(*second, "a", "echo", 1).index() == 0U);
+    BOOST_TEST(sendRequest(*second, "a", "echo", 1).index() == 0U);
     BOOST_TEST(seesAlive(*first, "b"));
 }
 
-BOOST_AUTO_TEST_CASE(bodiesThatAreNoCborOrTooLargeAreRefusedAndTheConnectionServesOn)
+BOOST_AUTO_TEST_CASE(invalidOrTooLargeBodiesAreRejectedAndTheConnectionStaysUsable)
 {
     const auto exchange = launch(builder("a").heartbeat(millis(500), millis(30'000)));
-    ProvedClient client(exchange->port());
+    AuthenticatedClient client(exchange->port());
     BOOST_TEST(client.exchange("/peer/echo", "\xff\xff").status_ == 400);
     BOOST_TEST(client.exchange("/peer/echo", std::string(100'000, '\x81')).status_ == 400);
     BOOST_TEST(client.exchange("/peer/echo", "").status_ == 400);
@@ -224,7 +223,7 @@
     const auto exchange = launch(builder("a"));
     const PeerAddress address = addressOf(*exchange);
     H2Message request = requestTo("/peer/echo", address, encodeCbor(1));
-    request.proof_ = Prover(SharedKey).requestProof(request, toString(address));
+    request.proof_ = MessageAuthenticator(SharedKey).requestProof(request, toString(address));
     H2Session session(H2Role::Client, 1 << 20);
     session.request(std::move(request));
     std::string bytes;
@@ -237,10 +236,9 @@
     BOOST_TEST(events.front().message_.status_ == StatusUnauthorized);
 }
 
-// A user sees an instance take its state from something that is no instance.
-// Another program listens at the address of an instance that was replaced, and answers.
-// Cause: believing an answer because the request was one's own.
-BOOST_AUTO_TEST_CASE(aServerThatDoesNotKnowTheKeyIsNoticed)
+// Guards against accepting state from a program that is not an instance, but listens at the address
+// of one that was replaced: answers must be authenticated too.
+BOOST_AUTO_TEST_CASE(serverWithoutTheKeyIsRejected)
 {
     std::uint16_t port = 0;
     const OwnedDescriptor listener = listenOn({"127.0.0.1", 0}, port);
@@ -270,20 +268,19 @@
     BOOST_TEST(exchange->members().empty());
 }
 
-// A user sees instances run out of file descriptors.
-// Connections are opened and left alone, by a scanner or by machines that vanished.
-// Cause: waiting for ever for a first message.
+// Guards against running out of file descriptors when scanners or failed machines leave connections
+// open without sending a complete first message.
 BOOST_AUTO_TEST_CASE(halfOpenConnectionsAreClosedByADeadline)
 {
     const auto exchange = launch(builder("a").heartbeat(Interval, millis(200)));
-    RawClient quiet(exchange->port());
-    RawClient begun(exchange->port());
-    begun.send(validStream(addressOf(*exchange)).substr(0, 40));
-    BOOST_TEST(quiet.closedByPeer());
-    BOOST_TEST(begun.closedByPeer());
+    RawClient silentClient(exchange->port());
+    RawClient partialClient(exchange->port());
+    partialClient.send(validStream(addressOf(*exchange)).substr(0, 40));
+    BOOST_TEST(silentClient.closedByPeer());
+    BOOST_TEST(partialClient.closedByPeer());
 }
 
-BOOST_AUTO_TEST_CASE(unprovedConnectionsAreBoundedAndTheOldestGivesWay)
+BOOST_AUTO_TEST_CASE(unauthenticatedConnectionsAreLimitedAndTheOldestIsClosed)
 {
     const Duration hour = std::chrono::hours(1);
     const auto exchange = launch(builder("a").heartbeat(hour, 3 * hour));
@@ -294,9 +291,9 @@
         clients.push_back(std::make_unique<RawClient>(exchange->port()));
     }
     BOOST_TEST(clients.front()->closedByPeer());
-    // A peer that knows the key gets in all the same.
-    ProvedClient proved(exchange->port());
-    BOOST_TEST(proved.exchange("/peer/echo", encodeCbor(1)).status_ == StatusOk);
+    // A client with the key is still accepted.
+    AuthenticatedClient peer(exchange->port());
+    BOOST_TEST(peer.exchange("/peer/echo", encodeCbor(1)).status_ == StatusOk);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
