--- a/libs/control/include/almondridge/control/controllog.h
+++ b/libs/control/include/almondridge/control/controllog.h
@@ -1,7 +1,7 @@
 /**
- * The running side of the fold: follows the log on a thread of its own, groups appends within
- * the instance's budget, and tells what is in force. Falls back to peers when the log is out or
- * trimmed.
+ * Keeps a fold up to date with the log. Reads the log and folds it on threads of its own, batches
+ * appends within the instance's rate limit, and provides the current state. Reads from peers when
+ * the log is unavailable or trimmed.
  */
 #pragma once
 
@@ -15,22 +15,22 @@
 
 namespace almondridge::control {
 
-/** Where records come from when the log does not give them. Implemented over peers by the app. */
+/** A source of records for when the log is unavailable; the app implements it over peers. */
 class RecordSource
 {
 public:
     virtual ~RecordSource() = default;
-    /** Records from offset on, or a snapshot and what follows it; empty when no peer has more. */
+    /** Records starting at offset from, or a snapshot and the records after it; may be empty. */
     virtual std::vector<store::LogRecord> recordsFrom(LogOffset from) = 0;
 };
 
-/** What an append does while the log is out. */
+/** What an append does while the log is unavailable. */
 enum class WhenOut {
-    Retry, ///< Tries again until its deadline.
-    Fail,  ///< Gives up as soon as the log refuses it.
+    Retry, ///< Retries until its deadline.
+    Fail,  ///< Fails as soon as the log refuses it.
 };
 
-/** The verdict on an appended record, once the log could be read past it. */
+/** The verdict on an appended record, known once the record was read back and folded. */
 struct AppendVerdict
 {
     LogOffset offset_ = 0;
@@ -39,9 +39,9 @@
 };
 
 /**
- * Called on the follower's thread after each folded record, without locks held, and before an
- * append() of this instance that waits for the record returns. A step that jumped stands for
- * any number of records that were never seen one by one. Must not call append().
+ * Called on the follower's thread after each folded record, without locks held and before the
+ * append() that waits for the record returns. A step with jumped_ set stands for any number of
+ * records that were not read. Must not call append().
  */
 using FoldListener = std::function<void(const FoldStep &)>;
 
@@ -55,30 +55,30 @@
     ControlLog &operator=(const ControlLog &) = delete;
 
     void start();
-    /** Ends the threads. Waiting appends fail: Unavailable when never sent, else Interrupted. */
+    /** Ends the threads. Pending appends fail: Unavailable if never sent, otherwise Interrupted. */
     void stop();
 
     /**
-     * Appends a record in the next group and waits until its verdict is folded, or deadline.
-     * Unavailable: not appended, also while this instance does not know the log's state.
-     * Interrupted: appended or not, not known by deadline.
+     * Appends a record with the next batch and waits until it is folded. Errors: Unavailable, the
+     * record was not appended, for example because this instance does not know the log's state;
+     * Interrupted, it is not known by deadline whether the record was appended.
      */
     Result<AppendVerdict> append(const Record &record, TimePoint deadline,
                                  WhenOut whenOut = WhenOut::Retry);
-    /** As append() without waiting: tries until deadline, and nobody hears of the verdict. */
+    /** Like append(), but does not wait; retries until deadline and discards the verdict. */
     void post(const Record &record, TimePoint deadline);
-    /** Waits until no appended or posted record is under way. False at deadline. */
+    /** Waits until no appended or posted record is pending. False at deadline. */
     bool flush(TimePoint deadline) const;
 
     /**
-     * Whether the log, or the peers, were once read to their end. An empty log read to its end is
-     * a known state; a trimmed log without a snapshot is not.
+     * Whether the log or a peer was once read to its end. The state of an empty log is known; that
+     * of a trimmed log without a snapshot is not.
      */
     bool caughtUp() const noexcept;
-    /** Waits until all that the log holds now is folded. Unavailable when it cannot be read. */
+    /** Waits until all records now in the log are folded. Unavailable when it cannot be read. */
     Result<void> catchUp(TimePoint deadline);
 
-    /** Runs reader on the fold under its lock. Keep it short. */
+    /** Runs reader on the fold while holding its lock, so reader has to be short. */
     template <typename Reader>
     auto read(Reader &&reader) const
     {
@@ -86,26 +86,26 @@
         return reader(fold());
     }
 
-    /** The configuration in force with its text. */
+    /** The current fleet configuration and its text. */
     AcceptedFleet fleet() const;
-    /** The fleet in force, or null; copies a shared pointer. */
+    /** The current fleet, or null. Cheap: copies a shared pointer. */
     std::shared_ptr<const fleet::Fleet> fleetInForce() const;
-    /** Waits until revision or a later one is in force. False at deadline. */
+    /** Waits until the current revision is at least revision. False at deadline. */
     bool waitForRevision(Revision revision, TimePoint deadline) const;
 
     /**
-     * Records from offset on that this instance still holds, for peers; a snapshot, as a record
-     * of offset 0, and what follows it when from is older than what is held.
+     * Records for peers, starting at offset from. When this instance no longer holds that offset,
+     * a snapshot, as a record with offset 0, and the records after it.
      */
     std::vector<store::LogRecord> recordsFrom(LogOffset from, std::size_t limit) const;
-    /** Hands in records that a peer announced. The follower folds those that come next. */
+    /** Passes on records received from a peer; the follower folds those that come next. */
     void offer(std::vector<store::LogRecord> records);
 
     /** Whether the last read or append of the log succeeded. */
     bool logReachable() const noexcept;
-    /** Appends made so far (groups, not records). */
+    /** Number of append calls so far; one call may append several records. */
     std::uint64_t appends() const noexcept;
-    /** Adds a listener; before start() only. */
+    /** Adds a listener. Only before start(). */
     void listen(FoldListener listener);
 
 private:
@@ -126,13 +126,13 @@
     Builder &keyHorizon(std::int64_t millis);
     Builder &appendsPerSecond(std::int64_t count);
     Builder &snapshotEvery(std::int64_t records);
-    /** Instances spread their snapshots over so many milliseconds, so that few write at once. */
+    /** The window, in ms, over which instances spread their snapshots so that few collide. */
     Builder &snapshotWindow(std::int64_t millis);
-    /** How long one read waits at the log's end, and how long stop() may take. */
+    /** How long one read waits at the log's end, in ms; also bounds the duration of stop(). */
     Builder &readWait(std::int64_t millis);
-    /** Least time between two reads while no append of this instance waits for its verdict. */
+    /** Minimum ms between two reads while no append of this instance waits for its verdict. */
     Builder &readPause(std::int64_t millis);
-    /** Seeds the jitter; without it, the system's random device does. */
+    /** Seeds the jitter; the default seed is from the system's random device. */
     Builder &seed(std::uint64_t value);
     std::unique_ptr<ControlLog> build();
 
--- a/libs/control/include/almondridge/control/enginetargets.h
+++ b/libs/control/include/almondridge/control/enginetargets.h
@@ -1,5 +1,6 @@
 /**
- * What a fleet file and the planner's roles want of each engine of a failure domain. Pure.
+ * Computes the target state of each engine of a failure domain from the fleet file and the
+ * planner's roles.
  */
 #pragma once
 
@@ -10,28 +11,28 @@
 
 namespace almondridge::control {
 
-/** The roles wanted by the planner; engines not named keep the file's role. */
+/** The roles wanted by the planner; other engines keep the fleet file's role. */
 using WantedRoles = std::map<EndpointId, fleet::EngineRole>;
 
 /**
- * The targets of the domain's engines that stay. Wanted roles count as far as the file's role
- * bounds allow: all of them when they do together, else one after the other in the order of the
- * ids. Engines that leave, by the file or by leaving, have no target.
+ * Returns the targets of the domain's engines, except for those that the fleet file or leaving
+ * marks as leaving. Wanted roles are used as far as the file's role bounds allow: all of them if
+ * together they respect the bounds, otherwise each one that does, in the order of the ids.
  */
 std::map<EndpointId, EngineTarget> wantedTargets(const fleet::Fleet &fleet, const DomainId &domain,
                                                  const WantedRoles &roles,
                                                  const std::set<EndpointId> &leaving = {});
 
-/** Whether going from one target to the other makes the engine fetch weights. */
+/** Whether the engine has to fetch weights to change from one target to the other. */
 bool needsLoad(const EngineTarget &from, const EngineTarget &to) noexcept;
 
-/** Whether the targets are the same but for admit, which takes effect without a change. */
+/** Whether the targets differ only in admit_, which takes effect immediately. */
 bool differsInAdmitOnly(const EngineTarget &from, const EngineTarget &to);
 
-/** The target with admit set as given. */
+/** Returns the target with admit_ set to admit. */
 EngineTarget withAdmit(EngineTarget target, bool admit);
 
-/** "model@version role=decode admit=true adapters=a@1", for explanations. */
+/** A readable form for logs: "model@version role=decode admit=true adapter=a@1". */
 std::string describe(const EngineTarget &target);
 
 } // namespace almondridge::control
--- a/libs/control/include/almondridge/control/fold.h
+++ b/libs/control/include/almondridge/control/fold.h
@@ -1,6 +1,7 @@
 /**
- * The fold of the control log: the same prefix gives every reader the same state and verdicts.
- * Pure: no clock, socket or thread inside.
+ * The deterministic state machine that applies ("folds") the records of the control log. Every
+ * reader that has folded the same prefix has the same state and verdicts. Uses no clock, socket
+ * or thread.
  */
 #pragma once
 
@@ -16,9 +17,9 @@
 
 enum class Verdict {
     Accepted,
-    Rejected,  ///< Its condition did not hold.
-    Duplicate, ///< Already folded: an older offset, or the same apply id again.
-    Malformed, ///< No record of ours.
+    Rejected,  ///< The record's condition did not hold.
+    Duplicate, ///< Folded before: a lower offset, or an apply id that was accepted before.
+    Malformed, ///< Not a control record.
 };
 
 inline constexpr std::array<EnumName<Verdict>, 4> VerdictNames {{
@@ -28,7 +29,7 @@
     {Verdict::Malformed, "malformed"},
 }};
 
-/** The configuration in force. */
+/** The fleet configuration that was accepted last. */
 struct AcceptedFleet
 {
     Revision revision_ = 0;
@@ -37,18 +38,18 @@
     std::string operator_;
 };
 
-/** A failure domain's lease as the log has it. Who still counts on it is LeaseKeeper's matter. */
+/** A failure domain's lease as recorded in the log. LeaseKeeper tracks when it expires. */
 struct LeaseState
 {
     DomainId domain_;
     InstanceId holder_;
     Fence fence_ = 0;          ///< Offset of the accepted claim.
-    LogOffset lastRecord_ = 0; ///< Claim or latest renewal; what a claim must name as previous.
+    LogOffset lastRecord_ = 0; ///< Claim or latest renewal; the next claim must name it.
     std::int64_t termMillis_ = 0;
     bool released_ = false;
 };
 
-/** An order that may be under way. */
+/** An intent without an outcome yet: its order may be in progress. */
 struct OpenIntent
 {
     LogOffset offset_ = 0;
@@ -66,69 +67,69 @@
     std::string body_;
 };
 
-/** When a key was claimed, for forgetting it. */
+/** When a key was claimed; decides when the claim is dropped. */
 struct ClaimAge
 {
     std::int64_t wallMillis_ = 0;
     std::string key_;
 };
 
-/** What folding one record did. */
+/** The result of folding one record. */
 struct FoldStep
 {
     LogOffset offset_ = 0;
     Verdict verdict_ = Verdict::Rejected;
     Record record_ {};
-    std::string reason_;   ///< For rejected records: what was in force instead.
-    std::string recordId_; ///< The id that the record's writer gave it, if any.
-    bool jumped_ = false;  ///< A snapshot took the fold over records that were not seen.
+    std::string reason_;   ///< Why the record was not accepted.
+    std::string recordId_; ///< The id assigned by the record's writer; may be empty.
+    bool jumped_ = false;  ///< A snapshot replaced records that were not read here.
 };
 
 class Fold
 {
 public:
     /**
-     * A key's claim is forgotten when a newer claim's wall time is more than the horizon after
-     * it; from then on a claim that old is refused. All instances need the same horizon.
+     * A key's claim is dropped when a newer claim's wall time is more than the horizon later;
+     * from then on, claims that old are rejected. All instances need the same horizon.
      */
     explicit Fold(std::int64_t keyHorizonMillis);
 
     /**
-     * Folds the record at the next offset. An offset below next() is a duplicate and changes
-     * nothing; an offset beyond next() is only taken when the record is a snapshot that covers
-     * what is wanted next. next() is then the offset after what the snapshot covers, which may
-     * lie before the snapshot itself. The caller asks canFold() first.
+     * Folds the record at offset next(). A record with a lower offset is a duplicate and changes
+     * nothing. A record with a higher offset is only folded when it is a snapshot that covers
+     * next(); next() then becomes the offset after the covered range, which may be lower than
+     * the snapshot's own offset. Call canFold() first.
      */
     FoldStep fold(const store::LogRecord &record);
     bool canFold(const store::LogRecord &record) const;
 
-    /** The offset that is wanted next. 1 in an empty fold. */
+    /** The offset of the next record to fold; 1 in an empty fold. */
     LogOffset next() const noexcept { return next_; }
-    /** False until the first record or snapshot: such a reader neither applies nor claims. */
+    /** False until the first record or snapshot was folded; until then nothing may be claimed. */
     bool knowsAnything() const noexcept { return next_ > 1; }
 
     const AcceptedFleet &fleet() const noexcept { return fleet_; }
-    /** Null when the domain never had a lease. */
+    /** The domain's latest lease; null when it never had one. */
     const LeaseState *lease(const DomainId &domain) const noexcept;
     const std::map<EndpointId, OpenIntent> &openIntents() const noexcept { return openIntents_; }
     /**
-     * Highest sequence that a lease in force used for an engine; 0 when none was. An intent that
-     * was rejected because another was open has used its sequence as well.
+     * The highest sequence number used for the engine's intents; 0 when there were none. An
+     * intent that was rejected because another one was open has used up its number as well.
      */
     std::uint64_t lastSequence(const EndpointId &engine) const noexcept;
-    /** The last target whose order is known to be done; null when none is, and after an order
-     * whose outcome is unclear. */
+    /** The target of the last order that is known to be done; null when there is none, and after
+     * an order with an unclear outcome. */
     const EngineTarget *lastDone(const EndpointId &engine) const noexcept;
-    /** Null when the key has no claim within the horizon. */
+    /** The key's claim; null when it has none within the horizon. */
     const KeyClaim *claim(const std::string &key) const noexcept;
-    /** Claims with a wall time before this are forgotten and refused. */
+    /** Claims with an earlier wall time (ms since the epoch) are dropped and rejected. */
     std::int64_t horizonStart() const noexcept;
-    /** The revision that an apply with this id made; 0 when it made none, or long ago. */
+    /** The revision created by the apply with this id; 0 when unknown or no longer remembered. */
     Revision appliedRevision(const std::string &applyId) const noexcept;
 
-    /** The whole state, for a SnapshotRecord. */
+    /** The whole state as JSON, for a SnapshotRecord. */
     std::string snapshot() const;
-    /** Takes over a snapshot's state when it is newer than this one. Protocol when malformed. */
+    /** Replaces the state by the snapshot's if that is newer. Error Protocol when malformed. */
     Result<bool> restore(LogOffset through, const std::string &state);
 
 private:
@@ -152,12 +153,12 @@
     std::int64_t keyHorizonMillis_;
     LogOffset next_ = 1;
     AcceptedFleet fleet_;
-    std::map<std::string, Revision> applies_; ///< Accepted apply ids, the latest ones.
+    std::map<std::string, Revision> applies_; ///< The latest accepted apply ids.
     std::map<DomainId, LeaseState> leases_;
     std::map<EndpointId, OpenIntent> openIntents_;
     std::map<EndpointId, std::uint64_t> lastSequence_;
     std::map<EndpointId, EngineTarget> lastDone_;
-    std::map<std::string, KeyClaim> claims_; ///< May hold some from before the horizon.
+    std::map<std::string, KeyClaim> claims_; ///< May hold some that are older than the horizon.
     std::deque<ClaimAge> claimAges_;         ///< In log order.
     std::int64_t newestClaimMillis_ = 0;
 };
--- a/libs/control/include/almondridge/control/keyclaims.h
+++ b/libs/control/include/almondridge/control/keyclaims.h
@@ -1,6 +1,6 @@
 /**
- * Idempotency keys over the control log: a key's request runs at most once, whichever instances
- * its repeats come through.
+ * Idempotency keys, recorded in the control log: the request of a key runs at most once, even if
+ * it is repeated through other instances.
  */
 #pragma once
 
@@ -10,12 +10,12 @@
 
 namespace almondridge::control {
 
-/** What a claim of an idempotency key came to. */
+/** The result of claiming or looking up an idempotency key. */
 enum class KeyClaimStatus {
-    Claimed,  ///< This request is the first: run it.
-    Finished, ///< Ran before; httpStatus_ and body_ are its stored outcome.
-    Unknown,  ///< Claimed before or perhaps so, outcome not known: never run it.
-    LogOut,   ///< Nothing was claimed by this call, and no earlier claim is known here.
+    Claimed,  ///< This request holds the key and has to be run.
+    Finished, ///< The request ran before; httpStatus_ and body_ are its stored outcome.
+    Unknown,  ///< May have been claimed before, with an unknown outcome: do not run it.
+    LogOut,   ///< The log is unavailable; nothing was claimed and no earlier claim is known.
 };
 
 inline constexpr std::array<EnumName<KeyClaimStatus>, 4> KeyClaimStatusNames {{
@@ -39,20 +39,20 @@
     LogKeyClaims(ControlLog &log, InstanceId self);
 
     /**
-     * Claims key for request, which must run only when the answer is Claimed. With the log out
-     * the answer is LogOut at once.
+     * Claims key for request, which may run only if the status is Claimed. Returns LogOut
+     * immediately when the log is unreachable.
      */
     KeyClaimAnswer claim(const std::string &key, const RequestId &request, TimePoint deadline);
 
     /**
-     * Looks a key up without claiming it, after reading the log to its end if it can be read.
-     * A key that is not found is Unknown: an attempt may have run without the log.
+     * Looks up a key without claiming it, after reading the log to its end if possible. A key
+     * that is not found is Unknown, because a request may have run while the log was unavailable.
      */
     KeyClaimAnswer lookUp(const std::string &key, TimePoint deadline);
 
     /**
-     * Stores the outcome for later repeats and returns at once; ControlLog::flush() waits for it.
-     * A body too long to keep is stored as unknown.
+     * Stores the outcome for later repeats without waiting; ControlLog::flush() waits for it. An
+     * outcome with too long a body is stored as unknown.
      */
     void finish(const std::string &key, const RequestId &request, int httpStatus,
                 const std::string &body);
--- a/libs/control/include/almondridge/control/leaseguard.h
+++ b/libs/control/include/almondridge/control/leaseguard.h
@@ -1,10 +1,10 @@
 /**
- * Cuts an order's socket when the lease lapses, even while the process is paused.
+ * Shuts down an order's socket when the lease expires, even while the process is paused.
  *
- * The failure: a thread checks its lease, is paused past the end of it, wakes, and sends the
- * order it had made ready. No check can stand close enough before the send. The guard is a timer
- * of the kernel, aimed at the thread that sends: its signal is pending when the thread wakes, and
- * the kernel runs the handler, which shuts the socket down, before the thread's next instruction.
+ * It guards against a thread that checks its lease, is paused until after the expiry, resumes and
+ * sends the prepared order; no check in user code is close enough to the send. The guard is a
+ * kernel timer that signals the sending thread: the signal is pending when the thread resumes,
+ * and the kernel runs the handler, which shuts down the socket, before the next instruction.
  */
 #pragma once
 
@@ -15,13 +15,13 @@
 
 namespace almondridge::control {
 
-/** One thread's timer. Made once for each thread that sends orders, and used only by it. */
+/** A thread's timer. Created once per thread that sends orders and used only by that thread. */
 class LeaseGuard
 {
 public:
     /**
-     * The calling thread's guard. Unavailable when the kernel gives no timer: then no order may
-     * be sent.
+     * Returns the calling thread's guard. Error Unavailable when the kernel provides no timer; no
+     * order may be sent then.
      */
     static Result<LeaseGuard *> ofThisThread();
 
@@ -39,9 +39,9 @@
 };
 
 /**
- * Guards a socket for as long as it lives: after deadline nothing more can be sent on it.
- * Arm first, then compare the clock with the deadline, then send. One at a time in a thread, and
- * gone before the socket is closed.
+ * Guards a socket during its own lifetime: nothing can be sent on the socket after deadline.
+ * Construct it first, then compare the clock with the deadline, then send. One at a time per
+ * thread; destroy it before closing the socket.
  */
 class GuardedSocket
 {
--- a/libs/control/include/almondridge/control/leasekeeper.h
+++ b/libs/control/include/almondridge/control/leasekeeper.h
@@ -1,8 +1,9 @@
 /**
- * A failure domain's lease as one instance counts it. Pure: time and chance are passed in.
+ * One instance's view of a failure domain's lease. Time and random numbers are passed in.
  *
- * The holder counts from before it appended; everyone else counts from when they read the
- * record, plus a margin. So a holder stops before anyone else may start.
+ * The holder measures the term from before its append; all other instances measure it from when
+ * they read the record, plus a margin for clock drift. So the holder stops before any other
+ * instance may claim the lease.
  */
 #pragma once
 
@@ -13,15 +14,15 @@
 
 namespace almondridge::control {
 
-/** What the keeper wants done next. */
+/** The next action of the lease protocol. */
 enum class LeaseStep { Wait, Claim, Renew };
 
 /** How long the kernel keeps sending an order that is not acknowledged (TCP_USER_TIMEOUT). */
 inline constexpr std::int64_t OrderUserTimeoutMillis = 1'000;
 
 /**
- * How long after its holder lapsed an order may still reach an engine. The kernel looks at the
- * user timeout only when it would retransmit, hence twice its value.
+ * How long after a lease expired an order of its holder may still reach an engine, in ms. The
+ * kernel checks the user timeout only when it would retransmit, hence twice its value.
  */
 inline constexpr std::int64_t OrderNetworkBoundMillis = 2 * OrderUserTimeoutMillis;
 
@@ -31,36 +32,37 @@
     LeaseKeeper(InstanceId self, DomainId domain, std::int64_t termMillis,
                 std::int64_t marginMillis);
 
-    /** The wait before the next claim or retry, drawn at random by the caller. */
+    /** Sets the random delay, drawn by the caller, before the next claim or retry. */
     void setBackoff(Duration backoff) noexcept { backoff_ = backoff; }
 
-    /** What to append now, if anything; the record is filled in for Claim and Renew. */
+    /** Returns the next action; fills in the record to append for Claim and Renew. */
     LeaseStep next(const Fold &fold, TimePoint now, Record &record);
-    /** The same with the lease that the log has in force; null: the domain never had one. */
+    /** The same, given the domain's latest lease in the log; null when it never had one. */
     LeaseStep next(const LeaseState *inForce, TimePoint now, Record &record);
 
-    /** Called right before the record goes out. One append at a time. */
+    /** Call right before the record is sent. One append at a time. */
     void onAppending(const Record &record, TimePoint now);
     /**
-     * The verdict on the record of the last onAppending(), on this very append and no other. When
-     * it never becomes known nothing is called: the lease is not counted on.
+     * Call with the verdict on exactly the append of the last onAppending(). Not called when the
+     * verdict remains unknown; the lease is then not held.
      */
     void onVerdict(Verdict verdict, LogOffset offset, TimePoint now);
-    /** Called for each folded record, when it was read. */
+    /** Call for each folded record. */
     void onFolded(const FoldStep &step) noexcept;
 
     /**
-     * The record that gives the lease up; onAppending() of it ends the hold. nullopt when not
-     * held, or while a predecessor's order may still reach an engine that ignores fences: a
-     * successor of a released lease does not wait, so such a lease is left to lapse.
+     * The record that releases the lease; passing it to onAppending() ends the hold. nullopt when
+     * the lease is not held, or while an order of a previous holder may still reach an engine that
+     * ignores fences: the successor of a released lease does not wait, so the lease has to expire
+     * instead.
      */
     std::optional<LeaseRenewRecord> release(TimePoint now) const;
 
-    /** The fence under which orders may go out until orderDeadline(); nullopt: not the holder. */
+    /** The fence for orders sent before orderDeadline(); nullopt when this is not the holder. */
     std::optional<Fence> heldFence(TimePoint now) const noexcept;
-    /** The point after which nothing may be sent under the held fence. */
+    /** The time after which no order may be sent under the held fence. */
     TimePoint orderDeadline() const noexcept { return heldUntil_; }
-    /** For a new holder: the point before which no order may go to engines that ignore fences. */
+    /** The time before which a new holder may not send orders to engines that ignore fences. */
     TimePoint firstOrderToIgnoring() const noexcept { return firstOrderToIgnoring_; }
 
 private:
@@ -76,15 +78,15 @@
     Duration margin_;
     Duration backoff_ {};
     Appending appending_ = Appending::Nothing;
-    TimePoint appendingSince_ {};      ///< Before the append that is under way.
-    TimePoint appendingFirstOrder_ {}; ///< firstOrderToIgnoring_ if that claim is accepted.
+    TimePoint appendingSince_ {};      ///< Taken before the pending append.
+    TimePoint appendingFirstOrder_ {}; ///< firstOrderToIgnoring_ if the pending claim is accepted.
     std::optional<Fence> fence_;
     TimePoint heldUntil_ {};
-    TimePoint othersExpire_ {}; ///< When the holder seen in the log has lapsed for sure.
-    TimePoint claimFrom_ {};    ///< The same and the back-off.
+    TimePoint othersExpire_ {}; ///< When the lease seen in the log has surely expired.
+    TimePoint claimFrom_ {};    ///< othersExpire_ plus the random backoff.
     TimePoint nextTry_ {};
     TimePoint firstOrderToIgnoring_ {};
-    std::optional<LogOffset> seenRecord_; ///< 0: the domain was seen without a lease.
+    std::optional<LogOffset> seenRecord_; ///< 0: the log has no lease of the domain.
     bool seenReleased_ = false;
 };
 
--- a/libs/control/include/almondridge/control/ordergate.h
+++ b/libs/control/include/almondridge/control/ordergate.h
@@ -1,6 +1,6 @@
 /**
- * The only way an order leaves this process: on a connection of its own, which the lease guard
- * cuts when the lease lapses, even while the process is paused.
+ * The only code that sends orders to engines. Each order has its own connection, which the lease
+ * guard shuts down when the lease expires, even while the process is paused.
  */
 #pragma once
 
@@ -19,17 +19,17 @@
     {EnginePhase::Unclear, "unclear"},
 }};
 
-/** An engine's own word on its state (GET /engine/state). */
+/** The state reported by an engine (GET /engine/state). */
 struct EngineState
 {
     EngineTarget target_;
     EnginePhase phase_ = EnginePhase::Unclear;
-    int running_ = 0; ///< Requests in work or waiting at the engine.
-    Fence fence_ = 0; ///< Of the last order it took.
-    std::uint64_t sequence_ = 0;
+    int running_ = 0; ///< Requests running or queued at the engine.
+    Fence fence_ = 0; ///< Fence of the last accepted order.
+    std::uint64_t sequence_ = 0; ///< Sequence number of the last accepted order.
 };
 
-/** One order: an absolute target, under the lease that its intent was accepted from. */
+/** An order: the complete target state, with the fence of the lease of its accepted intent. */
 struct EngineOrder
 {
     Fence fence_ = 0;
@@ -38,23 +38,23 @@
     EngineTarget target_;
 };
 
-/** The engine calls that control needs. HTTP in the product, a fake in tests. */
+/** The engine's control calls: over HTTP in production, a fake in tests. */
 class EngineOrders
 {
 public:
     virtual ~EngineOrders() = default;
     virtual Result<EngineState> readState(const fleet::Endpoint &engine, TimePoint deadline) = 0;
     /**
-     * Sends one order. Must not send a byte after sendUntil. StaleFence: the engine has taken an
-     * order of a later lease. Overloaded: another change is under way there. Interrupted: it may
-     * have been taken, now or until OrderNetworkBoundMillis from now. Any other error: it was not
-     * taken.
+     * Sends one order and returns the engine's new state. Must not send a byte after sendUntil.
+     * Errors: StaleFence, the engine has accepted an order of a later lease; Overloaded, the
+     * engine is carrying out another change; Interrupted, the order may have taken effect or may
+     * do so until OrderNetworkBoundMillis from now. After any other error the order has no effect.
      */
     virtual Result<EngineState> send(const fleet::Endpoint &engine, const EngineOrder &order,
                                      TimePoint sendUntil, TimePoint deadline) = 0;
 };
 
-/** Orders over HTTP, on a fresh guarded connection each. */
+/** Sends orders over HTTP, each on a new guarded connection. */
 std::unique_ptr<EngineOrders> makeHttpEngineOrders();
 
 } // namespace almondridge::control
--- a/libs/control/include/almondridge/control/orderplan.h
+++ b/libs/control/include/almondridge/control/orderplan.h
@@ -1,10 +1,10 @@
 /**
- * What the holder of a failure domain's lease does next about each endpoint: announce, drain,
- * order, settle or wait. Pure: events and time go in, steps come out.
+ * Decides the next step of the lease holder for each endpoint of its failure domain: announce,
+ * drain, order, close an intent or wait. It receives events and the time, and returns steps.
  *
- * A step is worked out anew from what the engine says now, from the open intent in the log and
- * from the file in force. Nothing else has to survive, so a successor goes on where the holder
- * before it stopped.
+ * Each step is computed from the engine's current state, the open intent in the log and the
+ * current fleet file. No other state has to survive, so a successor continues where the previous
+ * holder stopped.
  */
 #pragma once
 
@@ -19,13 +19,13 @@
 
 namespace almondridge::control {
 
-/** Whether entries may send new work to an endpoint. */
+/** Whether instances may send new requests to an endpoint. */
 enum class Availability {
     Open,
-    Draining, ///< A planned change or removal is ahead.
-    Changing,
-    Unclear, ///< Its state is not known.
-    Leaving,
+    Draining, ///< Drained before a planned change or removal.
+    Changing, ///< The engine is carrying out a change.
+    Unclear, ///< The engine's state is unknown.
+    Leaving, ///< The endpoint is to be removed.
 };
 
 inline constexpr std::array<EnumName<Availability>, 5> AvailabilityNames {{
@@ -39,28 +39,28 @@
 using Availabilities = std::map<EndpointId, Availability>;
 
 enum class StepKind {
-    Wait,       ///< Nothing until the endpoint is due again.
-    Announce,   ///< Tell availability_ to all entries, then step again.
-    AskWeights, ///< Read the weight store's status, then step again.
-    Settle,     ///< Close intent_ with outcome_.
-    Order,      ///< Intent for target_, read the state again, send.
+    Wait,       ///< Do nothing until the endpoint is due again.
+    Announce,   ///< Announce availability_ to all instances, then compute the next step.
+    AskWeights, ///< Read the weight store's status, then compute the next step.
+    Settle,     ///< Append outcome_ for the open intent at offset intent_.
+    Order,      ///< Append an intent for target_, read the state again, send the order.
 };
 
 struct EngineStep
 {
     StepKind kind_ = StepKind::Wait;
-    std::string reason_ {}; ///< The rule behind it, for the time line.
+    std::string reason_ {}; ///< Why this step was chosen, for the timeline.
     Availability availability_ = Availability::Open;
     EngineTarget target_ {};
     LogOffset intent_ = 0;
     OrderOutcome outcome_ = OrderOutcome::Done;
 };
 
-/** What is known of an order after it was sent. */
+/** The result of sending an order. */
 enum class SendResult {
-    Answered, ///< The engine took it.
-    Refused,  ///< It was not taken and never will be.
-    Unknown,  ///< It may be taken now, or until OrderNetworkBoundMillis from now.
+    Answered, ///< The engine accepted it.
+    Refused,  ///< It has no effect, now or later.
+    Unknown,  ///< It may take effect until OrderNetworkBoundMillis from now.
 };
 
 class OrderPlan
@@ -71,59 +71,60 @@
     void setFleet(std::shared_ptr<const fleet::Fleet> fleet, TimePoint now);
     const std::shared_ptr<const fleet::Fleet> &fleet() const noexcept { return fleet_; }
     void setRoles(WantedRoles roles, TimePoint now);
-    /** Endpoints that the platform's list shows as leaving, besides those of the file. */
+    /** Sets the endpoints that the platform marks as leaving, in addition to the file's. */
     void setLeaving(std::set<EndpointId> leaving, TimePoint now);
 
-    /** A lease begins: all that was known or announced before counts for nothing. */
+    /** A lease was acquired: discards all states read and announcements made before. */
     void hold(Fence fence, TimePoint firstOrderToIgnoring, TimePoint now);
+    /** The lease is no longer held, or is about to be released. */
     void drop();
     std::optional<Fence> fence() const noexcept { return fence_; }
 
-    /** The endpoints to look at now; each is the caller's until finish(). */
+    /** Returns the endpoints that are due; each is reserved for the caller until finish(). */
     std::vector<EndpointId> takeDue(TimePoint now);
     void finish(const EndpointId &id, TimePoint now);
-    /** Makes an endpoint due soon, though not more often than once a second. */
+    /** Makes an endpoint due soon, but at most once a second. */
     void lookAt(const EndpointId &id, TimePoint now);
 
-    /** Null when the file in force no longer has it. */
+    /** Null when the current fleet file no longer lists it in this domain. */
     const fleet::Endpoint *endpoint(const EndpointId &id) const noexcept;
-    /** Whether step() needs a state read for this purpose, and by nobody else. */
+    /** Whether the endpoint's state has to be read before calling step(). */
     bool wantsState(const EndpointId &id) const noexcept;
-    /** open: the engine's open intent in the log, null when there is none. */
+    /** Computes the next step; open is the engine's open intent in the log, or null. */
     EngineStep step(const EndpointId &id, const OpenIntent *open, TimePoint now);
-    /** Whether an order for target is still right, after its intent was accepted. */
+    /** Whether an order for target is still wanted after its intent was accepted. */
     bool stillWants(const EndpointId &id, const EngineTarget &target, TimePoint now);
 
-    /** readAt is a point before the state was asked for. */
+    /** The engine's state was read; readAt is a time before the read was sent. */
     void onState(const EndpointId &id, const EngineState &state, TimePoint readAt);
     void onUnreadable(const EndpointId &id, TimePoint now);
     void onAnnounced(const EndpointId &id, Availability availability);
-    /** An order is about to leave. An own intent without this was never sent. */
+    /** An order is about to be sent. The order of an own intent without this call was not sent. */
     void onSending(const EndpointId &id);
     void onSent(const EndpointId &id, SendResult result, TimePoint now);
     void onSettled(const EndpointId &id, OrderOutcome outcome, TimePoint now);
-    /** A record for it was not accepted: the log is slow, out, or has another holder. */
+    /** A record was not accepted: the log is slow or unreachable, or another holder has the lease. */
     void onNotRecorded(const EndpointId &id, TimePoint now);
-    /** nullopt: the store did not answer; loads then go one at a time. */
+    /** The weight store's status; nullopt when it did not answer, loads then run one at a time. */
     void onWeights(std::optional<store::WeightStoreStatus> status, TimePoint now);
 
     bool hasNews() const noexcept { return !news_.empty(); }
     /**
-     * Outcomes for open intents of engines that the file no longer has here. Nobody reads such an
-     * engine any more; left open, its intent would keep it from orders for good once it is back,
-     * or in another failure domain.
+     * Outcomes for open intents of engines that the fleet file no longer lists in this domain.
+     * Such engines are no longer read. If the intent stayed open, the engine could never get an
+     * order again after it returns or is moved to another failure domain.
      */
     std::vector<OutcomeRecord> orphans(const std::map<EndpointId, OpenIntent> &open, TimePoint now);
 
-    /** Announcements that no order waits for, to be made together. */
+    /** Returns and clears the pending announcements that no order depends on, to send as a batch. */
     Availabilities takeNews();
-    /** What entries have been told under this lease and is not Open. */
+    /** The announced availabilities other than Open, for this lease. */
     Availabilities withheld() const;
-    /** Whether no order of this lease may still be on its way to an engine. */
+    /** Whether no order sent under this lease can still reach an engine. */
     bool mayRelease(TimePoint now) const noexcept;
-    /** Whether there are engines, and none could be read under this lease when last tried. */
+    /** Whether there are engines and the last read of each one failed under this lease. */
     bool seesNoEngine() const noexcept;
-    /** One line each: target, phase and what is waited for. */
+    /** A status line for each endpoint: target, phase, availability and reason for waiting. */
     std::map<EndpointId, std::string> progress() const;
 
 private:
@@ -134,24 +135,24 @@
         bool leaving_ = false;
 
         bool taken_ = false;
-        bool looked_ = false; ///< Read, or found unreadable, under this lease.
+        bool looked_ = false; ///< A read succeeded or failed under this lease.
         TimePoint nextLook_ {};
         std::string waitsFor_;
 
         std::optional<EngineState> state_;
         TimePoint readAt_ {};
-        int unreadable_ = 0; ///< Reads that failed in a row.
+        int unreadable_ = 0; ///< Consecutive failed reads.
         TimePoint unreadableSince_ {};
 
         std::optional<Availability> told_;
-        bool slot_ = false;       ///< Takes part in the engines that may be away at once.
-        bool loading_ = false;    ///< Takes part in the loads that the weight store bears.
-        bool wantsShare_ = false; ///< Waits for one of the two.
+        bool slot_ = false;       ///< Counts against the limit of engines away at once.
+        bool loading_ = false;    ///< Counts against the concurrent loads of the weight store.
+        bool wantsShare_ = false; ///< Waits for either limit.
 
         bool answerUnknown_ = false;
-        TimePoint settleAfter_ {}; ///< Until then an order without an answer may be taken.
-        bool ordered_ = false;     ///< Took an order of this lease, so older ones are refused.
-        int failedOrders_ = 0;     ///< In a row.
+        TimePoint settleAfter_ {}; ///< Until then an unanswered order may take effect.
+        bool ordered_ = false;     ///< Accepted an order of this lease, so it rejects older ones.
+        int failedOrders_ = 0;     ///< Consecutive failed orders.
         TimePoint nextOrder_ {};
     };
 
@@ -200,7 +201,7 @@
     Availabilities news_;
     std::map<LogOffset, TimePoint> orphanSince_;
     std::optional<store::WeightStoreStatus> weights_;
-    std::optional<TimePoint> weightsUntil_; ///< When the status has to be asked for again.
+    std::optional<TimePoint> weightsUntil_; ///< When the status has to be read again.
 };
 
 } // namespace almondridge::control
--- a/libs/control/include/almondridge/control/reconciler.h
+++ b/libs/control/include/almondridge/control/reconciler.h
@@ -1,6 +1,6 @@
 /**
- * The control loop of a failure domain's lease holder: brings engines to the file in force and
- * to the planner's roles, draining before every change.
+ * The control loop of a failure domain's lease holder. It brings the engines to the state wanted
+ * by the current fleet file and the planner's roles, and drains them before every change.
  */
 #pragma once
 
@@ -16,16 +16,16 @@
 
 namespace almondridge::control {
 
-/** What the holder tells the domain's entries before it drains, and after. */
+/** Announces the availability of endpoints to the domain's instances. */
 class Announcer
 {
 public:
     virtual ~Announcer() = default;
-    /** Tells all live entries of the domain; returns once each has confirmed or its heartbeat
-     * deadline passed, or at deadline. */
+    /** Announces to all live instances of the domain. Returns once each has confirmed or missed its
+     * heartbeat deadline, or at deadline. */
     virtual void announce(const EndpointId &engine, Availability availability, Fence fence,
                           TimePoint deadline) = 0;
-    /** The same for several endpoints at once; worth one message to each entry. */
+    /** The same for several endpoints; implementations should send one message per instance. */
     virtual void announceAll(const Availabilities &availabilities, Fence fence, TimePoint deadline);
 };
 
@@ -39,22 +39,22 @@
     Reconciler &operator=(const Reconciler &) = delete;
 
     void start();
-    /** Finishes or hands over what is under way and releases the lease. */
+    /** Finishes the steps in progress and releases the lease; a successor continues the rest. */
     void stop();
 
     void setWantedRoles(WantedRoles roles);
-    /** Endpoints that the platform's list shows as leaving, besides those of the file. */
+    /** Sets the endpoints that the platform's list marks as leaving, in addition to the file's. */
     void setLeaving(std::set<EndpointId> leaving);
     /**
-     * Reads an engine's state soon: its load report shows something else than it should, or it
-     * failed a request. Engines that are as wanted are otherwise read seldom.
+     * Requests a read of an engine's state soon, because its load report differs from its target
+     * or it failed a request. Engines in their target state are otherwise read rarely.
      */
     void lookAt(const EndpointId &engine);
-    /** The fence held now, if any. */
+    /** The fence of the held lease; nullopt when none is held. */
     std::optional<Fence> heldFence() const;
-    /** What entries have been told under the held lease and is not Open, for heartbeats. */
+    /** The announced availabilities other than Open, to be repeated in heartbeats. */
     Availabilities withheld() const;
-    /** One line for status: engine, target, phase. */
+    /** A status line for each endpoint: target, phase, availability and reason for waiting. */
     std::map<EndpointId, std::string> progress() const;
 
 private:
@@ -68,7 +68,7 @@
 public:
     Builder &self(InstanceId instance, DomainId domain);
     Builder &lease(std::int64_t termMillis, std::int64_t marginMillis);
-    /** build() adds a listener to it, so it must not be started before. */
+    /** Must not be started yet, because build() adds a listener to it. */
     Builder &controlLog(ControlLog &log);
     Builder &orders(EngineOrders &orders);
     Builder &announcer(Announcer &announcer);
--- a/libs/control/include/almondridge/control/records.h
+++ b/libs/control/include/almondridge/control/records.h
@@ -1,6 +1,6 @@
 /**
- * The records of the control log. Each names the state it was written against, so that every
- * reader comes to the same verdict and a duplicate or late append fails its own condition.
+ * The records of the control log. Each record names the state that it was written against, so
+ * every reader computes the same verdict and a duplicate or late append is rejected.
  */
 #pragma once
 
@@ -17,28 +17,28 @@
 
 namespace almondridge::control {
 
-/** The whole state an engine shall be in. Absolute, so repeating it changes nothing. */
+/** The complete desired state of an engine; ordering it twice is idempotent. */
 struct EngineTarget
 {
     ModelId model_;
     std::string version_;
     std::vector<std::string> adapters_; ///< "id@version", sorted.
     fleet::EngineRole role_ = fleet::EngineRole::Mixed;
-    bool admit_ = true; ///< False: refuse new work as not run, finish what runs.
+    bool admit_ = true; ///< False: reject new requests as not run and finish running ones.
 
     friend bool operator==(const EngineTarget &, const EngineTarget &) = default;
 };
 
-/** A fleet file written against a base revision. Accepted when base is the one in force. */
+/** A fleet file written against a base revision. Accepted when base is the current revision. */
 struct ApplyRecord
 {
     Revision base_ = 0;
     std::string fleetText_;
-    std::string operator_; ///< Who applied it, for review.
-    std::string applyId_;  ///< Finds this record again after a lost acknowledgement.
+    std::string operator_; ///< Who applied the file, for audits.
+    std::string applyId_;  ///< Identifies this apply when it is retried.
 };
 
-/** Accepted when previous is the domain's current lease record (0: none yet). */
+/** Claims a lease. Accepted when previous is the domain's current lease record (0: none yet). */
 struct LeaseClaimRecord
 {
     DomainId domain_;
@@ -47,16 +47,16 @@
     std::int64_t termMillis_ = 0;
 };
 
-/** Extends the lease with this fence. Accepted while it is the one in force. */
+/** Renews or releases the lease with this fence. Accepted while that lease is the current one. */
 struct LeaseRenewRecord
 {
     DomainId domain_;
     InstanceId holder_;
     Fence fence_ = 0;
-    bool release_ = false; ///< The holder gives the lease up; a successor need not wait.
+    bool release_ = false; ///< Releases the lease: a successor may claim it without waiting.
 };
 
-/** Says what is about to be ordered. Accepted from the lease in force, one open per engine. */
+/** Announces an order. Accepted under the current lease; one open intent per engine. */
 struct IntentRecord
 {
     DomainId domain_;
@@ -74,7 +74,7 @@
     {OrderOutcome::Unclear, "unclear"},
 }};
 
-/** Closes an intent. Accepted from the lease in force, for the open intent of the engine. */
+/** Closes an intent. Accepted under the current lease, for the engine's open intent. */
 struct OutcomeRecord
 {
     DomainId domain_;
@@ -87,22 +87,22 @@
 /** Claims an idempotency key. Accepted when the key has no claim yet within the horizon. */
 struct KeyClaimRecord
 {
-    std::string key_; ///< Account and key.
+    std::string key_; ///< Client account and idempotency key.
     RequestId request_;
     InstanceId instance_;
     std::int64_t wallMillis_ = 0;
 };
 
-/** The stored outcome of a claimed key. Accepted once, from the request that holds the claim. */
+/** The outcome of a claimed key. Accepted once, from the request that holds the claim. */
 struct KeyOutcomeRecord
 {
     std::string key_;
     RequestId request_;
-    int status_ = 0; ///< HTTP status; 0 stands for unknown, -1 for not run.
+    int status_ = 0; ///< HTTP status; 0: unknown, -1: not run.
     std::string body_;
 };
 
-/** The folded state through an offset. Taken only by readers that have nothing newer. */
+/** The folded state up to and including an offset. Ignored by readers with newer state. */
 struct SnapshotRecord
 {
     LogOffset through_ = 0;
@@ -112,25 +112,25 @@
 using Record = std::variant<ApplyRecord, LeaseClaimRecord, LeaseRenewRecord, IntentRecord,
                             OutcomeRecord, KeyClaimRecord, KeyOutcomeRecord, SnapshotRecord>;
 
-/** The kind as it stands in the body, as in "lease-claim". */
+/** The record's "kind" in its JSON form, for example "lease-claim". */
 std::string_view kindOf(const Record &record) noexcept;
 
 /**
- * A record as the body of a log append (JSON). A recordId finds this very append again after a
- * lost acknowledgement; it has no part in the verdict.
+ * Encodes a record as JSON, the body of a log append. The recordId lets the writer recognise its
+ * own append when the acknowledgement is lost; it has no influence on the verdict.
  */
 std::string encodeRecord(const Record &record, const std::string &recordId = {});
-/** Protocol when the body is no record of ours. */
+/** Decodes a body. Error Protocol when it is not a control record. */
 Result<Record> decodeRecord(std::string_view body);
 
-/** A record with the id that its writer gave it; empty when it gave none. */
+/** A record with the id assigned by its writer; the id may be empty. */
 struct IdentifiedRecord
 {
     std::string id_;
     Record record_;
 };
 
-/** As decodeRecord(), with the id. */
+/** Like decodeRecord(), and also returns the id. */
 Result<IdentifiedRecord> decodeIdentified(std::string_view body);
 
 } // namespace almondridge::control
--- a/libs/control/src/appendqueue.cpp
+++ b/libs/control/src/appendqueue.cpp
@@ -54,7 +54,7 @@
 {
     LogOffset offset = first;
     for (const AppendId id : group.ids_) {
-        // The follower may have read and answered it before the acknowledgement came.
+        // The follower may have folded the record before the acknowledgement arrived.
         if (const auto found = entries_.find(id); found != entries_.end()) {
             found->second.stage_ = Stage::Appended;
             found->second.offset_ = offset;
@@ -94,7 +94,7 @@
         entry.sendAt_ = resendAt;
         entry.doubtful_ = true;
         entry.lastError_ = error;
-        // A record that the log chokes on must not take others along again.
+        // Retry alone, so that a record that breaks the append call does not fail others too.
         entry.record_.alone_ = entry.record_.alone_ || error.kind_ == ErrorKind::Protocol;
     }
 }
--- a/libs/control/src/appendqueue.h
+++ b/libs/control/src/appendqueue.h
@@ -1,6 +1,6 @@
 /**
- * Records on their way into the log: which go into the next append, and what becomes of each.
- * Pure: time is passed in. Private to the library.
+ * The queue of records to append: selects the records of the next append and tracks each record
+ * until its result is known. Time is passed in. Private to the library.
  */
 #pragma once
 
@@ -13,28 +13,28 @@
 
 namespace almondridge::control {
 
-/** Names one record of this queue; its waiter and its record id follow from it. */
+/** Identifies a record in the queue; its record id and its waiter are derived from it. */
 using AppendId = std::uint64_t;
 
-/** A record that shall get into the log. */
+/** A record to be appended. */
 struct QueuedAppend
 {
     std::string body_;
-    TimePoint deadline_ {}; ///< After it the record is not sent again.
+    TimePoint deadline_ {}; ///< The record is not sent after this.
     WhenOut whenOut_ = WhenOut::Retry;
-    bool alone_ = false; ///< Goes into an append of its own.
+    bool alone_ = false; ///< Is appended in a batch of its own.
 };
 
 using AppendAnswer = std::variant<AppendVerdict, Error>;
 
-/** The end of a record's way. */
+/** A finished append: the id and its verdict or error. */
 struct Answered
 {
     AppendId id_ = 0;
     AppendAnswer answer_;
 };
 
-/** The records of one append, in order. */
+/** The records of one append call, in order. */
 struct AppendGroup
 {
     std::vector<AppendId> ids_;
@@ -44,46 +44,46 @@
 class AppendQueue
 {
 public:
-    /** A group takes at most this many records and bytes, but always one record. */
+    /** Limits the records and bytes of a group; a group may always hold one record. */
     AppendQueue(std::size_t maxRecords, std::size_t maxBytes);
 
     void add(AppendId id, QueuedAppend record);
 
-    /** The next records to send, in the order in which they were added. */
+    /** Returns the next records to send, in the order in which they were added. */
     AppendGroup take(TimePoint now);
-    /** When take() may give a group next; TimePoint::max() when nothing waits. */
+    /** When take() may return a group next; TimePoint::max() when no record waits. */
     TimePoint nextSend() const noexcept;
 
-    /** The group lies in the log from offset first on. Its verdicts follow by onFolded(). */
+    /** The group was appended, starting at offset first. onFolded() then gives the verdicts. */
     void onAppended(const AppendGroup &group, LogOffset first);
-    /** The group is not in the log. Records that shall not wait out an outage are answered. */
+    /** The group was not appended. Returns the records that fail instead of being retried. */
     std::vector<Answered> onRefused(const AppendGroup &group, const Error &error);
     /**
-     * The group may be in the log, now or later. What is not folded by resendAt is sent again:
-     * every record carries the state it was written against, so that of two copies only one can
-     * be accepted.
+     * The group may have been appended, or may still be. Records that are not folded by resendAt
+     * are sent again. That is safe because every record names the state it was written against,
+     * so at most one of two copies is accepted.
      */
     void onDoubtful(const AppendGroup &group, const Error &error, TimePoint resendAt);
 
     /** A record of this queue was folded. */
     std::vector<Answered> onFolded(AppendId id, const FoldStep &step);
-    /** The fold jumped to next by a snapshot: what it passed over has no known verdict. */
+    /** A snapshot moved the fold to next: the verdicts on the skipped records are unknown. */
     std::vector<Answered> onJumped(LogOffset next);
 
-    /** Answers what is past its deadline. */
+    /** Fails the records whose deadline has passed. */
     std::vector<Answered> expire(TimePoint now);
-    /** Answers everything: no record is sent any more. */
+    /** Fails all records; no more are sent. */
     std::vector<Answered> close();
 
     bool empty() const noexcept { return entries_.empty(); }
-    /** Whether any record may be in the log already and waits for its verdict. */
+    /** Whether any record may have been appended and waits for its verdict. */
     bool awaitsFold() const noexcept;
 
 private:
     enum class Stage {
-        Waiting,  ///< For its next send.
-        InFlight, ///< In the append that is under way.
-        Appended, ///< In the log; waits to be folded.
+        Waiting,  ///< Waits to be sent.
+        InFlight, ///< Part of the current append call.
+        Appended, ///< Acknowledged by the log; waits to be folded.
     };
 
     struct Entry
@@ -92,7 +92,7 @@
         Stage stage_ = Stage::Waiting;
         TimePoint sendAt_ {};
         LogOffset offset_ = 0;
-        bool doubtful_ = false; ///< An earlier send may have taken effect.
+        bool doubtful_ = false; ///< An earlier attempt may have taken effect.
         Error lastError_ {ErrorKind::Unavailable, "no append went out in time", "try again", {}};
     };
 
@@ -104,7 +104,7 @@
 
     const std::size_t maxRecords_;
     const std::size_t maxBytes_;
-    Entries entries_; ///< Ids grow, so this is the order of arrival.
+    Entries entries_; ///< In order of arrival, because ids increase.
 };
 
 } // namespace almondridge::control
--- a/libs/control/src/controllog.cpp
+++ b/libs/control/src/controllog.cpp
@@ -10,7 +10,7 @@
 namespace almondridge::control {
 namespace {
 
-/** How long a snapshot is tried for; later another instance's is as good. */
+/** How long writing a snapshot is retried; after that, another instance writes one. */
 constexpr std::int64_t SnapshotTryMillis = 60'000;
 
 std::uint64_t randomNumber()
@@ -19,7 +19,7 @@
     return (std::uint64_t(device()) << 32U) | device();
 }
 
-/** Sets the records of this process apart, also from those before its restart. */
+/** A random prefix for the record ids of this process; differs after a restart. */
 std::string newIdPrefix()
 {
     std::array<char, 20> text {};
@@ -73,7 +73,7 @@
         appender_.onFolded(step);
     }
 
-    /** Whether a verdict can be reached here at all. */
+    /** Fails when this instance cannot compute verdicts. */
     Result<void> checkKnown() const
     {
         if (reader_.logWentBack()) {
@@ -90,7 +90,7 @@
     store::LogService &service_;
     observe::Timeline *const timeline_;
     std::atomic<bool> reachable_ = false;
-    Revision lastRevision_ = 0; ///< Follower's thread only.
+    Revision lastRevision_ = 0; ///< Used by the follower's thread only.
     FoldStore store_;
     LogFollower follower_;
     LogAppender appender_;
--- a/libs/control/src/enginejson.cpp
+++ b/libs/control/src/enginejson.cpp
@@ -17,7 +17,7 @@
             {"admit", target.admit_}};
 }
 
-/** Throws what nlohmann-json throws when a field is missing or of another type. */
+/** Throws json::exception when a field is missing or has another type. */
 EngineTarget targetFromJson(const json &body)
 {
     EngineTarget target;
@@ -26,7 +26,7 @@
     target.adapters_ = body.at("adapters").get<std::vector<std::string>>();
     std::sort(target.adapters_.begin(), target.adapters_.end());
     const auto role = valueOf(fleet::EngineRoleNames, body.at("role").get<std::string>());
-    // An empty engine has no role yet; what it is told to be then differs from this anyway.
+    // An engine without a model has no role yet; its target differs in the model anyway.
     target.role_ = role.value_or(fleet::EngineRole::Mixed);
     target.admit_ = body.at("admit").get<bool>();
     return target;
--- a/libs/control/src/enginejson.h
+++ b/libs/control/src/enginejson.h
@@ -10,7 +10,7 @@
 
 namespace almondridge::control {
 
-/** Protocol when the body is not an engine's state. */
+/** Error Protocol when the body is not an engine's state. */
 Result<EngineState> decodeEngineState(std::string_view body);
 
 std::string encodeOrder(const EngineOrder &order);
--- a/libs/control/src/enginetargets.cpp
+++ b/libs/control/src/enginetargets.cpp
@@ -19,7 +19,7 @@
     return std::max({0, least - count, count - most});
 }
 
-/** By how many engines the roles miss the bounds of the domain. */
+/** Returns by how many engines the roles violate the domain's role bounds. */
 int violation(const fleet::Fleet &fleet, const DomainId &domain, const Roles &roles)
 {
     int missing = 0;
--- a/libs/control/src/enginework.cpp
+++ b/libs/control/src/enginework.cpp
@@ -8,7 +8,7 @@
 constexpr std::int64_t AppendTimeoutMillis = 2'000;
 constexpr std::int64_t OrderTimeoutMillis = 2'000;
 constexpr std::int64_t WeightsTimeoutMillis = 500;
-/** A whole change takes about ten; more in a row are left for the next look. */
+/** A complete change takes about ten steps. Further steps are left for the next check. */
 constexpr int MostStepsInALook = 20;
 
 TimePoint fromNow(std::int64_t timeoutMillis)
@@ -34,7 +34,7 @@
     withPlan([&](OrderPlan &plan) { plan.finish(id, BootClock::now()); });
 }
 
-/** A holder that lost its lease stops at once and leaves what is open to its successor. */
+/** A holder that lost its lease stops at once and leaves open intents to its successor. */
 bool EngineWork::goesOn(Fence fence) const
 {
     const auto held = lease_.held();
@@ -57,7 +57,7 @@
     return current && (this->*ByKind[static_cast<std::size_t>(step.kind_)])(id, fence, step);
 }
 
-/** False when the plan no longer works under the fence. An unreadable engine is noted as such. */
+/** Reads the engine's state or records the failure. False when the plan's fence has changed. */
 bool EngineWork::readState(const EndpointId &id, Fence fence)
 {
     const auto engine = endpoint(id);
@@ -92,7 +92,7 @@
     });
 }
 
-/** The accepted record's place in the log; nothing when it was not, or not for certain. */
+/** Appends a record; returns nullopt unless it is known to be accepted. */
 std::optional<AppendVerdict> EngineWork::append(const EndpointId &id, const Record &record)
 {
     const auto answer = capture(
@@ -189,9 +189,9 @@
 }
 
 /**
- * Intent, then the state once more, then the order. The append may have taken long, and no order
- * rests on a state read before it: an engine that crashed meanwhile would be sent into a change
- * that nobody meant. An intent whose order is not sent is settled by the next step.
+ * Appends the intent, reads the state again and sends the order. The append may take long, so no
+ * order is based on a state read before it: an engine that crashed in the meantime would be
+ * ordered into an unintended change. The next step closes an intent whose order was not sent.
  */
 bool EngineWork::order(const EndpointId &id, Fence fence, const EngineStep &step)
 {
@@ -202,7 +202,7 @@
     if (!placed || !goesOn(fence) || !readState(id, fence)) {
         return false;
     }
-    // A file that was accepted before the intent goes before the one that the step rests on.
+    // A fleet file accepted before the intent supersedes the one that the step is based on.
     const auto fleet = parts_.log_->fleetInForce();
     bool stillWanted = false;
     const bool current = underFence(fence, [&](OrderPlan &plan) {
--- a/libs/control/src/enginework.h
+++ b/libs/control/src/enginework.h
@@ -1,5 +1,5 @@
 /**
- * Carries out the steps that an OrderPlan wants: reads, announcements, records and orders.
+ * Executes the steps of an OrderPlan: reads, announcements, log records and orders.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace almondridge::control {
 
-/** What a Reconciler works with. Store and time line may be null. */
+/** The dependencies of a Reconciler. Store and timeline may be null. */
 struct ReconcilerParts
 {
     InstanceId instance_;
@@ -22,7 +22,7 @@
     observe::Timeline *timeline_ = nullptr;
 };
 
-/** Used by several threads at once, each with another endpoint. */
+/** Thread-safe; each thread works on a different endpoint. */
 class EngineWork
 {
 public:
@@ -36,17 +36,17 @@
         return function(plan_);
     }
 
-    /** Carries out the endpoint's steps under the fence until one is to wait, then finishes it. */
+    /** Executes the endpoint's steps under the fence until it has to wait, then finishes it. */
     void look(const EndpointId &id, Fence fence);
-    /** Makes the announcements that no order waits for. */
+    /** Sends the pending announcements that no order depends on. */
     void announceNews(Fence fence);
-    /** Closes intents of engines that left the domain. */
+    /** Closes the open intents of engines that left the domain. */
     void settleOrphans(Fence fence);
-    /** No step is begun from here on. */
+    /** Starts no more steps. */
     void stop() noexcept { stopping_ = true; }
 
 private:
-    /** False ends the look. */
+    /** Executes one step; returns false when no more steps follow for now. */
     using Performer = bool (EngineWork::*)(const EndpointId &, Fence, const EngineStep &);
 
     bool goesOn(Fence fence) const;
@@ -66,7 +66,7 @@
     void explain(observe::EventKind kind, std::string name, const EndpointId &id,
                  std::string detail) const;
 
-    /** Runs function on the plan if it still works under fence. False when it does not. */
+    /** Runs function on the plan if its fence is still the given one; otherwise returns false. */
     template <typename Function>
     bool underFence(Fence fence, Function &&function) const
     {
@@ -85,7 +85,7 @@
     mutable std::mutex planMutex_;
     mutable OrderPlan plan_;
 
-    /** One announcement at a time, so that entries hear the latest one last. */
+    /** Serialises announcements so that instances receive the latest one last. */
     std::mutex announceMutex_;
 
     std::mutex waitsMutex_;
--- a/libs/control/src/fold.cpp
+++ b/libs/control/src/fold.cpp
@@ -7,7 +7,7 @@
 namespace almondridge::control {
 namespace {
 
-/** Apply ids that are remembered; a late duplicate older than these fails by its base. */
+/** Number of apply ids kept; an older duplicate is rejected because of its base revision. */
 constexpr std::size_t RememberedApplies = 512;
 
 /** The value under key, or a value-initialised one. */
@@ -196,8 +196,8 @@
 
 Fold::Ruling Fold::judge(const LeaseRenewRecord &record, LogOffset offset)
 {
-    // After a release nothing is in force: a renewal that was appended before it and lands late
-    // would otherwise give back a lease whose holder has stopped counting on it.
+    // No lease is current after a release. Otherwise a renewal that was sent before the release
+    // and is appended late would revive a lease that its holder no longer uses.
     if (!inForce(record.domain_, record.fence_)) {
         return Ruling::reject("fence " + std::to_string(record.fence_) + " is not in force");
     }
@@ -219,10 +219,10 @@
     if (record.sequence_ <= last) {
         return Ruling::reject("sequence " + std::to_string(last) + " was used before");
     }
-    // The sequence is used up even when another intent is open. Else a second copy of this
-    // record, appended again after a lost acknowledgement, could be accepted once that intent is
-    // closed, when the holder has long been told that this one was rejected: the engine would
-    // keep an open intent that nobody works on.
+    // The sequence number is used up even when another intent is open. Otherwise a retry of this
+    // record after a lost acknowledgement could be accepted once the other intent is closed,
+    // although the holder was told that this one is rejected; the engine would then keep an open
+    // intent that no instance works on.
     last = record.sequence_;
     if (const OpenIntent *open = findIn(openIntents_, record.engine_)) {
         return Ruling::reject("the intent at " + std::to_string(open->offset_) + " is open");
@@ -240,8 +240,8 @@
     if (open == openIntents_.end() || open->second.offset_ != record.intent_) {
         return Ruling::reject("no intent is open at " + std::to_string(record.intent_));
     }
-    // An intent is closed by its own domain's lease only: another domain's holder cannot know
-    // whether the order is still under way.
+    // Only the lease holder of the intent's own domain may close it: the holder of another domain
+    // cannot know whether the order is still in progress.
     if (open->second.intent_.domain_ != record.domain_) {
         return Ruling::reject("the intent is of another failure domain");
     }
@@ -256,8 +256,8 @@
 
 Fold::Ruling Fold::judge(const KeyClaimRecord &record, LogOffset)
 {
-    // An append that lands after the key was forgotten would find no claim and be accepted: the
-    // request would run a second time. Its own wall time gives it away.
+    // A delayed append could arrive after the key's first claim was dropped. Accepting it would
+    // run the request a second time, so its own wall time is checked against the horizon.
     if (record.wallMillis_ < horizonStart()) {
         return Ruling::reject("older than the horizon");
     }
@@ -272,14 +272,14 @@
 }
 
 /**
- * Claims are in the order of the log, not of their wall times; one that is out of order is
- * dropped a little late, which claim() hides.
+ * Claims are queued in log order, not by wall time, so one that is out of order is dropped a
+ * little late. claim() hides expired claims until then.
  */
 void Fold::forgetOldClaims()
 {
     while (!claimAges_.empty() && claimAges_.front().wallMillis_ < horizonStart()) {
         const auto found = claims_.find(claimAges_.front().key_);
-        // The key may have been claimed again since.
+        // The key may have been claimed again in the meantime.
         if (found != claims_.end() && found->second.wallMillis_ < horizonStart()) {
             claims_.erase(found);
         }
@@ -305,7 +305,7 @@
 
 Fold::Ruling Fold::judge(const SnapshotRecord &record, LogOffset offset)
 {
-    // This reader has everything before the offset already; there is nothing to take.
+    // This reader has already folded everything that the snapshot covers.
     return record.through_ < offset ? Ruling::accept()
                                     : Ruling::reject("covers offsets after its own");
 }
--- a/libs/control/src/foldsnapshot.cpp
+++ b/libs/control/src/foldsnapshot.cpp
@@ -1,4 +1,4 @@
-/** The fold's state as text, and back. */
+/** Serialises the fold's state as JSON and restores it. */
 #include "almondridge/control/fold.h"
 
 #include "almondridge/fleet/fleetfile.h"
@@ -34,7 +34,7 @@
         jsonField("status", &KeyClaim::status_), jsonField("body", &KeyClaim::body_));
 };
 
-/** What a snapshot holds of a fold: all that a later verdict may depend on. */
+/** The contents of a snapshot: all state that a later verdict may depend on. */
 struct FoldState
 {
     static FoldState of(const Fold &fold)
@@ -51,7 +51,7 @@
         return state;
     }
 
-    /** Everything but the parsed fleet. */
+    /** Moves everything except for the parsed fleet. */
     void moveInto(Fold &fold)
     {
         fold.fleet_.revision_ = revision_;
@@ -101,8 +101,8 @@
 
 boost::leaf::error_id wrongSnapshot(const std::string &what)
 {
-    return fail(ErrorKind::Protocol, "not a snapshot of the control log: " + what,
-                "run one version everywhere; an older snapshot or a peer may still serve");
+    return fail(ErrorKind::Protocol, "invalid snapshot of the control log: " + what,
+                "run the same version on all instances; an older snapshot or a peer may still work");
 }
 
 Result<std::shared_ptr<const fleet::Fleet>> parseFleetText(const std::string &text)
@@ -131,8 +131,8 @@
     if (const char *wrong = readFields(json, parsed)) {
         return wrongSnapshot(std::string("a wrong field '") + wrong + "'");
     }
-    // A later prefix cannot have an earlier revision: this one is of another log, and taking it
-    // would bring back a configuration that was replaced.
+    // A longer prefix cannot have a lower revision, so this snapshot is from another log.
+    // Restoring it would bring back a configuration that was replaced.
     if (parsed.revision_ < fleet_.revision_) {
         return wrongSnapshot("its revision " + std::to_string(parsed.revision_)
                              + " is lower than the one in force");
--- a/libs/control/src/foldstore.cpp
+++ b/libs/control/src/foldstore.cpp
@@ -113,7 +113,7 @@
 {
     std::unique_lock lock(foldMutex_);
     const Fold copy = fold_;
-    lock.unlock(); // Writing the text takes long.
+    lock.unlock(); // Serialising is slow; don't block other threads.
     return {copy.next() - 1, copy.snapshot()};
 }
 
--- a/libs/control/src/foldstore.h
+++ b/libs/control/src/foldstore.h
@@ -1,6 +1,6 @@
 /**
- * The folded state with the latest records, under locks of their own. One thread folds, any
- * thread reads. Private to the library.
+ * Thread-safe access to the fold and the latest raw records. One thread folds, any thread may
+ * read. Private to the library.
  */
 #pragma once
 
@@ -19,16 +19,16 @@
     explicit FoldStore(std::int64_t keyHorizonMillis);
 
     /**
-     * Folds a record that comes next, or a snapshot that leaps ahead; a record of offset 0 is a
-     * peer's snapshot. Nothing when it changes nothing here.
+     * Folds the next record, or a snapshot that covers it. A record with offset 0 is a snapshot
+     * from a peer. Returns nullopt when the record changes nothing.
      */
     std::optional<FoldStep> fold(const store::LogRecord &record);
 
     LogOffset next() const;
     bool knowsAnything() const { return next() > 1; }
-    /** The record before next(), if it was folded from one. */
+    /** The raw record before next(); nullopt when a snapshot was the last thing folded. */
     std::optional<store::LogRecord> lastRecord() const;
-    /** The whole state as a record. */
+    /** The whole state as a snapshot record. */
     SnapshotRecord snapshot() const;
     std::vector<store::LogRecord> recordsFrom(LogOffset from, std::size_t limit) const;
 
@@ -36,10 +36,10 @@
     std::shared_ptr<const fleet::Fleet> fleetInForce() const;
     Revision revision() const;
     bool waitForRevision(Revision revision, TimePoint deadline) const;
-    /** Waits until everything before next is folded. False at deadline. */
+    /** Waits until all offsets before next are folded. False at deadline. */
     bool waitForNext(LogOffset next, TimePoint deadline) const;
 
-    /** The fold's lock, and the fold for whoever holds it. */
+    /** Locks the fold until the returned object is destroyed; needed for unlockedFold(). */
     std::shared_ptr<const void> lock() const;
     const Fold &unlockedFold() const noexcept { return fold_; }
 
@@ -51,12 +51,12 @@
     mutable std::mutex foldMutex_;
     Fold fold_;
     RecordTail tail_;
-    mutable store::LogRecord snapshot_; ///< The newest snapshot for peers, as of offset 0.
+    mutable store::LogRecord snapshot_; ///< The newest snapshot made for peers; its offset is 0.
     mutable LogOffset snapshotThrough_ = 0;
 
     mutable std::mutex fleetMutex_;
     mutable std::condition_variable changed_;
-    AcceptedFleet fleet_; ///< Written by the folding thread alone.
+    AcceptedFleet fleet_; ///< Written by the folding thread only.
     LogOffset published_ = 1;
 };
 
--- a/libs/control/src/jsonfields.cpp
+++ b/libs/control/src/jsonfields.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr const char *HexField = "hex";
-/** Records nest six deep at most; the rest is room for fields to come. */
+/** Records nest at most six levels deep; the rest is reserved for future fields. */
 constexpr int MaxDepth = 16;
 
 bool isUtf8(const std::string &bytes)
@@ -54,9 +54,8 @@
 }
 
 /**
- * Whether brackets outside of strings nest deeper than MaxDepth. Guards against a body of a
- * hundred thousand brackets: writing such JSON recurses and would overflow the stack. Nothing
- * that deep gets past the parser here.
+ * Whether brackets outside of strings nest deeper than MaxDepth. Serialising JSON is recursive, so
+ * a body of a hundred thousand brackets would overflow the stack if it were parsed.
  */
 bool nestsTooDeep(std::string_view text)
 {
--- a/libs/control/src/jsonfields.h
+++ b/libs/control/src/jsonfields.h
@@ -1,5 +1,5 @@
 /**
- * Tables of JSON fields: one table of member pointers both writes a struct and reads it back.
+ * JSON serialisation by tables: one table of member pointers both writes and reads a struct.
  * Private to the library.
  */
 #pragma once
@@ -19,7 +19,7 @@
 
 using Json = nlohmann::json;
 
-/** One row of a struct's table. */
+/** One field: its JSON name and its member. */
 template <typename Owner, typename Member>
 struct JsonField
 {
@@ -33,19 +33,19 @@
     return {name, member};
 }
 
-/** Specialised with a tuple Table for each struct that has JSON fields. */
+/** Specialised for each serialisable struct; Table is a tuple of JsonField. */
 template <typename T>
 struct JsonFields;
 
-/** Specialised with a table of names for each enum class. */
+/** Specialised for each serialisable enum; Table holds the names of its values. */
 template <typename T>
 struct JsonNames;
 
-/** write() gives T as JSON; read() takes it back, false when the JSON is no T. */
+/** write() converts a T to JSON; read() converts it back and returns false if it is not a T. */
 template <typename T>
 struct JsonValue;
 
-/** Any bytes: JSON text cannot hold what is not UTF-8, so that goes in hex. */
+/** A string of any bytes; written in hex when it is not UTF-8, which JSON text requires. */
 template <>
 struct JsonValue<std::string>
 {
@@ -81,7 +81,7 @@
     static Json write(T value) { return value; }
     static bool read(const Json &json, T &value)
     {
-        // An unsigned number beyond the signed range would come out negative.
+        // An unsigned number beyond the signed range would become negative.
         if (!json.is_number_integer()
             || (json.is_number_unsigned()
                 && json.get<std::uint64_t>() > std::uint64_t(std::numeric_limits<T>::max()))) {
@@ -132,7 +132,7 @@
     }
 };
 
-/** A list of [key, value]: an object's names would have to be UTF-8. */
+/** A list of [key, value] pairs, because the names in a JSON object must be UTF-8. */
 template <typename Key, typename T>
 struct JsonValue<std::map<Key, T>>
 {
@@ -180,7 +180,7 @@
     }
 };
 
-/** Adds value's fields to object. */
+/** Writes the fields of value into object. */
 template <typename T>
 void writeFields(const T &value, Json &object)
 {
@@ -191,8 +191,7 @@
     std::apply([&](const auto &...field) { (writeOne(field), ...); }, JsonFields<T>::Table);
 }
 
-/** Reads value's fields; the name of the first that is missing or wrong, null when all are right.
- */
+/** Reads the fields of value; returns the name of the first missing or invalid one, or null. */
 template <typename T>
 const char *readFields(const Json &object, T &value)
 {
@@ -228,7 +227,7 @@
     }
 };
 
-/** Parses text, whatever its bytes are; discarded JSON when it is none or nested too deeply. */
+/** Parses any bytes; returns discarded JSON when they are not JSON or nested too deeply. */
 Json parseBounded(std::string_view text);
 
 } // namespace almondridge::control
--- a/libs/control/src/keyclaims.cpp
+++ b/libs/control/src/keyclaims.cpp
@@ -3,11 +3,11 @@
 namespace almondridge::control {
 namespace {
 
-/** Every instance keeps every outcome for as long as the horizon. */
+/** Limit in bytes: every instance keeps every outcome until the horizon. */
 constexpr std::size_t MaxStoredBody = 16U << 10U;
-/** How long a finished outcome is tried to be stored; without it, repeats get unknown. */
+/** How long storing an outcome is retried; if it fails, repeated requests get Unknown. */
 constexpr std::int64_t StoreTryMillis = 300'000;
-/** The stored status that stands for unknown. */
+/** The stored status of an unknown outcome. */
 constexpr int UnknownStatus = 0;
 
 KeyClaimAnswer answerWith(KeyClaimStatus status)
@@ -42,15 +42,15 @@
     const KeyClaimRecord record {key, request, self_, wallMillis()};
     const auto appended = capture([&] { return log_.append(record, deadline, WhenOut::Fail); });
     if (const Error *error = std::get_if<Error>(&appended)) {
-        // Only Unavailable says for sure that no claim got into the log by this call.
+        // Only Unavailable guarantees that this call did not append a claim.
         const bool nothing = error->kind_ == ErrorKind::Unavailable;
         return answerWith(nothing ? KeyClaimStatus::LogOut : KeyClaimStatus::Unknown);
     }
     if (std::get<AppendVerdict>(appended).verdict_ == Verdict::Accepted) {
         return answerWith(KeyClaimStatus::Claimed);
     }
-    // Rejected without a claim in the fold means older than the horizon: the key may have been
-    // claimed and forgotten, so "not run" would be a guess.
+    // A rejected claim of a key without a claim in the fold was older than the horizon. The key
+    // may have been claimed and dropped since, so the request cannot be reported as not run.
     return folded(key).value_or(answerWith(KeyClaimStatus::Unknown));
 }
 
--- a/libs/control/src/leaseguard.cpp
+++ b/libs/control/src/leaseguard.cpp
@@ -18,7 +18,7 @@
 
 constexpr int NoSocket = -1;
 
-/** The socket that the handler cuts; of the thread that the timer is aimed at. */
+/** The socket that the handler shuts down; belongs to the thread that the timer signals. */
 thread_local constinit std::atomic<int> guardedSocket = NoSocket;
 static_assert(std::atomic<int>::is_always_lock_free, "the handler may not take a lock");
 
@@ -28,7 +28,7 @@
     return SIGRTMIN + OffsetInRange;
 }
 
-/** Does nothing but shutdown(), which is safe in a signal handler. */
+/** Calls only shutdown(), which is async-signal-safe. */
 void onLapse(int /*signal*/)
 {
     const int savedErrno = errno;
@@ -39,7 +39,7 @@
     errno = savedErrno;
 }
 
-/** SA_RESTART spares the libraries on this thread an EINTR; a call on the cut socket ends anyway.
+/** SA_RESTART avoids EINTR in libraries on this thread; calls on the shut down socket still end.
  */
 bool installHandler()
 {
@@ -50,7 +50,7 @@
     return ::sigaction(lapseSignal(), &action, nullptr) == 0;
 }
 
-/** A thread that inherited a mask with the signal blocked would never run the handler. */
+/** The handler would never run in a thread that inherited a mask which blocks the signal. */
 bool unblockSignal()
 {
     sigset_t set;
@@ -70,7 +70,7 @@
 
 itimerspec absoluteTime(TimePoint deadline)
 {
-    // A zero time would disarm the timer instead of firing it.
+    // A zero time would disarm the timer instead of firing it at once.
     const Duration sinceBoot = std::max(deadline.time_since_epoch(), Duration(1));
     const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(sinceBoot);
     itimerspec when = {};
@@ -113,13 +113,13 @@
     std::atomic_signal_fence(std::memory_order_seq_cst);
     const itimerspec when = absoluteTime(deadline);
     if (::timer_settime(timer_, TIMER_ABSTIME, &when, nullptr) != 0) {
-        ::shutdown(socket, SHUT_RDWR); // Without the guard the order must not go out.
+        ::shutdown(socket, SHUT_RDWR); // No order may be sent without the guard.
     }
 }
 
 void LeaseGuard::disarm() noexcept
 {
-    // The socket first: its number may belong to another connection once it is closed.
+    // Clear the socket first: its descriptor may be reused by another connection after close.
     guardedSocket.store(NoSocket, std::memory_order_relaxed);
     std::atomic_signal_fence(std::memory_order_seq_cst);
     const itimerspec never = {};
--- a/libs/control/src/leasekeeper.cpp
+++ b/libs/control/src/leasekeeper.cpp
@@ -5,12 +5,12 @@
 namespace almondridge::control {
 namespace {
 
-/** A renewal goes out after this share of the term, so that two tries may fail. */
+/** A lease is renewed after this fraction of its term, so two attempts may fail. */
 constexpr int RenewalsPerTerm = 3;
-/** The least wait between two tries, as a share of the term; the back-off comes on top. */
+/** Minimum wait between two attempts, as a fraction of the term; the backoff is added. */
 constexpr int TriesPerTerm = 6;
 
-/** A domain that never had a lease is as free as one whose lease was released. */
+/** A domain without any lease is treated like one with a released lease. */
 LeaseState noLease()
 {
     LeaseState none;
@@ -30,7 +30,8 @@
 
 LeaseStep LeaseKeeper::next(const Fold &fold, TimePoint now, Record &record)
 {
-    // A reader of a trimmed log without a snapshot knows of no holder, and so of no lease free.
+    // Without any folded record the current holder is unknown, for example when the log was
+    // trimmed and has no snapshot.
     if (!fold.knowsAnything()) {
         return LeaseStep::Wait;
     }
@@ -68,7 +69,7 @@
     const auto *renewal = std::get_if<LeaseRenewRecord>(&record);
     appending_ = renewal != nullptr ? Appending::Renewal : Appending::Claim;
     if (renewal != nullptr && renewal->release_) {
-        // From here on the log may show the lease free: a successor sends without waiting.
+        // From here on a successor may read the release and send orders without waiting.
         fence_.reset();
     }
     const TimePoint waited = othersExpire_ + millis(OrderNetworkBoundMillis) + margin_;
@@ -76,10 +77,10 @@
 }
 
 /**
- * The lease counts from before the append, and only once this append's own verdict is known. A
- * record that reads the same may be an earlier try that landed late, or be of a process of the
- * same name that this one replaced: to count that one from here would be to hold the lease for
- * longer than the others wait.
+ * The term starts before the append, and the lease is held only once the verdict on this very
+ * append is known. An identical record may be a delayed earlier attempt, or come from a previous
+ * process with the same instance id; measuring the term of that record from this append would
+ * hold the lease for longer than other instances wait.
  */
 void LeaseKeeper::onVerdict(Verdict verdict, LogOffset offset, TimePoint now)
 {
@@ -97,7 +98,7 @@
     }
     heldUntil_ = appendingSince_ + term_;
     nextTry_ = appendingSince_ + term_ / RenewalsPerTerm;
-    // A verdict that took longer than the term brings a lease that has lapsed.
+    // The lease has already expired if the verdict took longer than the term.
     forgetIfLapsed(now);
 }
 
@@ -127,8 +128,8 @@
 }
 
 /**
- * A lapsed lease is never taken up again, even if a late renewal of it is accepted: the holder
- * slept or was cut off, and has to go through a claim like anyone else.
+ * An expired lease is never resumed, even if a delayed renewal is accepted: the holder was paused
+ * or partitioned and has to claim the lease again like any other instance.
  */
 void LeaseKeeper::forgetIfLapsed(TimePoint now) noexcept
 {
--- a/libs/control/src/leaseloop.cpp
+++ b/libs/control/src/leaseloop.cpp
@@ -3,13 +3,13 @@
 namespace almondridge::control {
 namespace {
 
-/** Between two looks at the keeper when nothing wakes the thread. */
+/** How often the keeper is polled when nothing wakes the thread. */
 constexpr std::chrono::milliseconds LookInterval {50};
-/** One append may take this share of the term, so that a renewal can be tried again. */
+/** Timeout of one append as a fraction of the term, so that a renewal can be retried. */
 constexpr int AppendsPerTerm = 3;
-/** Candidates for a free lease spread their claims over this share of the term. */
+/** Instances spread their claims of a free lease over this fraction of the term. */
 constexpr int ClaimSpreadPerTerm = 4;
-/** Retries of a renewal spread over this share. */
+/** Retries of a renewal are spread over this fraction of the term. */
 constexpr int RenewalSpreadPerTerm = 24;
 
 } // namespace
--- a/libs/control/src/leaseloop.h
+++ b/libs/control/src/leaseloop.h
@@ -1,5 +1,5 @@
 /**
- * Drives a LeaseKeeper: a thread that appends what it wants to the control log.
+ * Runs a LeaseKeeper: a thread that appends its claims and renewals to the control log.
  */
 #pragma once
 
@@ -13,11 +13,11 @@
 
 namespace almondridge::control {
 
-/** The lease as it is held now. */
+/** The lease that this instance holds. */
 struct HeldLease
 {
     Fence fence_ = 0;
-    TimePoint until_ {}; ///< Nothing may be sent under the fence after this.
+    TimePoint until_ {}; ///< No order may be sent under the fence after this.
     TimePoint firstOrderToIgnoring_ {};
 };
 
@@ -38,16 +38,16 @@
     LeaseLoop &operator=(const LeaseLoop &) = delete;
 
     void start();
-    /** Ends the thread; what is held is renewed no more. */
+    /** Ends the thread; a held lease is no longer renewed. */
     void stop();
     /**
-     * Gives the lease up, when a successor may send orders at once: the caller has made sure that
-     * no order is under way. Claims no lease before claimFrom.
+     * Releases the lease if a successor may send orders at once. The caller makes sure that no
+     * order is in progress. No lease is claimed before claimFrom.
      */
     void release(TimePoint deadline, TimePoint claimFrom);
 
     std::optional<HeldLease> held() const;
-    /** From the control log's listener. */
+    /** Called by the control log's listener. */
     void onFolded(const FoldStep &step);
 
 private:
@@ -63,8 +63,8 @@
     ControlLog &log_;
     observe::Timeline *const timeline_;
     std::thread thread_;
-    std::mt19937_64 random_;     ///< The thread's own.
-    std::optional<Fence> noted_; ///< The thread's own: what the time line says is held.
+    std::mt19937_64 random_;     ///< Used by the thread only.
+    std::optional<Fence> noted_; ///< Used by the thread only: the fence last logged as held.
 
     mutable std::mutex mutex_;
     std::condition_variable wake_;
--- a/libs/control/src/logappender.cpp
+++ b/libs/control/src/logappender.cpp
@@ -10,15 +10,15 @@
 
 constexpr std::size_t MaxGroupRecords = 500;
 constexpr std::size_t MaxGroupBytes = 512U << 10U;
-/** After so long without an answer the connection counts as silent. */
+/** Timeout of one append call. */
 constexpr std::int64_t AppendTimeoutMillis = 2'000;
 constexpr std::int64_t FirstBackoffMillis = 50;
 constexpr std::int64_t LastBackoffMillis = 2'000;
 constexpr std::int64_t IdleWakeMillis = 60'000;
-/** Appends that may go out at once after a quiet time. */
+/** Appends that may be sent at once after an idle period. */
 constexpr std::int64_t BudgetBurst = 4;
 
-/** Nothing of the group is in the log, nor will be. */
+/** Whether the error guarantees that the group is not appended, now or later. */
 bool refusedForSure(ErrorKind kind)
 {
     return kind == ErrorKind::Unavailable || kind == ErrorKind::Overloaded
@@ -173,7 +173,7 @@
     }
     budget_.spend(now);
     ++appends_;
-    const LogOffset folded = folded_; // Before the call: later records may be folded meanwhile.
+    const LogOffset folded = folded_; // Read before the call: more may be folded during it.
     lock.unlock();
     const auto answer =
         capture([&] { return service_.append(group.bodies_, now + millis(AppendTimeoutMillis)); });
--- a/libs/control/src/logappender.h
+++ b/libs/control/src/logappender.h
@@ -1,6 +1,6 @@
 /**
- * The thread that appends: groups records within the instance's budget and answers each waiter
- * with its verdict as folded. Private to the library.
+ * The appender thread: batches records within the instance's rate limit and completes each append
+ * with the verdict once the record was folded. Private to the library.
  */
 #pragma once
 
@@ -23,11 +23,11 @@
     {
         std::int64_t appendsPerSecond_ = 0;
         std::uint64_t seed_ = 0;
-        std::string idPrefix_; ///< Sets this process's records apart from all others.
+        std::string idPrefix_; ///< Unique prefix of this process's record ids.
     };
-    /** Told of each answer of the log: whether it could be reached. */
+    /** Called after each append call with whether the log was reached. */
     using ReachedListener = std::function<void(bool)>;
-    /** Told when a record was put before others that were folded here: the log has lost those. */
+    /** Called when an append got an offset that was folded before: the log has lost records. */
     using WentBackListener = std::function<void()>;
 
     LogAppender(store::LogService &service, Options options, ReachedListener reached,
@@ -39,17 +39,17 @@
     void start();
     void stop();
 
-    /** Hands a record in and waits for its end. */
+    /** Queues a record and waits for its verdict or error. */
     AppendAnswer append(const Record &record, TimePoint deadline, WhenOut whenOut);
-    /** Hands a record in without waiting. */
+    /** Queues a record without waiting. */
     void post(const Record &record, TimePoint deadline, bool alone);
     bool flush(TimePoint deadline) const;
 
-    /** To be called for each step, after all other listeners. */
+    /** Call for each folded step, after all other listeners. */
     void onFolded(const FoldStep &step);
-    /** To be called when the fold jumped over offsets before next. */
+    /** Call when a snapshot moved the fold to next. */
     void onJumped(LogOffset next);
-    /** Waits until a record of this instance is on its way, or until. Whether one is. */
+    /** Waits until a record of this instance is pending in the log. False at until. */
     bool waitForSome(TimePoint until) const;
 
     std::uint64_t appends() const noexcept { return appends_; }
@@ -79,7 +79,7 @@
     AppendBudget budget_;
     Backoff backoff_;
     TimePoint retryAt_ {};
-    LogOffset folded_ = 0; ///< All offsets before it are folded.
+    LogOffset folded_ = 0; ///< All offsets before this one are folded.
     std::mt19937_64 random_;
     bool stopping_ = false;
     std::thread thread_;
--- a/libs/control/src/logfollower.cpp
+++ b/libs/control/src/logfollower.cpp
@@ -3,9 +3,9 @@
 namespace almondridge::control {
 namespace {
 
-/** A wake-up now and then costs nothing and keeps waits clear of the clock's end. */
+/** Limits the wait, because waiting until the end of the clock's range may overflow. */
 constexpr std::int64_t IdleWakeMillis = 60'000;
-/** Batches from peers that wait; more are dropped, since the log or a later one has them too. */
+/** Queued batches from peers. Further ones are dropped; the log or later batches hold them too. */
 constexpr std::size_t MaxInbox = 64;
 
 } // namespace
@@ -98,7 +98,7 @@
             noteStep(*step);
         }
     }
-    // Peers' records alone are no end of an empty log: they may have been refused.
+    // A batch from a peer may have been rejected, so on an empty fold it does not prove the end.
     const bool fromLog = batch.kept_ != 0;
     const bool atEnd = batch.end_ != 0 && store_.next() >= batch.end_;
     if (atEnd && (fromLog || store_.knowsAnything())) {
@@ -128,8 +128,8 @@
     if (!schedule_.dueAt() || *schedule_.dueAt() > BootClock::now()) {
         return;
     }
-    // Counts as written: should it not get into the log, another is due as many records later,
-    // here or elsewhere.
+    // Count the snapshot as written. If it is not appended, the next one is due after as many
+    // records, here or at another instance.
     schedule_.onSnapshot(0);
     if (writeSnapshot_ && caughtUp_) {
         writeSnapshot_(store_.snapshot());
--- a/libs/control/src/logfollower.h
+++ b/libs/control/src/logfollower.h
@@ -1,6 +1,6 @@
 /**
- * The thread that folds: takes records from the log's reader and from peers, folds those that
- * come next, and tells listeners. Private to the library.
+ * The follower thread: folds the records received from the log reader and from peers, and calls
+ * the listeners. Private to the library.
  */
 #pragma once
 
@@ -13,12 +13,12 @@
 
 namespace almondridge::control {
 
-/** Records in a row from one source. */
+/** Consecutive records from one source. */
 struct RecordBatch
 {
     std::vector<store::LogRecord> records_;
-    LogOffset kept_ = 0; ///< The oldest offset that the log keeps; 0 from peers.
-    LogOffset end_ = 0;  ///< The source's next offset; 0 when it did not say.
+    LogOffset kept_ = 0; ///< The oldest offset retained by the log; 0 from peers.
+    LogOffset end_ = 0;  ///< The source's next offset; 0 when unknown.
 };
 
 class LogFollower
@@ -36,19 +36,19 @@
     LogFollower(const LogFollower &) = delete;
     LogFollower &operator=(const LogFollower &) = delete;
 
-    /** Before start() only; called in the order added. */
+    /** Adds a listener, only before start(). Listeners are called in the order added. */
     void listen(FoldListener listener);
-    /** Called when a snapshot shall be written. Before start() only. */
+    /** Sets the function that writes a snapshot when one is due. Only before start(). */
     void onSnapshotDue(std::function<void(SnapshotRecord)> write);
     void start();
     void stop();
 
-    /** Hands a batch in and returns at once. Dropped when too many wait. */
+    /** Queues a batch without waiting. Dropped when the queue is full. */
     void offer(RecordBatch batch);
-    /** Hands a batch in and waits until it is folded, or stop(). */
+    /** Queues a batch and waits until it is folded or stop() is called. */
     void foldNow(RecordBatch batch);
 
-    /** Whether a source was once folded to its end. */
+    /** Whether the log or a peer was once folded to its end. */
     bool caughtUp() const noexcept { return caughtUp_; }
 
 private:
@@ -61,7 +61,7 @@
     FoldStore &store_;
     std::vector<FoldListener> listeners_;
     std::function<void(SnapshotRecord)> writeSnapshot_;
-    SnapshotSchedule schedule_; ///< Follower's thread only, as random_.
+    SnapshotSchedule schedule_; ///< Used by the follower's thread only, like random_.
     std::mt19937_64 random_;
     std::atomic<bool> caughtUp_ = false;
 
--- a/libs/control/src/logreader.cpp
+++ b/libs/control/src/logreader.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::int64_t FirstBackoffMillis = 100;
 constexpr std::int64_t LastBackoffMillis = 1'000;
-/** Beyond any end: a read there gives no records, but says which offsets the log keeps. */
+/** An offset beyond any log's end: reading it returns only the range of retained offsets. */
 constexpr LogOffset BeyondEnd = LogOffset(1) << 62U;
 
 } // namespace
@@ -76,7 +76,7 @@
     }
     store::LogPage &page = std::get<store::LogPage>(read);
     if (unchecked_ && !compares) {
-        return; // An append found another log while this read was on its way.
+        return; // An append found lost records during this read.
     }
     if (!continues(page, next, last)) {
         onOtherLog(page, next);
@@ -87,16 +87,16 @@
     wentBack_ = false;
     reached_(true);
     follower_.foldNow({std::move(page.records_), page.first_, page.next_});
-    // Reading at once after each record would cost a call for each; a verdict that is waited
-    // for is worth it.
+    // Reading again at once would cost a call for each record, so pause unless an append waits
+    // for its verdict.
     appender_.waitForSome(start + pause_);
 }
 
 /**
- * Whether page goes on where this instance has folded to. The log promises never to lose what it
- * kept. If it does, its offsets start again, and the records there would bring back old
- * configurations and fences. It shows as an end before ours, or, when others have filled the log
- * past it while this instance was cut off, as another record at the last offset folded.
+ * Whether page continues the log that was folded here. The log must not lose records. If it does,
+ * its offsets start again, and folding them would bring back old configurations and fences. This
+ * is detected by an end before the last folded offset or, when other instances have appended past
+ * it in the meantime, by a different record at that offset.
  */
 bool LogReader::continues(const store::LogPage &page, LogOffset next,
                           const std::optional<store::LogRecord> &last)
@@ -108,8 +108,8 @@
 }
 
 /**
- * Appends may fill the other log past the last offset folded before this instance reads again. The
- * next read compares the record there.
+ * Appends may fill the log past the last folded offset before the next read, so that read also
+ * compares the record at that offset.
  */
 void LogReader::onWentBack()
 {
@@ -168,7 +168,7 @@
     return store_.next() > before;
 }
 
-/** Looks for a snapshot in what the log still keeps, up to its end. */
+/** Folds the first usable snapshot among the records that the log still retains. */
 void LogReader::readFromOldest()
 {
     const auto kept = capture([&] { return service_.read(BeyondEnd, BootClock::now()); });
--- a/libs/control/src/logreader.h
+++ b/libs/control/src/logreader.h
@@ -1,6 +1,6 @@
 /**
- * The thread that reads the log, and asks peers when the log is out or trimmed. Private to the
- * library.
+ * The reader thread: reads the log, or asks peers when the log is unavailable or trimmed. Private
+ * to the library.
  */
 #pragma once
 
@@ -20,7 +20,7 @@
     };
     using ReachedListener = std::function<void(bool)>;
 
-    /** source may be null. */
+    /** source is optional (null). */
     LogReader(store::LogService &service, RecordSource *source, FoldStore &store,
               LogFollower &follower, LogAppender &appender, const Options &options,
               ReachedListener reached);
@@ -31,9 +31,9 @@
     void start();
     void stop();
 
-    /** Whether the log was last seen without what is folded here: it lost records. */
+    /** Whether the log has lost records that are folded here, as of the last check. */
     bool logWentBack() const noexcept { return wentBack_; }
-    /** An append found that out, before the next read does. */
+    /** Call when an append finds that the log has lost records. */
     void onWentBack();
 
 private:
@@ -60,8 +60,8 @@
     std::mt19937_64 random_;
     std::atomic<bool> wentBack_ = false;
     std::atomic<bool> unchecked_ =
-        false;              ///< Whether the log may be another one since the last good read.
-    LogOffset stuckAt_ = 0; ///< Where trimmed records were last reported as missing.
+        false;              ///< Whether the next read has to check for lost records.
+    LogOffset stuckAt_ = 0; ///< Offset for which control.log-trimmed was last logged.
 
     std::mutex mutex_;
     std::condition_variable changed_;
--- a/libs/control/src/ordergate.cpp
+++ b/libs/control/src/ordergate.cpp
@@ -21,7 +21,7 @@
 constexpr int StatusLocked = 423;
 constexpr int FirstServerError = 500;
 
-/** An order's bytes may be resent by the kernel for no longer than this after its send. */
+/** Limits how long the kernel retransmits the bytes of an order. */
 Result<void> boundRetransmission(int socket)
 {
     const unsigned int bound = OrderUserTimeoutMillis;
@@ -61,14 +61,14 @@
     return net::Response {head.status_, std::move(head.headers_), std::move(body)};
 }
 
-/** Whatever fails once the order has left, it may have been taken. */
+/** After any failure once the order was sent, the engine may have accepted it. */
 boost::leaf::error_id unknownEffect(const Error &error)
 {
     return fail(ErrorKind::Interrupted, "an order was sent, then: " + error.message_,
                 "read the engine's state before ordering again");
 }
 
-/** Sends the order on its own guarded connection, and waits for the answer. */
+/** Sends the order on its own guarded connection and waits for the response. */
 Result<net::Response> exchangeOrder(const net::Address &address, const net::Request &request,
                                     TimePoint sendUntil, TimePoint deadline)
 {
@@ -76,7 +76,7 @@
     BOOST_LEAF_AUTO(exchange, net::HttpExchange::connect(address, std::min(sendUntil, deadline)));
     BOOST_LEAF_CHECK(boundRetransmission(exchange.socketDescriptor()));
     const GuardedSocket guarded(*guard, exchange.socketDescriptor(), sendUntil);
-    // After arming: a pause from here on ends in the guard's handler, not in the send below.
+    // Check after arming: if the process is paused from here on, the guard prevents the send.
     if (BootClock::now() >= sendUntil) {
         return fail(ErrorKind::TimedOut, "the lease lapsed before the order was sent",
                     "claim the lease again");
--- a/libs/control/src/orderpace.h
+++ b/libs/control/src/orderpace.h
@@ -1,5 +1,5 @@
 /**
- * How often endpoints are looked at and ordered.
+ * Intervals and limits of checks and orders.
  */
 #pragma once
 
@@ -9,30 +9,30 @@
 
 namespace almondridge::control {
 
-/** Between two looks at an endpoint at which something is under way. */
+/** Interval between two checks of an endpoint with a change in progress. */
 inline constexpr Duration ShortestLook = millis(100);
-/** Between two looks at an engine that is as wanted, in a small domain. */
+/** Minimum interval between two checks of an engine that is in its target state. */
 inline constexpr Duration ShortestSteadyLook = millis(1'000);
 /**
- * Over all engines of a domain that are as wanted. One read is about 1 KB on the wire, and
- * control may cost 2 KB a second.
+ * Limit for all engines of a domain that are in their target state. One read takes about 1 KB on
+ * the wire, and control may use 2 KB/s.
  */
 inline constexpr std::int64_t SteadyReadsPerSecond = 2;
-/** An engine that could not be read for so long is broken, not away for a planned change. */
+/** An engine that was unreadable for this long counts as broken, not as away for a change. */
 inline constexpr Duration AwayGrace = millis(30'000);
-/** An engine that failed so many orders in a row is broken, too. */
+/** An engine also counts as broken after this many consecutive failed orders. */
 inline constexpr int FailedOrdersOfABrokenEngine = 3;
-/** After a record that the log did not accept. */
+/** Wait after a record that the log did not accept. */
 inline constexpr Duration RecordRetry = millis(1'000);
-/** A weight store's status is asked for again after this. */
+/** How long the weight store's status is used before it is read again. */
 inline constexpr Duration WeightsInterval = millis(1'000);
-/** So many loads at once that each is done within this time at the store's rate. */
+/** Concurrent loads are limited so that each one takes at most this long at the store's rate. */
 inline constexpr double LoadAimSeconds = 120;
 
 inline constexpr Duration FirstBackoff = millis(200);
 inline constexpr int MostBackoffDoublings = 6;
 
-/** Doubles from FirstBackoff on; zero after a success. */
+/** Exponential backoff, starting with FirstBackoff; zero without failures. */
 constexpr Duration orderBackoff(int failures) noexcept
 {
     if (failures == 0) {
--- a/libs/control/src/orderplan.cpp
+++ b/libs/control/src/orderplan.cpp
@@ -60,7 +60,7 @@
     refreshTargets(now);
 }
 
-/** Endpoints of which something else is wanted now are due at once. */
+/** Makes endpoints due at once whose target changed. */
 void OrderPlan::refreshTargets(TimePoint now)
 {
     if (!fleet_) {
@@ -151,7 +151,7 @@
     if (entry == nullptr || entry->endpoint_.kind_ != fleet::EndpointKind::Engine) {
         return false;
     }
-    // That an endpoint leaves is told before anything that could take time.
+    // Announce that an endpoint leaves before a read, which may take long.
     return !entry->leaving_ || entry->told_ == Availability::Leaving;
 }
 
@@ -176,8 +176,8 @@
     if (entry->unreadable_++ == 0) {
         entry->unreadableSince_ = now;
     }
-    // An engine that is paused may hold an order in its receive buffer and take it when it goes
-    // on. So the wait for such an order begins anew with each read that fails.
+    // A paused engine may have an order in its receive buffer and accept it when it resumes, so
+    // each failed read restarts the wait for such an order.
     entry->settleAfter_ = now + millis(OrderNetworkBoundMillis);
 }
 
@@ -214,7 +214,7 @@
     }
     entry->answerUnknown_ = false;
     const bool done = outcome == OrderOutcome::Done;
-    // A drain that is done keeps the share for the load that it is for.
+    // After a finished drain keep the load slot for the load that follows.
     const bool loadAhead = done && entry->wanted_ && entry->state_
                            && needsLoad(entry->state_->target_, *entry->wanted_);
     if (entry->loading_ && !loadAhead) {
@@ -314,7 +314,7 @@
     return lines;
 }
 
-/** Lets the next engine that waits for a share try at once. */
+/** Makes the next engine that waits for a slot due at once. */
 void OrderPlan::wakeNext(TimePoint now) noexcept
 {
     for (auto &[id, entry] : entries_) {
--- a/libs/control/src/orderplandecide.cpp
+++ b/libs/control/src/orderplandecide.cpp
@@ -25,7 +25,7 @@
     return step;
 }
 
-/** Whether requests can be lost to it by a change: a crashed engine comes back without a model. */
+/** Whether the engine serves requests; a crashed engine restarts without a model. */
 bool serves(const EngineState &state)
 {
     return state.phase_ == EnginePhase::Ready && state.target_.admit_
@@ -52,7 +52,7 @@
     }
     EngineStep step = nextStep(*entry, open, now);
     if (step.kind_ == StepKind::Announce) {
-        news_.erase(id); // Older than what is told now.
+        news_.erase(id); // Superseded by this announcement.
     }
     return step;
 }
@@ -121,7 +121,7 @@
     return waitUntil(entry, now + ShortestLook, "the end of a change");
 }
 
-/** An engine that crashed in a change takes no requests until a known state was ordered. */
+/** An engine that crashed during a change gets no requests until a known state was ordered. */
 EngineStep OrderPlan::decideUnclear(Entry &entry, TimePoint now)
 {
     if (auto announce = tell(entry, Availability::Unclear)) {
@@ -140,10 +140,10 @@
 }
 
 /**
- * Announce, then let the engine refuse new work, then wait until it runs nothing, and only then
- * change it. No deadline ends that wait: a request is never cut for a planned change. The
- * change's target admits again, which saves an order and two appends a change, and leaves the
- * engine serving if the holder dies meanwhile; entries send work only once it was read back and
+ * Announces the drain, makes the engine reject new requests, waits until it runs none, and then
+ * orders the change. The wait has no deadline: a planned change never aborts a request. The
+ * target admits requests again, which saves one order and two appends per change and leaves the
+ * engine usable if the holder dies. Instances send requests only after the new state was read and
  * announced as open.
  */
 EngineStep OrderPlan::change(Entry &entry, TimePoint now)
@@ -165,7 +165,7 @@
     return order(entry, *entry.wanted_, "change after drain", now);
 }
 
-/** What the change needs besides the engine itself; until then the engine serves. */
+/** Takes the slots that a change needs; until they are free, the engine keeps serving. */
 std::optional<EngineStep> OrderPlan::waitForShares(Entry &entry, TimePoint now)
 {
     const EngineState &state = *entry.state_;
@@ -194,8 +194,8 @@
     if (now < entry.nextOrder_) {
         return waitUntil(entry, entry.nextOrder_, "the wait after an order that failed");
     }
-    // An engine that ignores fences would take a late order of the holder before; with this wait
-    // that order arrives before the state is read on which ours rests.
+    // An engine that ignores fences would accept a delayed order of the previous holder. After
+    // this wait, such an order has arrived before the state is read that our order is based on.
     const bool ignores = entry.endpoint_.fencing_ == fleet::Fencing::Ignores;
     if (ignores && now < firstOrderToIgnoring_) {
         return waitUntil(entry, firstOrderToIgnoring_, "the last orders of the holder before");
@@ -207,7 +207,7 @@
     return step;
 }
 
-/** Takes a share of what the weight store bears; a step when that has to wait. */
+/** Takes a load slot of the weight store; returns a step when that has to wait. */
 std::optional<EngineStep> OrderPlan::waitForLoad(Entry &entry, TimePoint now)
 {
     if (entry.loading_) {
@@ -266,7 +266,7 @@
     return settleStep(open.offset_, OrderOutcome::Unclear, "the engine is unclear after it");
 }
 
-/** Whether the order could take effect after the state that was read last. */
+/** Whether the order may take effect after the last read of the engine's state. */
 bool OrderPlan::mayStillBeTaken(const Entry &entry, const OpenIntent &open) const noexcept
 {
     const bool own = open.intent_.fence_ == *fence_;
@@ -295,7 +295,7 @@
     }
 }
 
-/** A broken engine must not keep all others from being changed. */
+/** A broken engine is not counted as away, so that it does not block changes of the others. */
 bool OrderPlan::broken(const Entry &entry, TimePoint now) const noexcept
 {
     const bool silent = entry.unreadable_ > 0 && now >= entry.unreadableSince_ + AwayGrace;
@@ -311,7 +311,7 @@
     return entry.slot_ || (entry.state_ && !serves(*entry.state_));
 }
 
-/** Not before all engines were looked at: the holder before may have left some of them away. */
+/** False until all engines were read: the previous holder may have left some of them away. */
 bool OrderPlan::slotFree(TimePoint now) const noexcept
 {
     int count = 0;
@@ -340,7 +340,7 @@
     return together == 0 || (together + 1) * bytes <= weights_->bytesPerSecond_ * LoadAimSeconds;
 }
 
-/** Refuses new work, and no order of the holder before can make it admit again. */
+/** Whether the engine rejects new requests and no earlier order can make it admit again. */
 bool OrderPlan::drained(const Entry &entry) const noexcept
 {
     const bool checks = entry.endpoint_.fencing_ == fleet::Fencing::Checks;
--- a/libs/control/src/pacing.h
+++ b/libs/control/src/pacing.h
@@ -1,6 +1,6 @@
 /**
- * When to try next: the append budget and the wait after failures. Both keep deadlines as their
- * state; time and randomness are passed in. Private to the library.
+ * Rate limit and backoff of appends. Time and random numbers are passed in. Private to the
+ * library.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace almondridge::control {
 
-/** A token bucket, kept as the deadline at which it is full again. */
+/** A token bucket, stored as the time at which it is full again. */
 class AppendBudget
 {
 public:
@@ -19,7 +19,7 @@
         , tolerance_(interval_ * (std::max<std::int64_t>(burst, 1) - 1))
     { }
 
-    /** The point from which one append may go out. */
+    /** The time from which the next append may be sent. */
     TimePoint allowedAt() const noexcept { return fullAt_ - tolerance_; }
     void spend(TimePoint now) noexcept { fullAt_ = std::max(fullAt_, now) + interval_; }
 
@@ -29,7 +29,7 @@
     TimePoint fullAt_ {};
 };
 
-/** Doubles the wait after each failure, up to a limit, and draws it from the upper half. */
+/** Exponential backoff with jitter: waits 50 to 100 % of a delay that doubles up to a limit. */
 class Backoff
 {
 public:
@@ -39,7 +39,7 @@
         , wait_(first_)
     { }
 
-    /** The point of the next try; random lies in [0, 1). */
+    /** Returns the time of the next attempt; random is in [0, 1). */
     TimePoint onFailure(TimePoint now, double random) noexcept
     {
         const auto drawn = std::chrono::duration_cast<Duration>(wait_ * (0.5 + 0.5 * random));
--- a/libs/control/src/reconciler.cpp
+++ b/libs/control/src/reconciler.cpp
@@ -6,17 +6,17 @@
 namespace almondridge::control {
 namespace {
 
-/** Between two rounds of handing out endpoints that are due. */
+/** Interval between two rounds that dispatch the endpoints that are due. */
 constexpr std::chrono::milliseconds RoundInterval {50};
-/** Bounds the reads, announcements and appends under way at once. */
+/** Limits the concurrent reads, announcements and appends. */
 constexpr int Workers = 8;
-/** Between two looks for open intents of engines that left the domain. */
+/** Interval between two searches for open intents of engines that left the domain. */
 constexpr Duration OrphanInterval = millis(2'000);
-/** After so many terms without an answer of any engine the lease is given up, */
+/** The lease is released when no engine could be read for this many terms. */
 constexpr int BlindTerms = 2;
-/** and not claimed again for so many. */
+/** After that, the lease is not claimed again for this many terms. */
 constexpr int PauseTerms = 5;
-/** A release that the log does not take by then is left to lapse. */
+/** A lease whose release is not appended within this time is left to expire. */
 constexpr std::int64_t ReleaseTimeoutMillis = 2'000;
 
 } // namespace
@@ -44,14 +44,14 @@
     void release(TimePoint claimFrom);
 
     ControlLog &log_;
-    std::shared_ptr<LeaseLoop> lease_; ///< Shared with the log's listener, which may outlive it.
+    std::shared_ptr<LeaseLoop> lease_; ///< Shared with the log's listener, which may outlive this.
     EngineWork work_;
     WorkerPool pool_;
     std::thread thread_;
-    std::shared_ptr<const fleet::Fleet> fleet_; ///< The thread's own.
-    TimePoint nextOrphans_ {};                  ///< The thread's own.
-    TimePoint blindSince_ {};                   ///< The thread's own.
-    bool givingUp_ = false;                     ///< The thread's own.
+    std::shared_ptr<const fleet::Fleet> fleet_; ///< Used by the thread only.
+    TimePoint nextOrphans_ {};                  ///< Used by the thread only.
+    TimePoint blindSince_ {};                   ///< Used by the thread only.
+    bool givingUp_ = false;                     ///< Used by the thread only.
     const Duration term_;
 
     std::mutex mutex_;
@@ -90,7 +90,7 @@
     for (const EndpointId &id : due) {
         pool_.add([this, id, fence = *fence] {
             work_.look(id, fence);
-            wake_.notify_all(); // An engine that waited for this one may be due.
+            wake_.notify_all(); // An engine that waited for this one may be due now.
         });
     }
     if (const TimePoint now = BootClock::now(); now >= nextOrphans_) {
@@ -103,8 +103,8 @@
 }
 
 /**
- * An instance that reaches the log but no engine would keep the lease and do nothing with it,
- * while its neighbours could. It stops its steps, and gives the lease up when none is under way.
+ * An instance that reaches the log but none of the engines would keep renewing a lease that other
+ * instances could use. It starts no more steps and releases the lease when none is in progress.
  */
 bool Reconciler::State::givesUp()
 {
@@ -165,7 +165,7 @@
     state_->thread_ = std::thread([state = state_.get()] { state->run(); });
 }
 
-/** The lease is renewed until the last step under way is done: orders need it until then. */
+/** Renews the lease until the last step in progress is done, because orders need it. */
 void Reconciler::stop()
 {
     if (!state_->thread_.joinable()) {
--- a/libs/control/src/recordfields.h
+++ b/libs/control/src/recordfields.h
@@ -1,5 +1,5 @@
 /**
- * The JSON fields that records and snapshots share. Private to the library.
+ * JSON field tables that records and snapshots share. Private to the library.
  */
 #pragma once
 
--- a/libs/control/src/records.cpp
+++ b/libs/control/src/records.cpp
@@ -15,7 +15,7 @@
 boost::leaf::error_id notOurs(const std::string &what)
 {
     return fail(ErrorKind::Protocol, "not a record of the control log: " + what,
-                "keep other writers off this log, and run one version everywhere");
+                "let no other program write to this log, and run the same version on all instances");
 }
 
 template <typename T>
@@ -24,14 +24,14 @@
     writeFields(std::get<T>(record), object);
 }
 
-/** The name of the first wrong field, or null. */
+/** Returns the name of the first invalid field, or null. */
 template <typename T>
 const char *decodeAs(const Json &object, Record &record)
 {
     return readFields(object, record.emplace<T>());
 }
 
-/** The state goes in as JSON, not as text in text, which would quote the fleet file twice. */
+/** Embeds the state as JSON, not as a string, which would escape the fleet file twice. */
 void encodeSnapshot(const Record &record, Json &object)
 {
     const auto &snapshot = std::get<SnapshotRecord>(record);
@@ -68,7 +68,7 @@
     return {kind, &encodeAs<T>, &decodeAs<T>};
 }
 
-/** In the order of Record's alternatives. */
+/** In the order of the alternatives of Record. */
 constexpr std::array<RecordCodec, std::variant_size_v<Record>> Codecs {{
     codec<ApplyRecord>("apply"),
     codec<LeaseClaimRecord>("lease-claim"),
--- a/libs/control/src/recordtail.h
+++ b/libs/control/src/recordtail.h
@@ -1,6 +1,6 @@
 /**
- * The latest raw records of the log as this instance folded them, for peers that are cut off
- * from it. Bounded. Private to the library.
+ * A bounded buffer of the latest raw log records that this instance folded, to serve peers that
+ * cannot reach the log. Private to the library.
  */
 #pragma once
 
@@ -17,13 +17,13 @@
 
     /** Adds the record after the last one. */
     void push(const store::LogRecord &record);
-    /** Drops all; the next record to come has this offset. */
+    /** Drops all records; next is the offset of the next record to be pushed. */
     void restart(LogOffset next);
 
-    /** The oldest offset held, or the next one when none is. */
+    /** The oldest offset held; next() when the buffer is empty. */
     LogOffset first() const noexcept { return next_ - records_.size(); }
     LogOffset next() const noexcept { return next_; }
-    /** Appends up to limit records from offset from on, which must not lie before first(). */
+    /** Copies up to limit records, starting at offset from, which must be at least first(). */
     void copyTo(std::vector<store::LogRecord> &records, LogOffset from, std::size_t limit) const;
 
 private:
--- a/libs/control/src/snapshotschedule.cpp
+++ b/libs/control/src/snapshotschedule.cpp
@@ -5,10 +5,10 @@
 namespace almondridge::control {
 namespace {
 
-/** Steepness of the delays: up to e^10, about 20,000 instances, few write at once. */
+/** Steepness of the delay distribution: with up to e^10 (about 20,000) instances few collide. */
 constexpr double Steepness = 10.0;
 
-/** A delay as a share of the window, truncated exponential and densest at its end. */
+/** A random fraction of the window: truncated exponential, densest at the window's end. */
 double delayShare(double random)
 {
     return std::log1p(random * std::expm1(Steepness)) / Steepness;
--- a/libs/control/src/snapshotschedule.h
+++ b/libs/control/src/snapshotschedule.h
@@ -1,6 +1,6 @@
 /**
- * When this instance writes a snapshot. Pure: time and randomness are passed in. Private to the
- * library.
+ * Decides when this instance writes a snapshot. Time and random numbers are passed in. Private
+ * to the library.
  */
 #pragma once
 
@@ -12,26 +12,27 @@
 namespace almondridge::control {
 
 /**
- * Any instance may write a snapshot, and one is enough. Each draws a delay; the first to write
- * makes the others' drop out as they fold it. The delays grow rare towards the start of the
- * window exponentially, so that few write at once, with 3 instances as with 300.
+ * One snapshot is enough for all instances. Each instance draws a random delay; the others cancel
+ * theirs when they fold the snapshot that was written first. Short delays are exponentially rare,
+ * so few instances write at the same time whether there are 3 or 300.
  */
 class SnapshotSchedule
 {
 public:
     SnapshotSchedule(std::int64_t everyRecords, std::int64_t windowMillis);
 
-    /** A record was folded; random lies in [0, 1). */
+    /** Counts a folded record; random is in [0, 1). */
     void onFolded(TimePoint now, double random);
-    /** A snapshot was folded or restored; offset is where the log has it, 0 when nowhere. */
+    /** A snapshot was folded or restored; offset is its place in the log, 0 if it is not there. */
     void onSnapshot(LogOffset offset);
     /**
-     * The log keeps first to next. A snapshot is also wanted when the newest one has reached the
-     * older half of what is kept: it must not be trimmed before the next one is written.
+     * The log retains the offsets from first up to next. A snapshot is also scheduled when the
+     * newest one lies in the older half of that range, so that a new one is written before the
+     * log trims it.
      */
     void onKept(LogOffset first, LogOffset next, TimePoint now, double random);
 
-    /** When to write; nothing when none is wanted. */
+    /** When to write; nullopt when no snapshot is due. */
     std::optional<TimePoint> dueAt() const noexcept { return dueAt_; }
 
 private:
--- a/libs/control/src/workerpool.h
+++ b/libs/control/src/workerpool.h
@@ -1,5 +1,5 @@
 /**
- * A few threads that run jobs in the order in which they were given.
+ * A thread pool that starts jobs in the order in which they were added.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
 
     void start(int workers);
     void add(Job job);
-    /** Runs what was given, then ends the threads. */
+    /** Runs the queued jobs, then ends the threads. */
     void finish();
 
 private:
