--- a/libs/control/include/almondridge/control/controllog.h
+++ b/libs/control/include/almondridge/control/controllog.h
@@ -25,7 +25,7 @@
 };
 
 /** What an append does while the log is unavailable. */
-enum class WhenOut {
+enum class OutagePolicy {
     Retry, ///< Retries until its deadline.
     Fail,  ///< Fails as soon as the log refuses it.
 };
@@ -40,8 +40,8 @@
 
 /**
  * Called on the follower's thread after each folded record, without locks held and before the
- * append() that waits for the record returns. A step with jumped_ set stands for any number of
- * records that were not read. Must not call append().
+ * append() that waits for the record returns. A step with skippedRecords_ set stands for any number
+ * of records that were not read. Must not call append().
  */
 using FoldListener = std::function<void(const FoldStep &)>;
 
@@ -64,7 +64,7 @@
      * Interrupted, it is not known by deadline whether the record was appended.
      */
     Result<AppendVerdict> append(const Record &record, TimePoint deadline,
-                                 WhenOut whenOut = WhenOut::Retry);
+                                 OutagePolicy outagePolicy = OutagePolicy::Retry);
     /** Like append(), but does not wait; retries until deadline and discards the verdict. */
     void post(const Record &record, TimePoint deadline);
     /** Waits until no appended or posted record is pending. False at deadline. */
--- a/libs/control/include/almondridge/control/fold.h
+++ b/libs/control/include/almondridge/control/fold.h
@@ -80,9 +80,9 @@
     LogOffset offset_ = 0;
     Verdict verdict_ = Verdict::Rejected;
     Record record_ {};
-    std::string reason_;   ///< Why the record was not accepted.
-    std::string recordId_; ///< The id assigned by the record's writer; may be empty.
-    bool jumped_ = false;  ///< A snapshot replaced records that were not read here.
+    std::string reason_;          ///< Why the record was not accepted.
+    std::string recordId_;        ///< The id assigned by the record's writer; may be empty.
+    bool skippedRecords_ = false; ///< A snapshot replaced records that were not read here.
 };
 
 class Fold
@@ -106,7 +106,7 @@
     /** The offset of the next record to fold; 1 in an empty fold. */
     LogOffset next() const noexcept { return next_; }
     /** False until the first record or snapshot was folded; until then nothing may be claimed. */
-    bool knowsAnything() const noexcept { return next_ > 1; }
+    bool hasState() const noexcept { return next_ > 1; }
 
     const AcceptedFleet &fleet() const noexcept { return fleet_; }
     /** The domain's latest lease; null when it never had one. */
@@ -134,21 +134,21 @@
 
 private:
     friend struct FoldState;
-    struct Ruling;
+    struct Evaluation;
 
     FoldStep foldNext(const store::LogRecord &record);
     FoldStep foldSnapshotAhead(const store::LogRecord &record);
-    Ruling judge(const ApplyRecord &record, LogOffset offset);
-    Ruling judge(const LeaseClaimRecord &record, LogOffset offset);
-    Ruling judge(const LeaseRenewRecord &record, LogOffset offset);
-    Ruling judge(const IntentRecord &record, LogOffset offset);
-    Ruling judge(const OutcomeRecord &record, LogOffset offset);
-    Ruling judge(const KeyClaimRecord &record, LogOffset offset);
-    Ruling judge(const KeyOutcomeRecord &record, LogOffset offset);
-    Ruling judge(const SnapshotRecord &record, LogOffset offset);
-    bool inForce(const DomainId &domain, Fence fence) const noexcept;
+    Evaluation evaluate(const ApplyRecord &record, LogOffset offset);
+    Evaluation evaluate(const LeaseClaimRecord &record, LogOffset offset);
+    Evaluation evaluate(const LeaseRenewRecord &record, LogOffset offset);
+    Evaluation evaluate(const IntentRecord &record, LogOffset offset);
+    Evaluation evaluate(const OutcomeRecord &record, LogOffset offset);
+    Evaluation evaluate(const KeyClaimRecord &record, LogOffset offset);
+    Evaluation evaluate(const KeyOutcomeRecord &record, LogOffset offset);
+    Evaluation evaluate(const SnapshotRecord &record, LogOffset offset);
+    bool isCurrentLease(const DomainId &domain, Fence fence) const noexcept;
     void rememberApply(const std::string &applyId, Revision revision);
-    void forgetOldClaims();
+    void dropExpiredClaims();
 
     std::int64_t keyHorizonMillis_;
     LogOffset next_ = 1;
--- a/libs/control/include/almondridge/control/keyclaims.h
+++ b/libs/control/include/almondridge/control/keyclaims.h
@@ -58,7 +58,7 @@
                 const std::string &body);
 
 private:
-    std::optional<KeyClaimAnswer> folded(const std::string &key) const;
+    std::optional<KeyClaimAnswer> lookUpFolded(const std::string &key) const;
 
     ControlLog &log_;
     const InstanceId self_;
--- a/libs/control/include/almondridge/control/leasekeeper.h
+++ b/libs/control/include/almondridge/control/leasekeeper.h
@@ -38,7 +38,7 @@
     /** Returns the next action; fills in the record to append for Claim and Renew. */
     LeaseStep next(const Fold &fold, TimePoint now, Record &record);
     /** The same, given the domain's latest lease in the log; null when it never had one. */
-    LeaseStep next(const LeaseState *inForce, TimePoint now, Record &record);
+    LeaseStep next(const LeaseState *current, TimePoint now, Record &record);
 
     /** Call right before the record is sent. One append at a time. */
     void onAppending(const Record &record, TimePoint now);
@@ -63,14 +63,14 @@
     /** The time after which no order may be sent under the held fence. */
     TimePoint orderDeadline() const noexcept { return heldUntil_; }
     /** The time before which a new holder may not send orders to engines that ignore fences. */
-    TimePoint firstOrderToIgnoring() const noexcept { return firstOrderToIgnoring_; }
+    TimePoint firstUnfencedOrder() const noexcept { return firstUnfencedOrder_; }
 
 private:
     enum class Appending { Nothing, Claim, Renewal };
 
-    void forgetIfLapsed(TimePoint now) noexcept;
-    void witness(const LeaseState &inForce, TimePoint now);
-    LeaseStep nextRenewal(const LeaseState *inForce, TimePoint now, Record &record) const;
+    void dropIfExpired(TimePoint now) noexcept;
+    void onLeaseRead(const LeaseState &current, TimePoint now);
+    LeaseStep nextRenewal(const LeaseState *current, TimePoint now, Record &record) const;
 
     InstanceId self_;
     DomainId domain_;
@@ -78,14 +78,15 @@
     Duration margin_;
     Duration backoff_ {};
     Appending appending_ = Appending::Nothing;
-    TimePoint appendingSince_ {};      ///< Taken before the pending append.
-    TimePoint appendingFirstOrder_ {}; ///< firstOrderToIgnoring_ if the pending claim is accepted.
+    TimePoint appendingSince_ {}; ///< Taken before the pending append.
+    TimePoint
+        pendingFirstUnfencedOrder_ {}; ///< firstUnfencedOrder_ if the pending claim is accepted.
     std::optional<Fence> fence_;
     TimePoint heldUntil_ {};
-    TimePoint othersExpire_ {}; ///< When the lease seen in the log has surely expired.
-    TimePoint claimFrom_ {};    ///< othersExpire_ plus the random backoff.
+    TimePoint observedExpiry_ {}; ///< When the lease seen in the log has surely expired.
+    TimePoint claimFrom_ {};      ///< observedExpiry_ plus the random backoff.
     TimePoint nextTry_ {};
-    TimePoint firstOrderToIgnoring_ {};
+    TimePoint firstUnfencedOrder_ {};
     std::optional<LogOffset> seenRecord_; ///< 0: the log has no lease of the domain.
     bool seenReleased_ = false;
 };
--- a/libs/control/include/almondridge/control/ordergate.h
+++ b/libs/control/include/almondridge/control/ordergate.h
@@ -24,8 +24,8 @@
 {
     EngineTarget target_;
     EnginePhase phase_ = EnginePhase::Unclear;
-    int running_ = 0; ///< Requests running or queued at the engine.
-    Fence fence_ = 0; ///< Fence of the last accepted order.
+    int running_ = 0;            ///< Requests running or queued at the engine.
+    Fence fence_ = 0;            ///< Fence of the last accepted order.
     std::uint64_t sequence_ = 0; ///< Sequence number of the last accepted order.
 };
 
--- a/libs/control/include/almondridge/control/orderplan.h
+++ b/libs/control/include/almondridge/control/orderplan.h
@@ -24,8 +24,8 @@
     Open,
     Draining, ///< Drained before a planned change or removal.
     Changing, ///< The engine is carrying out a change.
-    Unclear, ///< The engine's state is unknown.
-    Leaving, ///< The endpoint is to be removed.
+    Unclear,  ///< The engine's state is unknown.
+    Leaving,  ///< The endpoint is to be removed.
 };
 
 inline constexpr std::array<EnumName<Availability>, 5> AvailabilityNames {{
@@ -39,11 +39,11 @@
 using Availabilities = std::map<EndpointId, Availability>;
 
 enum class StepKind {
-    Wait,       ///< Do nothing until the endpoint is due again.
-    Announce,   ///< Announce availability_ to all instances, then compute the next step.
-    AskWeights, ///< Read the weight store's status, then compute the next step.
-    Settle,     ///< Append outcome_ for the open intent at offset intent_.
-    Order,      ///< Append an intent for target_, read the state again, send the order.
+    Wait,            ///< Do nothing until the endpoint is due again.
+    Announce,        ///< Announce availability_ to all instances, then compute the next step.
+    ReadStoreStatus, ///< Read the weight store's status, then compute the next step.
+    CloseIntent,     ///< Append outcome_ for the open intent at offset intent_.
+    Order,           ///< Append an intent for target_, read the state again, send the order.
 };
 
 struct EngineStep
@@ -75,16 +75,16 @@
     void setLeaving(std::set<EndpointId> leaving, TimePoint now);
 
     /** A lease was acquired: discards all states read and announcements made before. */
-    void hold(Fence fence, TimePoint firstOrderToIgnoring, TimePoint now);
+    void onLeaseAcquired(Fence fence, TimePoint firstUnfencedOrder, TimePoint now);
     /** The lease is no longer held, or is about to be released. */
-    void drop();
+    void onLeaseLost();
     std::optional<Fence> fence() const noexcept { return fence_; }
 
     /** Returns the endpoints that are due; each is reserved for the caller until finish(). */
     std::vector<EndpointId> takeDue(TimePoint now);
     void finish(const EndpointId &id, TimePoint now);
     /** Makes an endpoint due soon, but at most once a second. */
-    void lookAt(const EndpointId &id, TimePoint now);
+    void requestCheck(const EndpointId &id, TimePoint now);
 
     /** Null when the current fleet file no longer lists it in this domain. */
     const fleet::Endpoint *endpoint(const EndpointId &id) const noexcept;
@@ -93,7 +93,7 @@
     /** Computes the next step; open is the engine's open intent in the log, or null. */
     EngineStep step(const EndpointId &id, const OpenIntent *open, TimePoint now);
     /** Whether an order for target is still wanted after its intent was accepted. */
-    bool stillWants(const EndpointId &id, const EngineTarget &target, TimePoint now);
+    bool stillWantsOrder(const EndpointId &id, const EngineTarget &target, TimePoint now);
 
     /** The engine's state was read; readAt is a time before the read was sent. */
     void onState(const EndpointId &id, const EngineState &state, TimePoint readAt);
@@ -102,28 +102,29 @@
     /** An order is about to be sent. The order of an own intent without this call was not sent. */
     void onSending(const EndpointId &id);
     void onSent(const EndpointId &id, SendResult result, TimePoint now);
-    void onSettled(const EndpointId &id, OrderOutcome outcome, TimePoint now);
-    /** A record was not accepted: the log is slow or unreachable, or another holder has the lease. */
+    void onIntentClosed(const EndpointId &id, OrderOutcome outcome, TimePoint now);
+    /** A record was not accepted: the log is unreachable, or another holder has the lease. */
     void onNotRecorded(const EndpointId &id, TimePoint now);
     /** The weight store's status; nullopt when it did not answer, loads then run one at a time. */
-    void onWeights(std::optional<store::WeightStoreStatus> status, TimePoint now);
+    void onStoreStatus(std::optional<store::WeightStoreStatus> status, TimePoint now);
 
-    bool hasNews() const noexcept { return !news_.empty(); }
+    bool hasPendingAnnouncements() const noexcept { return !pendingAnnouncements_.empty(); }
     /**
      * Outcomes for open intents of engines that the fleet file no longer lists in this domain.
      * Such engines are no longer read. If the intent stayed open, the engine could never get an
      * order again after it returns or is moved to another failure domain.
      */
-    std::vector<OutcomeRecord> orphans(const std::map<EndpointId, OpenIntent> &open, TimePoint now);
+    std::vector<OutcomeRecord>
+    outcomesOfOrphanedIntents(const std::map<EndpointId, OpenIntent> &open, TimePoint now);
 
-    /** Returns and clears the pending announcements that no order depends on, to send as a batch. */
-    Availabilities takeNews();
+    /** Returns and clears the pending announcements, which no order depends on. */
+    Availabilities takePendingAnnouncements();
     /** The announced availabilities other than Open, for this lease. */
     Availabilities withheld() const;
     /** Whether no order sent under this lease can still reach an engine. */
     bool mayRelease(TimePoint now) const noexcept;
     /** Whether there are engines and the last read of each one failed under this lease. */
-    bool seesNoEngine() const noexcept;
+    bool allEnginesUnreadable() const noexcept;
     /** A status line for each endpoint: target, phase, availability and reason for waiting. */
     std::map<EndpointId, std::string> progress() const;
 
@@ -134,9 +135,9 @@
         std::optional<EngineTarget> wanted_;
         bool leaving_ = false;
 
-        bool taken_ = false;
-        bool looked_ = false; ///< A read succeeded or failed under this lease.
-        TimePoint nextLook_ {};
+        bool inProgress_ = false;
+        bool readAttempted_ = false; ///< A read succeeded or failed under this lease.
+        TimePoint nextCheck_ {};
         std::string waitsFor_;
 
         std::optional<EngineState> state_;
@@ -144,25 +145,25 @@
         int unreadable_ = 0; ///< Consecutive failed reads.
         TimePoint unreadableSince_ {};
 
-        std::optional<Availability> told_;
-        bool slot_ = false;       ///< Counts against the limit of engines away at once.
-        bool loading_ = false;    ///< Counts against the concurrent loads of the weight store.
-        bool wantsShare_ = false; ///< Waits for either limit.
+        std::optional<Availability> announced_;
+        bool hasChangeSlot_ = false; ///< Counts against the limit of engines away at once.
+        bool hasLoadSlot_ = false;   ///< Counts against the concurrent loads of the weight store.
+        bool waitsForSlot_ = false;  ///< Waits for either limit.
 
         bool answerUnknown_ = false;
-        TimePoint settleAfter_ {}; ///< Until then an unanswered order may take effect.
-        bool ordered_ = false;     ///< Accepted an order of this lease, so it rejects older ones.
-        int failedOrders_ = 0;     ///< Consecutive failed orders.
+        TimePoint unansweredUntil_ {}; ///< Until then an unanswered order may take effect.
+        bool ordered_ = false; ///< Accepted an order of this lease, so it rejects older ones.
+        int failedOrders_ = 0; ///< Consecutive failed orders.
         TimePoint nextOrder_ {};
     };
 
     using Decision = EngineStep (OrderPlan::*)(Entry &, TimePoint);
-    using Settlement = EngineStep (OrderPlan::*)(Entry &, const OpenIntent &, TimePoint);
+    using CloseDecision = EngineStep (OrderPlan::*)(Entry &, const OpenIntent &, TimePoint);
 
     Entry *find(const EndpointId &id) noexcept;
     const Entry *find(const EndpointId &id) const noexcept;
     void refreshTargets(TimePoint now);
-    TimePoint steadyLook(TimePoint now) const noexcept;
+    TimePoint nextSteadyCheck(TimePoint now) const noexcept;
 
     EngineStep nextStep(Entry &entry, const OpenIntent *open, TimePoint now);
     EngineStep decide(Entry &entry, TimePoint now);
@@ -172,36 +173,36 @@
     EngineStep change(Entry &entry, TimePoint now);
     EngineStep inSync(Entry &entry, TimePoint now);
     EngineStep order(Entry &entry, EngineTarget target, std::string reason, TimePoint now);
-    std::optional<EngineStep> waitForShares(Entry &entry, TimePoint now);
-    std::optional<EngineStep> waitForLoad(Entry &entry, TimePoint now);
-
-    EngineStep settle(Entry &entry, const OpenIntent &open, TimePoint now);
-    EngineStep settleReady(Entry &entry, const OpenIntent &open, TimePoint now);
-    EngineStep settleChanging(Entry &entry, const OpenIntent &open, TimePoint now);
-    EngineStep settleUnclear(Entry &entry, const OpenIntent &open, TimePoint now);
-    bool mayStillBeTaken(const Entry &entry, const OpenIntent &open) const noexcept;
-    TimePoint settleTime(const Entry &entry, const OpenIntent &open) const noexcept;
-
-    std::optional<EngineStep> tell(Entry &entry, Availability availability);
-    void addNews(Entry &entry, Availability availability);
-    void wakeNext(TimePoint now) noexcept;
-    bool broken(const Entry &entry, TimePoint now) const noexcept;
-    bool away(const Entry &entry, TimePoint now) const noexcept;
-    bool slotFree(TimePoint now) const noexcept;
-    bool loadFree(const Entry &entry, TimePoint now) const noexcept;
-    bool drained(const Entry &entry) const noexcept;
+    std::optional<EngineStep> waitForSlots(Entry &entry, TimePoint now);
+    std::optional<EngineStep> waitForLoadSlot(Entry &entry, TimePoint now);
+
+    EngineStep closeIntent(Entry &entry, const OpenIntent &open, TimePoint now);
+    EngineStep closeIntentWhenReady(Entry &entry, const OpenIntent &open, TimePoint now);
+    EngineStep closeIntentWhenChanging(Entry &entry, const OpenIntent &open, TimePoint now);
+    EngineStep closeIntentWhenUnclear(Entry &entry, const OpenIntent &open, TimePoint now);
+    bool mayStillTakeEffect(const Entry &entry, const OpenIntent &open) const noexcept;
+    TimePoint closeTime(const Entry &entry, const OpenIntent &open) const noexcept;
+
+    std::optional<EngineStep> announceIfChanged(Entry &entry, Availability availability);
+    void queueAnnouncement(Entry &entry, Availability availability);
+    void wakeNextWaiting(TimePoint now) noexcept;
+    bool isBroken(const Entry &entry, TimePoint now) const noexcept;
+    bool isAway(const Entry &entry, TimePoint now) const noexcept;
+    bool changeSlotFree(TimePoint now) const noexcept;
+    bool loadSlotFree(const Entry &entry, TimePoint now) const noexcept;
+    bool isDrained(const Entry &entry) const noexcept;
 
     DomainId domain_;
     std::shared_ptr<const fleet::Fleet> fleet_;
     WantedRoles roles_;
     std::set<EndpointId> leaving_;
     std::optional<Fence> fence_;
-    TimePoint firstOrderToIgnoring_ {};
+    TimePoint firstUnfencedOrder_ {};
     std::map<EndpointId, Entry> entries_;
-    Availabilities news_;
-    std::map<LogOffset, TimePoint> orphanSince_;
-    std::optional<store::WeightStoreStatus> weights_;
-    std::optional<TimePoint> weightsUntil_; ///< When the status has to be read again.
+    Availabilities pendingAnnouncements_;
+    std::map<LogOffset, TimePoint> orphanedSince_;
+    std::optional<store::WeightStoreStatus> storeStatus_;
+    std::optional<TimePoint> storeStatusUntil_; ///< When the status has to be read again.
 };
 
 } // namespace almondridge::control
--- a/libs/control/include/almondridge/control/reconciler.h
+++ b/libs/control/include/almondridge/control/reconciler.h
@@ -49,7 +49,7 @@
      * Requests a read of an engine's state soon, because its load report differs from its target
      * or it failed a request. Engines in their target state are otherwise read rarely.
      */
-    void lookAt(const EndpointId &engine);
+    void requestCheck(const EndpointId &engine);
     /** The fence of the held lease; nullopt when none is held. */
     std::optional<Fence> heldFence() const;
     /** The announced availabilities other than Open, to be repeated in heartbeats. */
--- a/libs/control/src/appendqueue.cpp
+++ b/libs/control/src/appendqueue.cpp
@@ -63,9 +63,9 @@
     }
 }
 
-std::vector<Answered> AppendQueue::onRefused(const AppendGroup &group, const Error &error)
+std::vector<CompletedAppend> AppendQueue::onRefused(const AppendGroup &group, const Error &error)
 {
-    std::vector<Answered> answered;
+    std::vector<CompletedAppend> answered;
     for (const AppendId id : group.ids_) {
         const auto found = entries_.find(id);
         if (found == entries_.end()) {
@@ -74,15 +74,15 @@
         Entry &entry = found->second;
         entry.stage_ = Stage::Waiting;
         entry.lastError_ = error;
-        if (entry.record_.whenOut_ == WhenOut::Fail) {
-            answered.push_back(unanswered(id, entry));
+        if (entry.record_.outagePolicy_ == OutagePolicy::Fail) {
+            answered.push_back(failedAppend(id, entry));
             entries_.erase(found);
         }
     }
     return answered;
 }
 
-void AppendQueue::onDoubtful(const AppendGroup &group, const Error &error, TimePoint resendAt)
+void AppendQueue::onUncertain(const AppendGroup &group, const Error &error, TimePoint resendAt)
 {
     for (const AppendId id : group.ids_) {
         const auto found = entries_.find(id);
@@ -92,14 +92,14 @@
         Entry &entry = found->second;
         entry.stage_ = Stage::Waiting;
         entry.sendAt_ = resendAt;
-        entry.doubtful_ = true;
+        entry.mayBeAppended_ = true;
         entry.lastError_ = error;
         // Retry alone, so that a record that breaks the append call does not fail others too.
         entry.record_.alone_ = entry.record_.alone_ || error.kind_ == ErrorKind::Protocol;
     }
 }
 
-std::vector<Answered> AppendQueue::onFolded(AppendId id, const FoldStep &step)
+std::vector<CompletedAppend> AppendQueue::onFolded(AppendId id, const FoldStep &step)
 {
     if (entries_.erase(id) == 0) {
         return {};
@@ -107,49 +107,49 @@
     return {{id, AppendVerdict {step.offset_, step.verdict_, step.reason_}}};
 }
 
-std::vector<Answered> AppendQueue::onJumped(LogOffset next)
+std::vector<CompletedAppend> AppendQueue::onRecordsSkipped(LogOffset next)
 {
-    return answerWhere([&](const Entry &entry) {
-        return entry.doubtful_ || entry.stage_ == Stage::InFlight
+    return failWhere([&](const Entry &entry) {
+        return entry.mayBeAppended_ || entry.stage_ == Stage::InFlight
                || (entry.stage_ == Stage::Appended && entry.offset_ < next);
     });
 }
 
-std::vector<Answered> AppendQueue::expire(TimePoint now)
+std::vector<CompletedAppend> AppendQueue::expire(TimePoint now)
 {
-    return answerWhere([&](const Entry &entry) { return entry.record_.deadline_ <= now; });
+    return failWhere([&](const Entry &entry) { return entry.record_.deadline_ <= now; });
 }
 
-std::vector<Answered> AppendQueue::close()
+std::vector<CompletedAppend> AppendQueue::close()
 {
-    return answerWhere([](const Entry &) { return true; });
+    return failWhere([](const Entry &) { return true; });
 }
 
 bool AppendQueue::awaitsFold() const noexcept
 {
     return std::any_of(entries_.begin(), entries_.end(), [](const auto &item) {
-        return item.second.doubtful_ || item.second.stage_ != Stage::Waiting;
+        return item.second.mayBeAppended_ || item.second.stage_ != Stage::Waiting;
     });
 }
 
 template <typename Condition>
-std::vector<Answered> AppendQueue::answerWhere(Condition &&condition)
+std::vector<CompletedAppend> AppendQueue::failWhere(Condition &&condition)
 {
-    std::vector<Answered> answered;
+    std::vector<CompletedAppend> answered;
     for (auto at = entries_.begin(); at != entries_.end();) {
         if (!condition(at->second)) {
             ++at;
             continue;
         }
-        answered.push_back(unanswered(at->first, at->second));
+        answered.push_back(failedAppend(at->first, at->second));
         at = entries_.erase(at);
     }
     return answered;
 }
 
-Answered AppendQueue::unanswered(AppendId id, const Entry &entry)
+CompletedAppend AppendQueue::failedAppend(AppendId id, const Entry &entry)
 {
-    if (entry.doubtful_ || entry.stage_ != Stage::Waiting) {
+    if (entry.mayBeAppended_ || entry.stage_ != Stage::Waiting) {
         return {id, Error {ErrorKind::Interrupted,
                            "the record may be in the log; its verdict is not known: "
                                + entry.lastError_.message_,
--- a/libs/control/src/appendqueue.h
+++ b/libs/control/src/appendqueue.h
@@ -21,17 +21,17 @@
 {
     std::string body_;
     TimePoint deadline_ {}; ///< The record is not sent after this.
-    WhenOut whenOut_ = WhenOut::Retry;
+    OutagePolicy outagePolicy_ = OutagePolicy::Retry;
     bool alone_ = false; ///< Is appended in a batch of its own.
 };
 
-using AppendAnswer = std::variant<AppendVerdict, Error>;
+using AppendResult = std::variant<AppendVerdict, Error>;
 
 /** A finished append: the id and its verdict or error. */
-struct Answered
+struct CompletedAppend
 {
     AppendId id_ = 0;
-    AppendAnswer answer_;
+    AppendResult answer_;
 };
 
 /** The records of one append call, in order. */
@@ -57,23 +57,23 @@
     /** The group was appended, starting at offset first. onFolded() then gives the verdicts. */
     void onAppended(const AppendGroup &group, LogOffset first);
     /** The group was not appended. Returns the records that fail instead of being retried. */
-    std::vector<Answered> onRefused(const AppendGroup &group, const Error &error);
+    std::vector<CompletedAppend> onRefused(const AppendGroup &group, const Error &error);
     /**
      * The group may have been appended, or may still be. Records that are not folded by resendAt
      * are sent again. That is safe because every record names the state it was written against,
      * so at most one of two copies is accepted.
      */
-    void onDoubtful(const AppendGroup &group, const Error &error, TimePoint resendAt);
+    void onUncertain(const AppendGroup &group, const Error &error, TimePoint resendAt);
 
     /** A record of this queue was folded. */
-    std::vector<Answered> onFolded(AppendId id, const FoldStep &step);
+    std::vector<CompletedAppend> onFolded(AppendId id, const FoldStep &step);
     /** A snapshot moved the fold to next: the verdicts on the skipped records are unknown. */
-    std::vector<Answered> onJumped(LogOffset next);
+    std::vector<CompletedAppend> onRecordsSkipped(LogOffset next);
 
     /** Fails the records whose deadline has passed. */
-    std::vector<Answered> expire(TimePoint now);
+    std::vector<CompletedAppend> expire(TimePoint now);
     /** Fails all records; no more are sent. */
-    std::vector<Answered> close();
+    std::vector<CompletedAppend> close();
 
     bool empty() const noexcept { return entries_.empty(); }
     /** Whether any record may have been appended and waits for its verdict. */
@@ -92,15 +92,15 @@
         Stage stage_ = Stage::Waiting;
         TimePoint sendAt_ {};
         LogOffset offset_ = 0;
-        bool doubtful_ = false; ///< An earlier attempt may have taken effect.
-        Error lastError_ {ErrorKind::Unavailable, "no append went out in time", "try again", {}};
+        bool mayBeAppended_ = false; ///< An earlier attempt may have taken effect.
+        Error lastError_ {ErrorKind::Unavailable, "no append was sent in time", "try again", {}};
     };
 
     using Entries = std::map<AppendId, Entry>;
 
-    static Answered unanswered(AppendId id, const Entry &entry);
+    static CompletedAppend failedAppend(AppendId id, const Entry &entry);
     template <typename Condition>
-    std::vector<Answered> answerWhere(Condition &&condition);
+    std::vector<CompletedAppend> failWhere(Condition &&condition);
 
     const std::size_t maxRecords_;
     const std::size_t maxBytes_;
--- a/libs/control/src/controllog.cpp
+++ b/libs/control/src/controllog.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /** How long writing a snapshot is retried; after that, another instance writes one. */
-constexpr std::int64_t SnapshotTryMillis = 60'000;
+constexpr std::int64_t SnapshotTimeoutMillis = 60'000;
 
 std::uint64_t randomNumber()
 {
@@ -40,10 +40,10 @@
         , store_(keyHorizonMillis)
         , follower_(store_, follower)
         , appender_(
-              service, std::move(appender), [this](bool reached) { noteReached(reached); },
-              [this] { reader_.onWentBack(); })
+              service, std::move(appender), [this](bool reached) { setReachable(reached); },
+              [this] { reader_.onLogLostRecords(); })
         , reader_(service, source, store_, follower_, appender_, reader,
-                  [this](bool reached) { noteReached(reached); })
+                  [this](bool reached) { setReachable(reached); })
     { }
 
     void event(observe::EventKind kind, const std::string &name, const std::string &subject,
@@ -54,7 +54,7 @@
         }
     }
 
-    void noteReached(bool reached)
+    void setReachable(bool reached)
     {
         if (reachable_.exchange(reached) != reached) {
             event(observe::EventKind::Platform, reached ? "log.back" : "log.lost", "log", {});
@@ -67,20 +67,20 @@
             lastRevision_ = revision;
             event(observe::EventKind::Apply, "apply.in-force", std::to_string(revision), {});
         }
-        if (step.jumped_) {
-            appender_.onJumped(store_.next());
+        if (step.skippedRecords_) {
+            appender_.onRecordsSkipped(store_.next());
         }
         appender_.onFolded(step);
     }
 
     /** Fails when this instance cannot compute verdicts. */
-    Result<void> checkKnown() const
+    Result<void> checkStateKnown() const
     {
-        if (reader_.logWentBack()) {
+        if (reader_.logLostRecords()) {
             return fail(ErrorKind::Unavailable, "the log has lost records that were folded here",
                         "bring the log back as it was");
         }
-        if (!follower_.caughtUp() && !store_.knowsAnything()) {
+        if (!follower_.caughtUp() && !store_.hasState()) {
             return fail(ErrorKind::Unavailable, "this instance does not know the log's state yet",
                         "wait until it has read the log or reached a peer that has");
         }
@@ -113,7 +113,7 @@
     state.follower_.onSnapshotDue([&state](SnapshotRecord snapshot) {
         state.event(observe::EventKind::Instance, "snapshot.written",
                     std::to_string(snapshot.through_), {});
-        state.appender_.post(std::move(snapshot), BootClock::now() + millis(SnapshotTryMillis),
+        state.appender_.post(std::move(snapshot), BootClock::now() + millis(SnapshotTimeoutMillis),
                              true);
     });
     state.follower_.start();
@@ -128,10 +128,11 @@
     state_->reader_.stop();
 }
 
-Result<AppendVerdict> ControlLog::append(const Record &record, TimePoint deadline, WhenOut whenOut)
+Result<AppendVerdict> ControlLog::append(const Record &record, TimePoint deadline,
+                                         OutagePolicy outagePolicy)
 {
-    BOOST_LEAF_CHECK(state_->checkKnown());
-    AppendAnswer answer = state_->appender_.append(record, deadline, whenOut);
+    BOOST_LEAF_CHECK(state_->checkStateKnown());
+    AppendResult answer = state_->appender_.append(record, deadline, outagePolicy);
     if (Error *error = std::get_if<Error>(&answer)) {
         return fail(std::move(*error));
     }
@@ -142,7 +143,7 @@
 {
     tryOr(
         [&]() -> Result<void> {
-            BOOST_LEAF_CHECK(state_->checkKnown());
+            BOOST_LEAF_CHECK(state_->checkStateKnown());
             state_->appender_.post(record, deadline, false);
             return {};
         },
@@ -165,7 +166,7 @@
 Result<void> ControlLog::catchUp(TimePoint deadline)
 {
     const LogOffset from = state_->store_.next();
-    BOOST_LEAF_CHECK(state_->checkKnown());
+    BOOST_LEAF_CHECK(state_->checkStateKnown());
     BOOST_LEAF_AUTO(page, state_->service_.read(from, BootClock::now()));
     const LogOffset end = page.next_;
     state_->follower_.offer({std::move(page.records_), page.first_, page.next_});
--- a/libs/control/src/enginework.cpp
+++ b/libs/control/src/enginework.cpp
@@ -7,9 +7,9 @@
 constexpr std::int64_t AnnounceTimeoutMillis = 3'000;
 constexpr std::int64_t AppendTimeoutMillis = 2'000;
 constexpr std::int64_t OrderTimeoutMillis = 2'000;
-constexpr std::int64_t WeightsTimeoutMillis = 500;
+constexpr std::int64_t StoreStatusTimeoutMillis = 500;
 /** A complete change takes about ten steps. Further steps are left for the next check. */
-constexpr int MostStepsInALook = 20;
+constexpr int MaxStepsPerCheck = 20;
 
 TimePoint fromNow(std::int64_t timeoutMillis)
 {
@@ -24,10 +24,10 @@
     , plan_(parts_.domain_)
 { }
 
-void EngineWork::look(const EndpointId &id, Fence fence)
+void EngineWork::processEndpoint(const EndpointId &id, Fence fence)
 {
-    for (int steps = 0; steps < MostStepsInALook && goesOn(fence); ++steps) {
-        if (!lookOnce(id, fence)) {
+    for (int steps = 0; steps < MaxStepsPerCheck && mayContinue(fence); ++steps) {
+        if (!executeNextStep(id, fence)) {
             break;
         }
     }
@@ -35,17 +35,17 @@
 }
 
 /** A holder that lost its lease stops at once and leaves open intents to its successor. */
-bool EngineWork::goesOn(Fence fence) const
+bool EngineWork::mayContinue(Fence fence) const
 {
     const auto held = lease_.held();
     return !stopping_ && held && held->fence_ == fence;
 }
 
-bool EngineWork::lookOnce(const EndpointId &id, Fence fence)
+bool EngineWork::executeNextStep(const EndpointId &id, Fence fence)
 {
-    static constexpr std::array<Performer, 5> ByKind {&EngineWork::wait, &EngineWork::announce,
-                                                      &EngineWork::askWeights, &EngineWork::settle,
-                                                      &EngineWork::order};
+    static constexpr std::array<StepFunction, 5> ByKind {
+        &EngineWork::wait, &EngineWork::announce, &EngineWork::readStoreStatus,
+        &EngineWork::closeIntent, &EngineWork::order};
     if (withPlan([&](OrderPlan &plan) { return plan.wantsState(id); }) && !readState(id, fence)) {
         return false;
     }
@@ -95,30 +95,33 @@
 /** Appends a record; returns nullopt unless it is known to be accepted. */
 std::optional<AppendVerdict> EngineWork::append(const EndpointId &id, const Record &record)
 {
-    const auto answer = capture(
-        [&] { return parts_.log_->append(record, fromNow(AppendTimeoutMillis), WhenOut::Fail); });
+    const auto answer = capture([&] {
+        return parts_.log_->append(record, fromNow(AppendTimeoutMillis), OutagePolicy::Fail);
+    });
     const auto *verdict = std::get_if<AppendVerdict>(&answer);
     if (verdict != nullptr && verdict->verdict_ == Verdict::Accepted) {
         return *verdict;
     }
     const std::string why =
         verdict != nullptr ? verdict->reason_ : describe(std::get<Error>(answer));
-    explain(observe::EventKind::Order, "order.not-recorded", id,
-            "kind=" + std::string(kindOf(record)) + " why=\"" + why + "\"");
+    addTimelineEvent(observe::EventKind::Order, "order.not-recorded", id,
+                     "kind=" + std::string(kindOf(record)) + " why=\"" + why + "\"");
     withPlan([&](OrderPlan &plan) { plan.onNotRecorded(id, BootClock::now()); });
     return std::nullopt;
 }
 
-void EngineWork::settleOrphans(Fence fence)
+void EngineWork::closeOrphanedIntents(Fence fence)
 {
     const auto open = parts_.log_->read([](const Fold &fold) { return fold.openIntents(); });
     std::vector<OutcomeRecord> outcomes;
-    underFence(fence, [&](OrderPlan &plan) { outcomes = plan.orphans(open, BootClock::now()); });
+    underFence(fence, [&](OrderPlan &plan) {
+        outcomes = plan.outcomesOfOrphanedIntents(open, BootClock::now());
+    });
     for (const OutcomeRecord &outcome : outcomes) {
-        if (goesOn(fence) && append(outcome.engine_, outcome)) {
-            explain(observe::EventKind::Order, "order.settled", outcome.engine_,
-                    "outcome=unclear intent=" + std::to_string(outcome.intent_)
-                        + " why=\"the engine is no longer of this domain\"");
+        if (mayContinue(fence) && append(outcome.engine_, outcome)) {
+            addTimelineEvent(observe::EventKind::Order, "order.settled", outcome.engine_,
+                             "outcome=unclear intent=" + std::to_string(outcome.intent_)
+                                 + " why=\"the engine is no longer in this domain\"");
         }
     }
 }
@@ -128,12 +131,13 @@
     bool isNew = false;
     {
         const std::scoped_lock lock(waitsMutex_);
-        std::string &explained = explainedWaits_[id];
-        isNew = explained != step.reason_;
-        explained = step.reason_;
+        std::string &logged = loggedWaits_[id];
+        isNew = logged != step.reason_;
+        logged = step.reason_;
     }
     if (isNew && !step.reason_.empty()) {
-        explain(observe::EventKind::Order, "order.waits", id, "for=\"" + step.reason_ + "\"");
+        addTimelineEvent(observe::EventKind::Order, "order.waits", id,
+                         "for=\"" + step.reason_ + "\"");
     }
     return false;
 }
@@ -142,50 +146,54 @@
 {
     const std::scoped_lock lock(announceMutex_);
     parts_.announcer_->announce(id, step.availability_, fence, fromNow(AnnounceTimeoutMillis));
-    explain(observe::EventKind::Endpoint, "endpoint.announced", id,
-            "availability=" + std::string(nameOf(AvailabilityNames, step.availability_)) + " why=\""
-                + step.reason_ + "\"");
+    addTimelineEvent(observe::EventKind::Endpoint, "endpoint.announced", id,
+                     "availability=" + std::string(nameOf(AvailabilityNames, step.availability_))
+                         + " why=\"" + step.reason_ + "\"");
     return underFence(fence, [&](OrderPlan &plan) { plan.onAnnounced(id, step.availability_); });
 }
 
-void EngineWork::announceNews(Fence fence)
+void EngineWork::announcePending(Fence fence)
 {
     const std::scoped_lock lock(announceMutex_);
     Availabilities news;
-    const bool current = underFence(fence, [&](OrderPlan &plan) { news = plan.takeNews(); });
+    const bool current =
+        underFence(fence, [&](OrderPlan &plan) { news = plan.takePendingAnnouncements(); });
     if (!current || news.empty()) {
         return;
     }
     parts_.announcer_->announceAll(news, fence, fromNow(AnnounceTimeoutMillis));
     for (const auto &[id, availability] : news) {
-        explain(observe::EventKind::Endpoint, "endpoint.announced", id,
-                "availability=" + std::string(nameOf(AvailabilityNames, availability)));
+        addTimelineEvent(observe::EventKind::Endpoint, "endpoint.announced", id,
+                         "availability=" + std::string(nameOf(AvailabilityNames, availability)));
     }
 }
 
-bool EngineWork::askWeights(const EndpointId & /*id*/, Fence fence, const EngineStep & /*step*/)
+bool EngineWork::readStoreStatus(const EndpointId & /*id*/, Fence fence,
+                                 const EngineStep & /*step*/)
 {
     std::optional<store::WeightStoreStatus> status;
     if (parts_.store_ != nullptr) {
-        auto answer = capture([&] { return parts_.store_->status(fromNow(WeightsTimeoutMillis)); });
+        auto answer =
+            capture([&] { return parts_.store_->status(fromNow(StoreStatusTimeoutMillis)); });
         if (const auto *known = std::get_if<store::WeightStoreStatus>(&answer)) {
             status = *known;
         }
     }
-    return underFence(fence, [&](OrderPlan &plan) { plan.onWeights(status, BootClock::now()); });
+    return underFence(fence,
+                      [&](OrderPlan &plan) { plan.onStoreStatus(status, BootClock::now()); });
 }
 
-bool EngineWork::settle(const EndpointId &id, Fence fence, const EngineStep &step)
+bool EngineWork::closeIntent(const EndpointId &id, Fence fence, const EngineStep &step)
 {
     const OutcomeRecord outcome {parts_.domain_, fence, step.intent_, id, step.outcome_};
     if (!append(id, outcome)) {
         return false;
     }
-    explain(observe::EventKind::Order, "order.settled", id,
-            "outcome=" + std::string(nameOf(OrderOutcomeNames, step.outcome_))
-                + " intent=" + std::to_string(step.intent_) + " why=\"" + step.reason_ + "\"");
+    addTimelineEvent(observe::EventKind::Order, "order.settled", id,
+                     "outcome=" + std::string(nameOf(OrderOutcomeNames, step.outcome_)) + " intent="
+                         + std::to_string(step.intent_) + " why=\"" + step.reason_ + "\"");
     return underFence(
-        fence, [&](OrderPlan &plan) { plan.onSettled(id, step.outcome_, BootClock::now()); });
+        fence, [&](OrderPlan &plan) { plan.onIntentClosed(id, step.outcome_, BootClock::now()); });
 }
 
 /**
@@ -199,14 +207,15 @@
         parts_.log_->read([&](const Fold &fold) { return fold.lastSequence(id); }) + 1;
     const IntentRecord intent {parts_.domain_, fence, sequence, id, step.target_};
     const auto placed = append(id, intent);
-    if (!placed || !goesOn(fence) || !readState(id, fence)) {
+    if (!placed || !mayContinue(fence) || !readState(id, fence)) {
         return false;
     }
     // A fleet file accepted before the intent supersedes the one that the step is based on.
     const auto fleet = parts_.log_->fleetInForce();
     bool stillWanted = false;
     const bool current = underFence(fence, [&](OrderPlan &plan) {
-        stillWanted = plan.fleet() == fleet && plan.stillWants(id, step.target_, BootClock::now());
+        stillWanted =
+            plan.fleet() == fleet && plan.stillWantsOrder(id, step.target_, BootClock::now());
         if (stillWanted) {
             plan.onSending(id);
         }
@@ -214,9 +223,10 @@
     if (!current || !stillWanted) {
         return current;
     }
-    explain(observe::EventKind::Order, "order.sent", id,
-            "target=\"" + describe(step.target_) + "\" fence=" + std::to_string(fence)
-                + " intent=" + std::to_string(placed->offset_) + " why=\"" + step.reason_ + "\"");
+    addTimelineEvent(observe::EventKind::Order, "order.sent", id,
+                     "target=\"" + describe(step.target_) + "\" fence=" + std::to_string(fence)
+                         + " intent=" + std::to_string(placed->offset_) + " why=\"" + step.reason_
+                         + "\"");
     return send(id, {fence, sequence, parts_.instance_, step.target_});
 }
 
@@ -230,13 +240,13 @@
     const auto answer = capture([&] {
         return parts_.orders_->send(*engine, order, held->until_, fromNow(OrderTimeoutMillis));
     });
-    const SendResult result = noteAnswer(id, answer);
+    const SendResult result = recordAnswer(id, answer);
     return underFence(order.fence_,
                       [&](OrderPlan &plan) { plan.onSent(id, result, BootClock::now()); });
 }
 
-SendResult EngineWork::noteAnswer(const EndpointId &id,
-                                  const std::variant<EngineState, Error> &answer)
+SendResult EngineWork::recordAnswer(const EndpointId &id,
+                                    const std::variant<EngineState, Error> &answer)
 {
     const auto *error = std::get_if<Error>(&answer);
     if (error == nullptr) {
@@ -244,13 +254,13 @@
     }
     const bool unknown =
         error->kind_ == ErrorKind::Interrupted || error->kind_ == ErrorKind::Internal;
-    explain(observe::EventKind::Order, unknown ? "order.unknown" : "order.refused", id,
-            "why=\"" + describe(*error) + "\"");
+    addTimelineEvent(observe::EventKind::Order, unknown ? "order.unknown" : "order.refused", id,
+                     "why=\"" + describe(*error) + "\"");
     return unknown ? SendResult::Unknown : SendResult::Refused;
 }
 
-void EngineWork::explain(observe::EventKind kind, std::string name, const EndpointId &id,
-                         std::string detail) const
+void EngineWork::addTimelineEvent(observe::EventKind kind, std::string name, const EndpointId &id,
+                                  std::string detail) const
 {
     if (parts_.timeline_ != nullptr) {
         parts_.timeline_->add(kind, std::move(name), id.value(), std::move(detail));
--- a/libs/control/src/enginework.h
+++ b/libs/control/src/enginework.h
@@ -37,20 +37,20 @@
     }
 
     /** Executes the endpoint's steps under the fence until it has to wait, then finishes it. */
-    void look(const EndpointId &id, Fence fence);
+    void processEndpoint(const EndpointId &id, Fence fence);
     /** Sends the pending announcements that no order depends on. */
-    void announceNews(Fence fence);
+    void announcePending(Fence fence);
     /** Closes the open intents of engines that left the domain. */
-    void settleOrphans(Fence fence);
+    void closeOrphanedIntents(Fence fence);
     /** Starts no more steps. */
     void stop() noexcept { stopping_ = true; }
 
 private:
     /** Executes one step; returns false when no more steps follow for now. */
-    using Performer = bool (EngineWork::*)(const EndpointId &, Fence, const EngineStep &);
+    using StepFunction = bool (EngineWork::*)(const EndpointId &, Fence, const EngineStep &);
 
-    bool goesOn(Fence fence) const;
-    bool lookOnce(const EndpointId &id, Fence fence);
+    bool mayContinue(Fence fence) const;
+    bool executeNextStep(const EndpointId &id, Fence fence);
     bool readState(const EndpointId &id, Fence fence);
     std::optional<OpenIntent> openIntent(const EndpointId &id) const;
     std::optional<fleet::Endpoint> endpoint(const EndpointId &id) const;
@@ -58,13 +58,13 @@
 
     bool wait(const EndpointId &id, Fence fence, const EngineStep &step);
     bool announce(const EndpointId &id, Fence fence, const EngineStep &step);
-    bool askWeights(const EndpointId &id, Fence fence, const EngineStep &step);
-    bool settle(const EndpointId &id, Fence fence, const EngineStep &step);
+    bool readStoreStatus(const EndpointId &id, Fence fence, const EngineStep &step);
+    bool closeIntent(const EndpointId &id, Fence fence, const EngineStep &step);
     bool order(const EndpointId &id, Fence fence, const EngineStep &step);
     bool send(const EndpointId &id, const EngineOrder &order);
-    SendResult noteAnswer(const EndpointId &id, const std::variant<EngineState, Error> &answer);
-    void explain(observe::EventKind kind, std::string name, const EndpointId &id,
-                 std::string detail) const;
+    SendResult recordAnswer(const EndpointId &id, const std::variant<EngineState, Error> &answer);
+    void addTimelineEvent(observe::EventKind kind, std::string name, const EndpointId &id,
+                          std::string detail) const;
 
     /** Runs function on the plan if its fence is still the given one; otherwise returns false. */
     template <typename Function>
@@ -89,7 +89,7 @@
     std::mutex announceMutex_;
 
     std::mutex waitsMutex_;
-    std::map<EndpointId, std::string> explainedWaits_;
+    std::map<EndpointId, std::string> loggedWaits_;
 };
 
 } // namespace almondridge::control
--- a/libs/control/src/fold.cpp
+++ b/libs/control/src/fold.cpp
@@ -28,10 +28,10 @@
 
 } // namespace
 
-struct Fold::Ruling
+struct Fold::Evaluation
 {
-    static Ruling accept() { return {Verdict::Accepted, {}}; }
-    static Ruling reject(std::string reason) { return {Verdict::Rejected, std::move(reason)}; }
+    static Evaluation accept() { return {Verdict::Accepted, {}}; }
+    static Evaluation reject(std::string reason) { return {Verdict::Rejected, std::move(reason)}; }
 
     Verdict verdict_ = Verdict::Rejected;
     std::string reason_;
@@ -75,10 +75,10 @@
     auto &identified = std::get<IdentifiedRecord>(decoded);
     step.record_ = std::move(identified.record_);
     step.recordId_ = std::move(identified.id_);
-    Ruling ruling =
-        std::visit([&](const auto &body) { return judge(body, record.offset_); }, step.record_);
-    step.verdict_ = ruling.verdict_;
-    step.reason_ = std::move(ruling.reason_);
+    Evaluation evaluation =
+        std::visit([&](const auto &body) { return evaluate(body, record.offset_); }, step.record_);
+    step.verdict_ = evaluation.verdict_;
+    step.reason_ = std::move(evaluation.reason_);
     return step;
 }
 
@@ -103,8 +103,8 @@
         step.reason_ = error->message_;
         return step;
     }
-    step.jumped_ = std::get<bool>(restored);
-    step.verdict_ = step.jumped_ ? Verdict::Accepted : Verdict::Rejected;
+    step.skippedRecords_ = std::get<bool>(restored);
+    step.verdict_ = step.skippedRecords_ ? Verdict::Accepted : Verdict::Rejected;
     next_ += next_ == record.offset_ ? 1 : 0;
     return step;
 }
@@ -140,30 +140,30 @@
     return valueOr(applies_, applyId);
 }
 
-bool Fold::inForce(const DomainId &domain, Fence fence) const noexcept
+bool Fold::isCurrentLease(const DomainId &domain, Fence fence) const noexcept
 {
     const LeaseState *state = lease(domain);
     return state != nullptr && !state->released_ && state->fence_ == fence;
 }
 
-Fold::Ruling Fold::judge(const ApplyRecord &record, LogOffset offset)
+Fold::Evaluation Fold::evaluate(const ApplyRecord &record, LogOffset offset)
 {
     if (const Revision earlier = appliedRevision(record.applyId_); earlier != 0) {
         return {Verdict::Duplicate, "accepted before as revision " + std::to_string(earlier)};
     }
     if (record.base_ != fleet_.revision_) {
-        return Ruling::reject("revision " + std::to_string(fleet_.revision_) + " by '"
-                              + fleet_.operator_ + "' is in force, not "
-                              + std::to_string(record.base_));
+        return Evaluation::reject("revision " + std::to_string(fleet_.revision_) + " by '"
+                                  + fleet_.operator_ + "' is in force, not "
+                                  + std::to_string(record.base_));
     }
     auto parsed = capture([&] { return fleet::parseFleet(record.fleetText_); });
     if (const Error *error = std::get_if<Error>(&parsed)) {
-        return Ruling::reject("not a fleet file: " + describe(*error));
+        return Evaluation::reject("not a fleet file: " + describe(*error));
     }
     auto fleet = std::make_shared<const fleet::Fleet>(std::move(std::get<fleet::Fleet>(parsed)));
     fleet_ = {offset, std::move(fleet), record.fleetText_, record.operator_};
     rememberApply(record.applyId_, offset);
-    return Ruling::accept();
+    return Evaluation::accept();
 }
 
 void Fold::rememberApply(const std::string &applyId, Revision revision)
@@ -179,45 +179,45 @@
     }
 }
 
-Fold::Ruling Fold::judge(const LeaseClaimRecord &record, LogOffset offset)
+Fold::Evaluation Fold::evaluate(const LeaseClaimRecord &record, LogOffset offset)
 {
     const LeaseState current = valueOr(leases_, record.domain_);
     if (record.previous_ != current.lastRecord_) {
-        return Ruling::reject("the lease is at record " + std::to_string(current.lastRecord_)
-                              + ", held by '" + current.holder_.value() + "'");
+        return Evaluation::reject("the lease is at record " + std::to_string(current.lastRecord_)
+                                  + ", held by '" + current.holder_.value() + "'");
     }
     if (record.termMillis_ <= 0) {
-        return Ruling::reject("a lease needs a term");
+        return Evaluation::reject("a lease needs a term");
     }
     leases_[record.domain_] = {record.domain_, record.holder_,     offset,
                                offset,         record.termMillis_, false};
-    return Ruling::accept();
+    return Evaluation::accept();
 }
 
-Fold::Ruling Fold::judge(const LeaseRenewRecord &record, LogOffset offset)
+Fold::Evaluation Fold::evaluate(const LeaseRenewRecord &record, LogOffset offset)
 {
     // No lease is current after a release. Otherwise a renewal that was sent before the release
     // and is appended late would revive a lease that its holder no longer uses.
-    if (!inForce(record.domain_, record.fence_)) {
-        return Ruling::reject("fence " + std::to_string(record.fence_) + " is not in force");
+    if (!isCurrentLease(record.domain_, record.fence_)) {
+        return Evaluation::reject("fence " + std::to_string(record.fence_) + " is not in force");
     }
     LeaseState &state = leases_[record.domain_];
     if (state.holder_ != record.holder_) {
-        return Ruling::reject("the lease is held by '" + state.holder_.value() + "'");
+        return Evaluation::reject("the lease is held by '" + state.holder_.value() + "'");
     }
     state.lastRecord_ = offset;
     state.released_ = record.release_;
-    return Ruling::accept();
+    return Evaluation::accept();
 }
 
-Fold::Ruling Fold::judge(const IntentRecord &record, LogOffset offset)
+Fold::Evaluation Fold::evaluate(const IntentRecord &record, LogOffset offset)
 {
-    if (!inForce(record.domain_, record.fence_)) {
-        return Ruling::reject("fence " + std::to_string(record.fence_) + " is not in force");
+    if (!isCurrentLease(record.domain_, record.fence_)) {
+        return Evaluation::reject("fence " + std::to_string(record.fence_) + " is not in force");
     }
     std::uint64_t &last = lastSequence_[record.engine_];
     if (record.sequence_ <= last) {
-        return Ruling::reject("sequence " + std::to_string(last) + " was used before");
+        return Evaluation::reject("sequence " + std::to_string(last) + " was used before");
     }
     // The sequence number is used up even when another intent is open. Otherwise a retry of this
     // record after a lost acknowledgement could be accepted once the other intent is closed,
@@ -225,25 +225,25 @@
     // intent that no instance works on.
     last = record.sequence_;
     if (const OpenIntent *open = findIn(openIntents_, record.engine_)) {
-        return Ruling::reject("the intent at " + std::to_string(open->offset_) + " is open");
+        return Evaluation::reject("the intent at " + std::to_string(open->offset_) + " is open");
     }
     openIntents_[record.engine_] = {offset, record};
-    return Ruling::accept();
+    return Evaluation::accept();
 }
 
-Fold::Ruling Fold::judge(const OutcomeRecord &record, LogOffset)
+Fold::Evaluation Fold::evaluate(const OutcomeRecord &record, LogOffset)
 {
-    if (!inForce(record.domain_, record.fence_)) {
-        return Ruling::reject("fence " + std::to_string(record.fence_) + " is not in force");
+    if (!isCurrentLease(record.domain_, record.fence_)) {
+        return Evaluation::reject("fence " + std::to_string(record.fence_) + " is not in force");
     }
     const auto open = openIntents_.find(record.engine_);
     if (open == openIntents_.end() || open->second.offset_ != record.intent_) {
-        return Ruling::reject("no intent is open at " + std::to_string(record.intent_));
+        return Evaluation::reject("no intent is open at " + std::to_string(record.intent_));
     }
     // Only the lease holder of the intent's own domain may close it: the holder of another domain
     // cannot know whether the order is still in progress.
     if (open->second.intent_.domain_ != record.domain_) {
-        return Ruling::reject("the intent is of another failure domain");
+        return Evaluation::reject("the intent is of another failure domain");
     }
     if (record.outcome_ == OrderOutcome::Done) {
         lastDone_[record.engine_] = std::move(open->second.intent_.target_);
@@ -251,31 +251,31 @@
         lastDone_.erase(record.engine_);
     }
     openIntents_.erase(open);
-    return Ruling::accept();
+    return Evaluation::accept();
 }
 
-Fold::Ruling Fold::judge(const KeyClaimRecord &record, LogOffset)
+Fold::Evaluation Fold::evaluate(const KeyClaimRecord &record, LogOffset)
 {
     // A delayed append could arrive after the key's first claim was dropped. Accepting it would
     // run the request a second time, so its own wall time is checked against the horizon.
     if (record.wallMillis_ < horizonStart()) {
-        return Ruling::reject("older than the horizon");
+        return Evaluation::reject("older than the horizon");
     }
     if (const KeyClaim *earlier = claim(record.key_)) {
-        return Ruling::reject("claimed by request '" + earlier->request_.value() + "'");
+        return Evaluation::reject("claimed by request '" + earlier->request_.value() + "'");
     }
     claims_[record.key_] = {record.request_, record.instance_, record.wallMillis_, false, 0, {}};
     claimAges_.push_back({record.wallMillis_, record.key_});
     newestClaimMillis_ = std::max(newestClaimMillis_, record.wallMillis_);
-    forgetOldClaims();
-    return Ruling::accept();
+    dropExpiredClaims();
+    return Evaluation::accept();
 }
 
 /**
  * Claims are queued in log order, not by wall time, so one that is out of order is dropped a
  * little late. claim() hides expired claims until then.
  */
-void Fold::forgetOldClaims()
+void Fold::dropExpiredClaims()
 {
     while (!claimAges_.empty() && claimAges_.front().wallMillis_ < horizonStart()) {
         const auto found = claims_.find(claimAges_.front().key_);
@@ -287,27 +287,27 @@
     }
 }
 
-Fold::Ruling Fold::judge(const KeyOutcomeRecord &record, LogOffset)
+Fold::Evaluation Fold::evaluate(const KeyOutcomeRecord &record, LogOffset)
 {
     const KeyClaim *found = claim(record.key_);
     if (found == nullptr || found->request_ != record.request_) {
-        return Ruling::reject("the request does not hold the claim");
+        return Evaluation::reject("the request does not hold the claim");
     }
     if (found->finished_) {
-        return Ruling::reject("finished before");
+        return Evaluation::reject("finished before");
     }
     KeyClaim &finished = claims_[record.key_];
     finished.finished_ = true;
     finished.status_ = record.status_;
     finished.body_ = record.body_;
-    return Ruling::accept();
+    return Evaluation::accept();
 }
 
-Fold::Ruling Fold::judge(const SnapshotRecord &record, LogOffset offset)
+Fold::Evaluation Fold::evaluate(const SnapshotRecord &record, LogOffset offset)
 {
     // This reader has already folded everything that the snapshot covers.
-    return record.through_ < offset ? Ruling::accept()
-                                    : Ruling::reject("covers offsets after its own");
+    return record.through_ < offset ? Evaluation::accept()
+                                    : Evaluation::reject("covers offsets after its own");
 }
 
 } // namespace almondridge::control
--- a/libs/control/src/foldsnapshot.cpp
+++ b/libs/control/src/foldsnapshot.cpp
@@ -99,10 +99,11 @@
 
 namespace {
 
-boost::leaf::error_id wrongSnapshot(const std::string &what)
+boost::leaf::error_id invalidSnapshot(const std::string &what)
 {
-    return fail(ErrorKind::Protocol, "invalid snapshot of the control log: " + what,
-                "run the same version on all instances; an older snapshot or a peer may still work");
+    return fail(
+        ErrorKind::Protocol, "invalid snapshot of the control log: " + what,
+        "run the same version on all instances; an older snapshot or a peer may still work");
 }
 
 Result<std::shared_ptr<const fleet::Fleet>> parseFleetText(const std::string &text)
@@ -125,17 +126,17 @@
     }
     const Json json = parseBounded(state);
     if (!json.is_object()) {
-        return wrongSnapshot("no JSON object");
+        return invalidSnapshot("no JSON object");
     }
     FoldState parsed;
     if (const char *wrong = readFields(json, parsed)) {
-        return wrongSnapshot(std::string("a wrong field '") + wrong + "'");
+        return invalidSnapshot(std::string("a wrong field '") + wrong + "'");
     }
     // A longer prefix cannot have a lower revision, so this snapshot is from another log.
     // Restoring it would bring back a configuration that was replaced.
     if (parsed.revision_ < fleet_.revision_) {
-        return wrongSnapshot("its revision " + std::to_string(parsed.revision_)
-                             + " is lower than the one in force");
+        return invalidSnapshot("its revision " + std::to_string(parsed.revision_)
+                               + " is lower than the one in force");
     }
     Fold restored(keyHorizonMillis_);
     parsed.moveInto(restored);
--- a/libs/control/src/foldstore.cpp
+++ b/libs/control/src/foldstore.cpp
@@ -5,10 +5,10 @@
 namespace almondridge::control {
 namespace {
 
-constexpr std::size_t TailRecords = 4'000;
-constexpr std::size_t TailBytes = 4U << 20U;
+constexpr std::size_t MaxTailRecords = 4'000;
+constexpr std::size_t MaxTailBytes = 4U << 20U;
 
-void refuseSnapshot(const std::string &why)
+void logRefusedSnapshot(const std::string &why)
 {
     logEvent(LogLevel::Warning, "control.snapshot-refused", {{"why", why}});
 }
@@ -17,7 +17,7 @@
 
 FoldStore::FoldStore(std::int64_t keyHorizonMillis)
     : fold_(keyHorizonMillis)
-    , tail_(TailRecords, TailBytes)
+    , tail_(MaxTailRecords, MaxTailBytes)
 { }
 
 std::optional<FoldStep> FoldStore::fold(const store::LogRecord &record)
@@ -46,7 +46,7 @@
         return step;
     }
     if (fold_.next() == wanted) {
-        refuseSnapshot(step.reason_);
+        logRefusedSnapshot(step.reason_);
         return std::nullopt;
     }
     tail_.restart(fold_.next());
@@ -59,12 +59,12 @@
     Record *body = std::get_if<Record>(&decoded);
     const auto *snapshot = body == nullptr ? nullptr : std::get_if<SnapshotRecord>(body);
     if (snapshot == nullptr) {
-        refuseSnapshot("no snapshot");
+        logRefusedSnapshot("no snapshot");
         return std::nullopt;
     }
     const bool taken = tryOr([&] { return fold_.restore(snapshot->through_, snapshot->state_); },
                              [](const Error &error) {
-                                 refuseSnapshot(describe(error));
+                                 logRefusedSnapshot(describe(error));
                                  return false;
                              });
     if (!taken) {
--- a/libs/control/src/foldstore.h
+++ b/libs/control/src/foldstore.h
@@ -25,7 +25,7 @@
     std::optional<FoldStep> fold(const store::LogRecord &record);
 
     LogOffset next() const;
-    bool knowsAnything() const { return next() > 1; }
+    bool hasState() const { return next() > 1; }
     /** The raw record before next(); nullopt when a snapshot was the last thing folded. */
     std::optional<store::LogRecord> lastRecord() const;
     /** The whole state as a snapshot record. */
--- a/libs/control/src/keyclaims.cpp
+++ b/libs/control/src/keyclaims.cpp
@@ -4,9 +4,9 @@
 namespace {
 
 /** Limit in bytes: every instance keeps every outcome until the horizon. */
-constexpr std::size_t MaxStoredBody = 16U << 10U;
+constexpr std::size_t MaxStoredBodyBytes = 16U << 10U;
 /** How long storing an outcome is retried; if it fails, repeated requests get Unknown. */
-constexpr std::int64_t StoreTryMillis = 300'000;
+constexpr std::int64_t StoreTimeoutMillis = 300'000;
 /** The stored status of an unknown outcome. */
 constexpr int UnknownStatus = 0;
 
@@ -33,14 +33,15 @@
 KeyClaimAnswer LogKeyClaims::claim(const std::string &key, const RequestId &request,
                                    TimePoint deadline)
 {
-    if (std::optional<KeyClaimAnswer> earlier = folded(key)) {
+    if (std::optional<KeyClaimAnswer> earlier = lookUpFolded(key)) {
         return *std::move(earlier);
     }
     if (!log_.logReachable()) {
         return answerWith(KeyClaimStatus::LogOut);
     }
     const KeyClaimRecord record {key, request, self_, wallMillis()};
-    const auto appended = capture([&] { return log_.append(record, deadline, WhenOut::Fail); });
+    const auto appended =
+        capture([&] { return log_.append(record, deadline, OutagePolicy::Fail); });
     if (const Error *error = std::get_if<Error>(&appended)) {
         // Only Unavailable guarantees that this call did not append a claim.
         const bool nothing = error->kind_ == ErrorKind::Unavailable;
@@ -51,30 +52,30 @@
     }
     // A rejected claim of a key without a claim in the fold was older than the horizon. The key
     // may have been claimed and dropped since, so the request cannot be reported as not run.
-    return folded(key).value_or(answerWith(KeyClaimStatus::Unknown));
+    return lookUpFolded(key).value_or(answerWith(KeyClaimStatus::Unknown));
 }
 
 KeyClaimAnswer LogKeyClaims::lookUp(const std::string &key, TimePoint deadline)
 {
-    if (std::optional<KeyClaimAnswer> found = folded(key)) {
+    if (std::optional<KeyClaimAnswer> found = lookUpFolded(key)) {
         if (found->status_ == KeyClaimStatus::Finished || !log_.logReachable()) {
             return *std::move(found);
         }
     }
     tryOr([&] { return log_.catchUp(deadline); }, [](const Error &) {});
-    return folded(key).value_or(answerWith(KeyClaimStatus::Unknown));
+    return lookUpFolded(key).value_or(answerWith(KeyClaimStatus::Unknown));
 }
 
 void LogKeyClaims::finish(const std::string &key, const RequestId &request, int httpStatus,
                           const std::string &body)
 {
-    const bool tooLong = body.size() > MaxStoredBody;
+    const bool tooLong = body.size() > MaxStoredBodyBytes;
     const KeyOutcomeRecord outcome {key, request, tooLong ? UnknownStatus : httpStatus,
                                     tooLong ? std::string() : body};
-    log_.post(outcome, BootClock::now() + millis(StoreTryMillis));
+    log_.post(outcome, BootClock::now() + millis(StoreTimeoutMillis));
 }
 
-std::optional<KeyClaimAnswer> LogKeyClaims::folded(const std::string &key) const
+std::optional<KeyClaimAnswer> LogKeyClaims::lookUpFolded(const std::string &key) const
 {
     return log_.read([&](const Fold &fold) -> std::optional<KeyClaimAnswer> {
         const KeyClaim *claim = fold.claim(key);
--- a/libs/control/src/leaseguard.cpp
+++ b/libs/control/src/leaseguard.cpp
@@ -39,8 +39,7 @@
     errno = savedErrno;
 }
 
-/** SA_RESTART avoids EINTR in libraries on this thread; calls on the shut down socket still end.
- */
+/** SA_RESTART avoids EINTR in libraries; calls on the socket end anyway after its shutdown. */
 bool installHandler()
 {
     struct sigaction action = {};
--- a/libs/control/src/leasekeeper.cpp
+++ b/libs/control/src/leasekeeper.cpp
@@ -32,18 +32,18 @@
 {
     // Without any folded record the current holder is unknown, for example when the log was
     // trimmed and has no snapshot.
-    if (!fold.knowsAnything()) {
+    if (!fold.hasState()) {
         return LeaseStep::Wait;
     }
     return next(fold.lease(domain_), now, record);
 }
 
-LeaseStep LeaseKeeper::next(const LeaseState *inForce, TimePoint now, Record &record)
+LeaseStep LeaseKeeper::next(const LeaseState *current, TimePoint now, Record &record)
 {
-    forgetIfLapsed(now);
-    witness(inForce != nullptr ? *inForce : noLease(), now);
+    dropIfExpired(now);
+    onLeaseRead(current != nullptr ? *current : noLease(), now);
     if (fence_) {
-        return nextRenewal(inForce, now, record);
+        return nextRenewal(current, now, record);
     }
     if (now < nextTry_ || now < claimFrom_) {
         return LeaseStep::Wait;
@@ -52,10 +52,10 @@
     return LeaseStep::Claim;
 }
 
-LeaseStep LeaseKeeper::nextRenewal(const LeaseState *inForce, TimePoint now, Record &record) const
+LeaseStep LeaseKeeper::nextRenewal(const LeaseState *current, TimePoint now, Record &record) const
 {
-    const bool inForceHere = inForce != nullptr && inForce->fence_ == *fence_;
-    if (!inForceHere || now < nextTry_) {
+    const bool isOwnLease = current != nullptr && current->fence_ == *fence_;
+    if (!isOwnLease || now < nextTry_) {
         return LeaseStep::Wait;
     }
     record = LeaseRenewRecord {domain_, self_, *fence_, false};
@@ -72,8 +72,8 @@
         // From here on a successor may read the release and send orders without waiting.
         fence_.reset();
     }
-    const TimePoint waited = othersExpire_ + millis(OrderNetworkBoundMillis) + margin_;
-    appendingFirstOrder_ = seenReleased_ ? TimePoint {} : waited;
+    const TimePoint waited = observedExpiry_ + millis(OrderNetworkBoundMillis) + margin_;
+    pendingFirstUnfencedOrder_ = seenReleased_ ? TimePoint {} : waited;
 }
 
 /**
@@ -84,14 +84,14 @@
  */
 void LeaseKeeper::onVerdict(Verdict verdict, LogOffset offset, TimePoint now)
 {
-    forgetIfLapsed(now);
+    dropIfExpired(now);
     const Appending appended = std::exchange(appending_, Appending::Nothing);
     if (verdict != Verdict::Accepted) {
         return;
     }
     if (appended == Appending::Claim) {
         fence_ = offset;
-        firstOrderToIgnoring_ = appendingFirstOrder_;
+        firstUnfencedOrder_ = pendingFirstUnfencedOrder_;
     }
     if (appended == Appending::Nothing || !fence_) {
         return;
@@ -99,7 +99,7 @@
     heldUntil_ = appendingSince_ + term_;
     nextTry_ = appendingSince_ + term_ / RenewalsPerTerm;
     // The lease has already expired if the verdict took longer than the term.
-    forgetIfLapsed(now);
+    dropIfExpired(now);
 }
 
 void LeaseKeeper::onFolded(const FoldStep &step) noexcept
@@ -116,7 +116,7 @@
 
 std::optional<LeaseRenewRecord> LeaseKeeper::release(TimePoint now) const
 {
-    if (!heldFence(now) || now < firstOrderToIgnoring_) {
+    if (!heldFence(now) || now < firstUnfencedOrder_) {
         return std::nullopt;
     }
     return LeaseRenewRecord {domain_, self_, *fence_, true};
@@ -131,22 +131,22 @@
  * An expired lease is never resumed, even if a delayed renewal is accepted: the holder was paused
  * or partitioned and has to claim the lease again like any other instance.
  */
-void LeaseKeeper::forgetIfLapsed(TimePoint now) noexcept
+void LeaseKeeper::dropIfExpired(TimePoint now) noexcept
 {
     if (fence_ && now >= heldUntil_) {
         fence_.reset();
     }
 }
 
-void LeaseKeeper::witness(const LeaseState &inForce, TimePoint now)
+void LeaseKeeper::onLeaseRead(const LeaseState &current, TimePoint now)
 {
-    if (seenRecord_ == inForce.lastRecord_) {
+    if (seenRecord_ == current.lastRecord_) {
         return;
     }
-    seenRecord_ = inForce.lastRecord_;
-    seenReleased_ = inForce.released_;
-    othersExpire_ = inForce.released_ ? now : now + millis(inForce.termMillis_) + margin_;
-    claimFrom_ = othersExpire_ + backoff_;
+    seenRecord_ = current.lastRecord_;
+    seenReleased_ = current.released_;
+    observedExpiry_ = current.released_ ? now : now + millis(current.termMillis_) + margin_;
+    claimFrom_ = observedExpiry_ + backoff_;
 }
 
 } // namespace almondridge::control
--- a/libs/control/src/leaseloop.cpp
+++ b/libs/control/src/leaseloop.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 /** How often the keeper is polled when nothing wakes the thread. */
-constexpr std::chrono::milliseconds LookInterval {50};
+constexpr std::chrono::milliseconds PollInterval {50};
 /** Timeout of one append as a fraction of the term, so that a renewal can be retried. */
 constexpr int AppendsPerTerm = 3;
 /** Instances spread their claims of a free lease over this fraction of the term. */
@@ -57,11 +57,12 @@
         }
         keeper_.onAppending(*record, BootClock::now());
     }
-    const auto verdict = capture([&] { return log_.append(*record, deadline, WhenOut::Fail); });
+    const auto verdict =
+        capture([&] { return log_.append(*record, deadline, OutagePolicy::Fail); });
     const Error *error = std::get_if<Error>(&verdict);
-    explain(error == nullptr ? "lease.released" : "lease.left-to-lapse",
-            "fence=" + std::to_string(record->fence_)
-                + (error != nullptr ? " why=\"" + describe(*error) + "\"" : ""));
+    addTimelineEvent(error == nullptr ? "lease.released" : "lease.left-to-lapse",
+                     "fence=" + std::to_string(record->fence_)
+                         + (error != nullptr ? " why=\"" + describe(*error) + "\"" : ""));
 }
 
 std::optional<HeldLease> LeaseLoop::held() const
@@ -71,7 +72,7 @@
     if (!fence) {
         return std::nullopt;
     }
-    return HeldLease {*fence, keeper_.orderDeadline(), keeper_.firstOrderToIgnoring()};
+    return HeldLease {*fence, keeper_.orderDeadline(), keeper_.firstUnfencedOrder()};
 }
 
 void LeaseLoop::onFolded(const FoldStep &step)
@@ -96,18 +97,18 @@
         advance();
         lock.lock();
         if (!stopping_) {
-            wake_.wait_for(lock, LookInterval);
+            wake_.wait_for(lock, PollInterval);
         }
     }
 }
 
 void LeaseLoop::advance()
 {
-    noteChange();
+    logLeaseChange();
     Record record;
     if (nextRecord(record) != LeaseStep::Wait) {
         append(record);
-        noteChange();
+        logLeaseChange();
     }
 }
 
@@ -129,30 +130,32 @@
 void LeaseLoop::append(const Record &record)
 {
     const TimePoint deadline = BootClock::now() + millis(settings_.termMillis_ / AppendsPerTerm);
-    const auto answer = capture([&] { return log_.append(record, deadline, WhenOut::Fail); });
+    const auto answer = capture([&] { return log_.append(record, deadline, OutagePolicy::Fail); });
     if (const auto *verdict = std::get_if<AppendVerdict>(&answer)) {
         const std::scoped_lock lock(mutex_);
         keeper_.onVerdict(verdict->verdict_, verdict->offset_, BootClock::now());
     }
 }
 
-void LeaseLoop::noteChange()
+void LeaseLoop::logLeaseChange()
 {
     const auto now = held();
     const std::optional<Fence> fence = now ? std::optional(now->fence_) : std::nullopt;
-    if (fence == noted_) {
+    if (fence == loggedFence_) {
         return;
     }
-    if (noted_) {
-        explain("lease.lost", "fence=" + std::to_string(*noted_)
-                                  + " why=\"not renewed in time, or another holder claimed it\"");
+    if (loggedFence_) {
+        addTimelineEvent("lease.lost",
+                         "fence=" + std::to_string(*loggedFence_)
+                             + " why=\"not renewed in time, or another holder claimed it\"");
     }
     if (now) {
-        const auto wait = millisUntil(now->firstOrderToIgnoring_, BootClock::now());
-        explain("lease.claimed", "fence=" + std::to_string(now->fence_)
-                                     + " first-order-to-ignoring-in-ms=" + std::to_string(wait));
+        const auto wait = millisUntil(now->firstUnfencedOrder_, BootClock::now());
+        addTimelineEvent("lease.claimed",
+                         "fence=" + std::to_string(now->fence_)
+                             + " first-order-to-ignoring-in-ms=" + std::to_string(wait));
     }
-    noted_ = fence;
+    loggedFence_ = fence;
 }
 
 Duration LeaseLoop::drawBackoff()
@@ -163,7 +166,7 @@
     return millis(spread(random_));
 }
 
-void LeaseLoop::explain(std::string name, std::string detail)
+void LeaseLoop::addTimelineEvent(std::string name, std::string detail)
 {
     if (timeline_ != nullptr) {
         timeline_->add(observe::EventKind::Lease, std::move(name), settings_.domain_.value(),
--- a/libs/control/src/leaseloop.h
+++ b/libs/control/src/leaseloop.h
@@ -18,7 +18,7 @@
 {
     Fence fence_ = 0;
     TimePoint until_ {}; ///< No order may be sent under the fence after this.
-    TimePoint firstOrderToIgnoring_ {};
+    TimePoint firstUnfencedOrder_ {};
 };
 
 struct LeaseSettings
@@ -55,16 +55,16 @@
     void advance();
     LeaseStep nextRecord(Record &record);
     void append(const Record &record);
-    void noteChange();
+    void logLeaseChange();
     Duration drawBackoff();
-    void explain(std::string name, std::string detail);
+    void addTimelineEvent(std::string name, std::string detail);
 
     const LeaseSettings settings_;
     ControlLog &log_;
     observe::Timeline *const timeline_;
     std::thread thread_;
-    std::mt19937_64 random_;     ///< Used by the thread only.
-    std::optional<Fence> noted_; ///< Used by the thread only: the fence last logged as held.
+    std::mt19937_64 random_;           ///< Used by the thread only.
+    std::optional<Fence> loggedFence_; ///< Used by the thread only: the fence last logged as held.
 
     mutable std::mutex mutex_;
     std::condition_variable wake_;
--- a/libs/control/src/logappender.cpp
+++ b/libs/control/src/logappender.cpp
@@ -19,7 +19,7 @@
 constexpr std::int64_t BudgetBurst = 4;
 
 /** Whether the error guarantees that the group is not appended, now or later. */
-bool refusedForSure(ErrorKind kind)
+bool isDefiniteRefusal(ErrorKind kind)
 {
     return kind == ErrorKind::Unavailable || kind == ErrorKind::Overloaded
            || kind == ErrorKind::TimedOut;
@@ -27,12 +27,12 @@
 
 } // namespace
 
-LogAppender::LogAppender(store::LogService &service, Options options, ReachedListener reached,
-                         WentBackListener wentBack)
+LogAppender::LogAppender(store::LogService &service, Options options, ReachabilityListener reached,
+                         LostRecordsListener lostRecords)
     : service_(service)
     , idPrefix_(std::move(options.idPrefix_))
-    , reached_(std::move(reached))
-    , wentBack_(std::move(wentBack))
+    , onReachability_(std::move(reached))
+    , onLostRecords_(std::move(lostRecords))
     , queue_(MaxGroupRecords, MaxGroupBytes)
     , budget_(options.appendsPerSecond_, BudgetBurst)
     , backoff_(FirstBackoffMillis, LastBackoffMillis)
@@ -63,11 +63,12 @@
     answerLocked(queue_.close());
 }
 
-AppendAnswer LogAppender::append(const Record &record, TimePoint deadline, WhenOut whenOut)
+AppendResult LogAppender::append(const Record &record, TimePoint deadline,
+                                 OutagePolicy outagePolicy)
 {
     std::unique_lock lock(mutex_);
-    const AppendId id = addLocked(record, {{}, deadline, whenOut, false});
-    std::future<AppendAnswer> answer = waiters_[id].get_future();
+    const AppendId id = addLocked(record, {{}, deadline, outagePolicy, false});
+    std::future<AppendResult> answer = waiters_[id].get_future();
     if (stopping_) {
         answerLocked(queue_.close());
     }
@@ -84,7 +85,7 @@
 void LogAppender::post(const Record &record, TimePoint deadline, bool alone)
 {
     const std::lock_guard lock(mutex_);
-    addLocked(record, {{}, deadline, WhenOut::Retry, alone});
+    addLocked(record, {{}, deadline, OutagePolicy::Retry, alone});
 }
 
 AppendId LogAppender::addLocked(const Record &record, QueuedAppend queued)
@@ -103,7 +104,7 @@
            && queue_.empty();
 }
 
-bool LogAppender::waitForSome(TimePoint until) const
+bool LogAppender::waitForPendingAppend(TimePoint until) const
 {
     std::unique_lock lock(mutex_);
     return changed_.wait_until(lock, until, [&] { return stopping_ || queue_.awaitsFold(); });
@@ -123,16 +124,16 @@
     answerLocked(queue_.onFolded(id, step));
 }
 
-void LogAppender::onJumped(LogOffset next)
+void LogAppender::onRecordsSkipped(LogOffset next)
 {
     const std::lock_guard lock(mutex_);
     folded_ = std::max(folded_, next);
-    answerLocked(queue_.onJumped(next));
+    answerLocked(queue_.onRecordsSkipped(next));
 }
 
-void LogAppender::answerLocked(const std::vector<Answered> &answered)
+void LogAppender::answerLocked(const std::vector<CompletedAppend> &answered)
 {
-    for (const Answered &one : answered) {
+    for (const CompletedAppend &one : answered) {
         if (const auto found = waiters_.find(one.id_); found != waiters_.end()) {
             found->second.set_value(one.answer_);
             waiters_.erase(found);
@@ -178,9 +179,9 @@
     const auto answer =
         capture([&] { return service_.append(group.bodies_, now + millis(AppendTimeoutMillis)); });
     const Error *error = std::get_if<Error>(&answer);
-    reached_(error == nullptr || error->kind_ == ErrorKind::Overloaded);
+    onReachability_(error == nullptr || error->kind_ == ErrorKind::Overloaded);
     if (error == nullptr && std::get<LogOffset>(answer) < folded) {
-        wentBack_();
+        onLostRecords_();
     }
     lock.lock();
     if (error != nullptr) {
@@ -197,10 +198,10 @@
     logEvent(LogLevel::Warning, "control.append-failed",
              {{"records", group.ids_.size()}, {"why", describe(error)}});
     retryAt_ = backoff_.onFailure(BootClock::now(), random());
-    if (refusedForSure(error.kind_)) {
+    if (isDefiniteRefusal(error.kind_)) {
         answerLocked(queue_.onRefused(group, error));
     } else {
-        queue_.onDoubtful(group, error, retryAt_);
+        queue_.onUncertain(group, error, retryAt_);
         changed_.notify_all();
     }
 }
--- a/libs/control/src/logappender.h
+++ b/libs/control/src/logappender.h
@@ -26,12 +26,12 @@
         std::string idPrefix_; ///< Unique prefix of this process's record ids.
     };
     /** Called after each append call with whether the log was reached. */
-    using ReachedListener = std::function<void(bool)>;
+    using ReachabilityListener = std::function<void(bool)>;
     /** Called when an append got an offset that was folded before: the log has lost records. */
-    using WentBackListener = std::function<void()>;
+    using LostRecordsListener = std::function<void()>;
 
-    LogAppender(store::LogService &service, Options options, ReachedListener reached,
-                WentBackListener wentBack);
+    LogAppender(store::LogService &service, Options options, ReachabilityListener reached,
+                LostRecordsListener lostRecords);
     ~LogAppender();
     LogAppender(const LogAppender &) = delete;
     LogAppender &operator=(const LogAppender &) = delete;
@@ -40,7 +40,7 @@
     void stop();
 
     /** Queues a record and waits for its verdict or error. */
-    AppendAnswer append(const Record &record, TimePoint deadline, WhenOut whenOut);
+    AppendResult append(const Record &record, TimePoint deadline, OutagePolicy outagePolicy);
     /** Queues a record without waiting. */
     void post(const Record &record, TimePoint deadline, bool alone);
     bool flush(TimePoint deadline) const;
@@ -48,27 +48,27 @@
     /** Call for each folded step, after all other listeners. */
     void onFolded(const FoldStep &step);
     /** Call when a snapshot moved the fold to next. */
-    void onJumped(LogOffset next);
+    void onRecordsSkipped(LogOffset next);
     /** Waits until a record of this instance is pending in the log. False at until. */
-    bool waitForSome(TimePoint until) const;
+    bool waitForPendingAppend(TimePoint until) const;
 
     std::uint64_t appends() const noexcept { return appends_; }
 
 private:
-    using Waiters = std::map<AppendId, std::promise<AppendAnswer>>;
+    using Waiters = std::map<AppendId, std::promise<AppendResult>>;
 
     void run();
     void sendGroup(std::unique_lock<std::mutex> &lock);
     void noteFailure(const AppendGroup &group, const Error &error);
     TimePoint nextWake() const;
     AppendId addLocked(const Record &record, QueuedAppend queued);
-    void answerLocked(const std::vector<Answered> &answered);
+    void answerLocked(const std::vector<CompletedAppend> &answered);
     double random() { return std::uniform_real_distribution<>()(random_); }
 
     store::LogService &service_;
     const std::string idPrefix_;
-    const ReachedListener reached_;
-    const WentBackListener wentBack_;
+    const ReachabilityListener onReachability_;
+    const LostRecordsListener onLostRecords_;
     std::atomic<std::uint64_t> appends_ = 0;
 
     mutable std::mutex mutex_;
--- a/libs/control/src/logfollower.cpp
+++ b/libs/control/src/logfollower.cpp
@@ -53,7 +53,7 @@
     const std::lock_guard lock(mutex_);
     if (inbox_.size() < MaxInbox) {
         inbox_.push_back(std::move(batch));
-        ++handedIn_;
+        ++batchesQueued_;
         changed_.notify_all();
     }
 }
@@ -62,9 +62,9 @@
 {
     std::unique_lock lock(mutex_);
     inbox_.push_back(std::move(batch));
-    const std::uint64_t ticket = ++handedIn_;
+    const std::uint64_t ticket = ++batchesQueued_;
     changed_.notify_all();
-    changed_.wait(lock, [&] { return stopping_ || folded_ >= ticket; });
+    changed_.wait(lock, [&] { return stopping_ || batchesFolded_ >= ticket; });
 }
 
 void LogFollower::run()
@@ -86,7 +86,7 @@
         foldBatch(batch);
         writeSnapshotIfDue();
         lock.lock();
-        folded_ += some ? 1 : 0;
+        batchesFolded_ += some ? 1 : 0;
         changed_.notify_all();
     }
 }
@@ -99,13 +99,13 @@
         }
     }
     // A batch from a peer may have been rejected, so on an empty fold it does not prove the end.
-    const bool fromLog = batch.kept_ != 0;
+    const bool fromLog = batch.firstRetained_ != 0;
     const bool atEnd = batch.end_ != 0 && store_.next() >= batch.end_;
-    if (atEnd && (fromLog || store_.knowsAnything())) {
+    if (atEnd && (fromLog || store_.hasState())) {
         caughtUp_ = true;
     }
     if (fromLog) {
-        schedule_.onKept(batch.kept_, batch.end_, BootClock::now(), random());
+        schedule_.onRetainedRange(batch.firstRetained_, batch.end_, BootClock::now(), random());
     }
 }
 
--- a/libs/control/src/logfollower.h
+++ b/libs/control/src/logfollower.h
@@ -17,8 +17,8 @@
 struct RecordBatch
 {
     std::vector<store::LogRecord> records_;
-    LogOffset kept_ = 0; ///< The oldest offset retained by the log; 0 from peers.
-    LogOffset end_ = 0;  ///< The source's next offset; 0 when unknown.
+    LogOffset firstRetained_ = 0; ///< The oldest offset retained by the log; 0 from peers.
+    LogOffset end_ = 0;           ///< The source's next offset; 0 when unknown.
 };
 
 class LogFollower
@@ -68,8 +68,8 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::deque<RecordBatch> inbox_;
-    std::uint64_t handedIn_ = 0;
-    std::uint64_t folded_ = 0;
+    std::uint64_t batchesQueued_ = 0;
+    std::uint64_t batchesFolded_ = 0;
     bool stopping_ = false;
     std::thread thread_;
 };
--- a/libs/control/src/logreader.cpp
+++ b/libs/control/src/logreader.cpp
@@ -14,7 +14,7 @@
 
 LogReader::LogReader(store::LogService &service, RecordSource *source, FoldStore &store,
                      LogFollower &follower, LogAppender &appender, const Options &options,
-                     ReachedListener reached)
+                     ReachabilityListener reached)
     : service_(service)
     , source_(source)
     , store_(store)
@@ -22,7 +22,7 @@
     , appender_(appender)
     , wait_(millis(options.waitMillis_))
     , pause_(millis(options.pauseMillis_))
-    , reached_(std::move(reached))
+    , onReachability_(std::move(reached))
     , backoff_(FirstBackoffMillis, LastBackoffMillis)
     , random_(options.seed_)
 { }
@@ -65,7 +65,7 @@
 void LogReader::readOnce()
 {
     const LogOffset next = store_.next();
-    const bool compares = unchecked_;
+    const bool compares = mustCompare_;
     const std::optional<store::LogRecord> last = compares ? store_.lastRecord() : std::nullopt;
     const LogOffset from = last ? last->offset_ : next;
     const TimePoint start = BootClock::now();
@@ -75,21 +75,21 @@
         return;
     }
     store::LogPage &page = std::get<store::LogPage>(read);
-    if (unchecked_ && !compares) {
+    if (mustCompare_ && !compares) {
         return; // An append found lost records during this read.
     }
     if (!continues(page, next, last)) {
-        onOtherLog(page, next);
+        onLostRecords(page, next);
         return;
     }
     backoff_.onSuccess();
-    unchecked_ = false;
-    wentBack_ = false;
-    reached_(true);
+    mustCompare_ = false;
+    logLostRecords_ = false;
+    onReachability_(true);
     follower_.foldNow({std::move(page.records_), page.first_, page.next_});
     // Reading again at once would cost a call for each record, so pause unless an append waits
     // for its verdict.
-    appender_.waitForSome(start + pause_);
+    appender_.waitForPendingAppend(start + pause_);
 }
 
 /**
@@ -111,27 +111,27 @@
  * Appends may fill the log past the last folded offset before the next read, so that read also
  * compares the record at that offset.
  */
-void LogReader::onWentBack()
+void LogReader::onLogLostRecords()
 {
-    unchecked_ = true;
-    if (!wentBack_.exchange(true)) {
+    mustCompare_ = true;
+    if (!logLostRecords_.exchange(true)) {
         logEvent(LogLevel::Error, "control.log-went-back",
                  {{"folded", store_.next() - 1},
                   {"remedy", "bring the log back; until then nothing is read or appended"}});
     }
 }
 
-void LogReader::onOtherLog(const store::LogPage &page, LogOffset next)
+void LogReader::onLostRecords(const store::LogPage &page, LogOffset next)
 {
-    unchecked_ = true;
-    if (!wentBack_.exchange(true)) {
+    mustCompare_ = true;
+    if (!logLostRecords_.exchange(true)) {
         logEvent(LogLevel::Error, "control.log-went-back",
                  {{"folded", next - 1},
                   {"log_next", page.next_},
                   {"remedy", "bring the log back; until then nothing is read or appended"}});
     }
-    reached_(true);
-    if (!askPeers()) {
+    onReachability_(true);
+    if (!readFromPeers()) {
         pause(backoff_.onFailure(BootClock::now(), random()));
     }
 }
@@ -139,9 +139,9 @@
 void LogReader::onFailure(const Error &error)
 {
     const bool trimmed = error.kind_ == ErrorKind::Trimmed;
-    reached_(trimmed || error.kind_ == ErrorKind::Overloaded);
-    unchecked_ = !trimmed;
-    if (askPeers()) {
+    onReachability_(trimmed || error.kind_ == ErrorKind::Overloaded);
+    mustCompare_ = !trimmed;
+    if (readFromPeers()) {
         return;
     }
     const LogOffset before = store_.next();
@@ -153,7 +153,7 @@
     }
 }
 
-bool LogReader::askPeers()
+bool LogReader::readFromPeers()
 {
     if (source_ == nullptr) {
         return false;
@@ -186,7 +186,7 @@
         from = page->records_.back().offset_ + 1;
         follower_.foldNow({std::move(page->records_), 0, 0});
     }
-    if (store_.next() == before && std::exchange(stuckAt_, before) != before) {
+    if (store_.next() == before && std::exchange(trimmedLoggedAt_, before) != before) {
         logEvent(LogLevel::Error, "control.log-trimmed",
                  {{"wanted", before},
                   {"log_first", ends->first_},
--- a/libs/control/src/logreader.h
+++ b/libs/control/src/logreader.h
@@ -18,12 +18,12 @@
         std::int64_t pauseMillis_ = 0;
         std::uint64_t seed_ = 0;
     };
-    using ReachedListener = std::function<void(bool)>;
+    using ReachabilityListener = std::function<void(bool)>;
 
     /** source is optional (null). */
     LogReader(store::LogService &service, RecordSource *source, FoldStore &store,
               LogFollower &follower, LogAppender &appender, const Options &options,
-              ReachedListener reached);
+              ReachabilityListener reached);
     ~LogReader();
     LogReader(const LogReader &) = delete;
     LogReader &operator=(const LogReader &) = delete;
@@ -32,18 +32,18 @@
     void stop();
 
     /** Whether the log has lost records that are folded here, as of the last check. */
-    bool logWentBack() const noexcept { return wentBack_; }
+    bool logLostRecords() const noexcept { return logLostRecords_; }
     /** Call when an append finds that the log has lost records. */
-    void onWentBack();
+    void onLogLostRecords();
 
 private:
     void run();
     void readOnce();
     static bool continues(const store::LogPage &page, LogOffset next,
                           const std::optional<store::LogRecord> &last);
-    void onOtherLog(const store::LogPage &page, LogOffset next);
+    void onLostRecords(const store::LogPage &page, LogOffset next);
     void onFailure(const Error &error);
-    bool askPeers();
+    bool readFromPeers();
     void readFromOldest();
     void pause(TimePoint until);
     double random() { return std::uniform_real_distribution<>()(random_); }
@@ -55,13 +55,13 @@
     LogAppender &appender_;
     const Duration wait_;
     const Duration pause_;
-    const ReachedListener reached_;
+    const ReachabilityListener onReachability_;
     Backoff backoff_;
     std::mt19937_64 random_;
-    std::atomic<bool> wentBack_ = false;
-    std::atomic<bool> unchecked_ =
-        false;              ///< Whether the next read has to check for lost records.
-    LogOffset stuckAt_ = 0; ///< Offset for which control.log-trimmed was last logged.
+    std::atomic<bool> logLostRecords_ = false;
+    std::atomic<bool> mustCompare_ =
+        false;                      ///< Whether the next read has to check for lost records.
+    LogOffset trimmedLoggedAt_ = 0; ///< Offset for which control.log-trimmed was last logged.
 
     std::mutex mutex_;
     std::condition_variable changed_;
--- a/libs/control/src/ordergate.cpp
+++ b/libs/control/src/ordergate.cpp
@@ -37,7 +37,7 @@
 {
     const std::string who = "engine " + engine.id_.value();
     if (answer.status_ == StatusConflict && errorCode(answer.body_) == "stale_fence") {
-        return fail(ErrorKind::StaleFence, who + " has taken an order of a later lease",
+        return fail(ErrorKind::StaleFence, who + " has accepted an order of a later lease",
                     "stop sending orders; the domain has another holder");
     }
     if (answer.status_ == StatusLocked) {
@@ -78,7 +78,7 @@
     const GuardedSocket guarded(*guard, exchange.socketDescriptor(), sendUntil);
     // Check after arming: if the process is paused from here on, the guard prevents the send.
     if (BootClock::now() >= sendUntil) {
-        return fail(ErrorKind::TimedOut, "the lease lapsed before the order was sent",
+        return fail(ErrorKind::TimedOut, "the lease expired before the order was sent",
                     "claim the lease again");
     }
     BOOST_LEAF_CHECK(exchange.send(request, std::min(sendUntil, deadline)));
--- a/libs/control/src/orderplan.cpp
+++ b/libs/control/src/orderplan.cpp
@@ -40,8 +40,8 @@
         entry.endpoint_ = endpoint;
     }
     for (const auto &[id, entry] : entries_) {
-        if (kept.count(id) == 0 && entry.told_) {
-            news_[id] = Availability::Leaving;
+        if (kept.count(id) == 0 && entry.announced_) {
+            pendingAnnouncements_[id] = Availability::Leaving;
         }
     }
     entries_ = std::move(kept);
@@ -77,35 +77,35 @@
         if (wanted != entry.wanted_ || leaving != entry.leaving_) {
             entry.wanted_ = std::move(wanted);
             entry.leaving_ = leaving;
-            entry.loading_ = false;
-            entry.nextLook_ = now;
+            entry.hasLoadSlot_ = false;
+            entry.nextCheck_ = now;
             entry.nextOrder_ = now;
         }
     }
 }
 
-void OrderPlan::hold(Fence fence, TimePoint firstOrderToIgnoring, TimePoint now)
+void OrderPlan::onLeaseAcquired(Fence fence, TimePoint firstUnfencedOrder, TimePoint now)
 {
     fence_ = fence;
-    firstOrderToIgnoring_ = firstOrderToIgnoring;
-    news_.clear();
-    orphanSince_.clear();
-    weightsUntil_.reset();
+    firstUnfencedOrder_ = firstUnfencedOrder;
+    pendingAnnouncements_.clear();
+    orphanedSince_.clear();
+    storeStatusUntil_.reset();
     for (auto &[id, entry] : entries_) {
         Entry fresh;
         fresh.endpoint_ = std::move(entry.endpoint_);
         fresh.wanted_ = std::move(entry.wanted_);
         fresh.leaving_ = entry.leaving_;
-        fresh.taken_ = entry.taken_;
-        fresh.nextLook_ = now;
+        fresh.inProgress_ = entry.inProgress_;
+        fresh.nextCheck_ = now;
         entry = std::move(fresh);
     }
 }
 
-void OrderPlan::drop()
+void OrderPlan::onLeaseLost()
 {
     fence_.reset();
-    news_.clear();
+    pendingAnnouncements_.clear();
 }
 
 std::vector<EndpointId> OrderPlan::takeDue(TimePoint now)
@@ -115,8 +115,8 @@
         return due;
     }
     for (auto &[id, entry] : entries_) {
-        if (!entry.taken_ && now >= entry.nextLook_) {
-            entry.taken_ = true;
+        if (!entry.inProgress_ && now >= entry.nextCheck_) {
+            entry.inProgress_ = true;
             due.push_back(id);
         }
     }
@@ -126,16 +126,16 @@
 void OrderPlan::finish(const EndpointId &id, TimePoint now)
 {
     if (Entry *entry = find(id)) {
-        entry->taken_ = false;
-        entry->nextLook_ = std::max(entry->nextLook_, now + ShortestLook);
+        entry->inProgress_ = false;
+        entry->nextCheck_ = std::max(entry->nextCheck_, now + MinCheckInterval);
     }
 }
 
-void OrderPlan::lookAt(const EndpointId &id, TimePoint now)
+void OrderPlan::requestCheck(const EndpointId &id, TimePoint now)
 {
     if (Entry *entry = find(id)) {
-        const TimePoint soonest = std::max(now, entry->readAt_ + ShortestSteadyLook);
-        entry->nextLook_ = std::min(entry->nextLook_, soonest);
+        const TimePoint soonest = std::max(now, entry->readAt_ + MinSteadyCheckInterval);
+        entry->nextCheck_ = std::min(entry->nextCheck_, soonest);
     }
 }
 
@@ -152,7 +152,7 @@
         return false;
     }
     // Announce that an endpoint leaves before a read, which may take long.
-    return !entry->leaving_ || entry->told_ == Availability::Leaving;
+    return !entry->leaving_ || entry->announced_ == Availability::Leaving;
 }
 
 void OrderPlan::onState(const EndpointId &id, const EngineState &state, TimePoint readAt)
@@ -160,7 +160,7 @@
     if (Entry *entry = find(id)) {
         entry->state_ = state;
         entry->readAt_ = readAt;
-        entry->looked_ = true;
+        entry->readAttempted_ = true;
         entry->unreadable_ = 0;
     }
 }
@@ -171,20 +171,20 @@
     if (entry == nullptr) {
         return;
     }
-    entry->looked_ = true;
+    entry->readAttempted_ = true;
     entry->state_.reset();
     if (entry->unreadable_++ == 0) {
         entry->unreadableSince_ = now;
     }
     // A paused engine may have an order in its receive buffer and accept it when it resumes, so
     // each failed read restarts the wait for such an order.
-    entry->settleAfter_ = now + millis(OrderNetworkBoundMillis);
+    entry->unansweredUntil_ = now + millis(OrderNetworkBoundMillis);
 }
 
 void OrderPlan::onAnnounced(const EndpointId &id, Availability availability)
 {
     if (Entry *entry = find(id)) {
-        entry->told_ = availability;
+        entry->announced_ = availability;
     }
 }
 
@@ -202,11 +202,11 @@
         return;
     }
     entry->answerUnknown_ = result == SendResult::Unknown;
-    entry->settleAfter_ = now + millis(OrderNetworkBoundMillis);
+    entry->unansweredUntil_ = now + millis(OrderNetworkBoundMillis);
     entry->ordered_ = entry->ordered_ || result == SendResult::Answered;
 }
 
-void OrderPlan::onSettled(const EndpointId &id, OrderOutcome outcome, TimePoint now)
+void OrderPlan::onIntentClosed(const EndpointId &id, OrderOutcome outcome, TimePoint now)
 {
     Entry *entry = find(id);
     if (entry == nullptr) {
@@ -217,9 +217,9 @@
     // After a finished drain keep the load slot for the load that follows.
     const bool loadAhead = done && entry->wanted_ && entry->state_
                            && needsLoad(entry->state_->target_, *entry->wanted_);
-    if (entry->loading_ && !loadAhead) {
-        entry->loading_ = false;
-        wakeNext(now);
+    if (entry->hasLoadSlot_ && !loadAhead) {
+        entry->hasLoadSlot_ = false;
+        wakeNextWaiting(now);
     }
     entry->failedOrders_ = done ? 0 : entry->failedOrders_ + 1;
     entry->nextOrder_ = now + orderBackoff(entry->failedOrders_);
@@ -228,12 +228,12 @@
 void OrderPlan::onNotRecorded(const EndpointId &id, TimePoint now)
 {
     if (Entry *entry = find(id)) {
-        entry->nextLook_ = now + RecordRetry;
+        entry->nextCheck_ = now + RecordRetryDelay;
     }
 }
 
-std::vector<OutcomeRecord> OrderPlan::orphans(const std::map<EndpointId, OpenIntent> &open,
-                                              TimePoint now)
+std::vector<OutcomeRecord>
+OrderPlan::outcomesOfOrphanedIntents(const std::map<EndpointId, OpenIntent> &open, TimePoint now)
 {
     std::vector<OutcomeRecord> outcomes;
     std::map<LogOffset, TimePoint> since;
@@ -241,27 +241,27 @@
         if (!fence_ || item.intent_.domain_ != domain_ || find(id) != nullptr) {
             continue;
         }
-        const auto known = orphanSince_.find(item.offset_);
-        const TimePoint seen = known == orphanSince_.end() ? now : known->second;
+        const auto known = orphanedSince_.find(item.offset_);
+        const TimePoint seen = known == orphanedSince_.end() ? now : known->second;
         since[item.offset_] = seen;
-        if (now >= firstOrderToIgnoring_ && now >= seen + millis(OrderNetworkBoundMillis)) {
+        if (now >= firstUnfencedOrder_ && now >= seen + millis(OrderNetworkBoundMillis)) {
             outcomes.push_back({domain_, *fence_, item.offset_, id, OrderOutcome::Unclear});
         }
     }
-    orphanSince_ = std::move(since);
+    orphanedSince_ = std::move(since);
     return outcomes;
 }
 
-void OrderPlan::onWeights(std::optional<store::WeightStoreStatus> status, TimePoint now)
+void OrderPlan::onStoreStatus(std::optional<store::WeightStoreStatus> status, TimePoint now)
 {
-    weights_ = status;
-    weightsUntil_ = now + WeightsInterval;
+    storeStatus_ = status;
+    storeStatusUntil_ = now + StoreStatusInterval;
 }
 
-Availabilities OrderPlan::takeNews()
+Availabilities OrderPlan::takePendingAnnouncements()
 {
     Availabilities news;
-    news.swap(news_);
+    news.swap(pendingAnnouncements_);
     return news;
 }
 
@@ -269,8 +269,8 @@
 {
     Availabilities withheld;
     for (const auto &[id, entry] : entries_) {
-        if (fence_ && entry.told_ && *entry.told_ != Availability::Open) {
-            withheld[id] = *entry.told_;
+        if (fence_ && entry.announced_ && *entry.announced_ != Availability::Open) {
+            withheld[id] = *entry.announced_;
         }
     }
     return withheld;
@@ -280,11 +280,11 @@
 {
     return std::none_of(entries_.begin(), entries_.end(), [&](const auto &item) {
         const Entry &entry = item.second;
-        return entry.taken_ || (entry.answerUnknown_ && now < entry.settleAfter_);
+        return entry.inProgress_ || (entry.answerUnknown_ && now < entry.unansweredUntil_);
     });
 }
 
-bool OrderPlan::seesNoEngine() const noexcept
+bool OrderPlan::allEnginesUnreadable() const noexcept
 {
     int engines = 0;
     for (const auto &[id, entry] : entries_) {
@@ -292,7 +292,7 @@
             continue;
         }
         ++engines;
-        if (!entry.looked_ || entry.state_) {
+        if (!entry.readAttempted_ || entry.state_) {
             return false;
         }
     }
@@ -307,7 +307,7 @@
         line += " phase=";
         line += entry.state_ ? nameOf(EnginePhaseNames, entry.state_->phase_) : "unread";
         line += " availability=";
-        line += entry.told_ ? nameOf(AvailabilityNames, *entry.told_) : "untold";
+        line += entry.announced_ ? nameOf(AvailabilityNames, *entry.announced_) : "untold";
         line += " waits=\"" + entry.waitsFor_ + "\"";
         lines[id] = std::move(line);
     }
@@ -315,21 +315,21 @@
 }
 
 /** Makes the next engine that waits for a slot due at once. */
-void OrderPlan::wakeNext(TimePoint now) noexcept
+void OrderPlan::wakeNextWaiting(TimePoint now) noexcept
 {
     for (auto &[id, entry] : entries_) {
-        if (entry.wantsShare_) {
-            entry.wantsShare_ = false;
-            entry.nextLook_ = now;
+        if (entry.waitsForSlot_) {
+            entry.waitsForSlot_ = false;
+            entry.nextCheck_ = now;
             return;
         }
     }
 }
 
-TimePoint OrderPlan::steadyLook(TimePoint now) const noexcept
+TimePoint OrderPlan::nextSteadyCheck(TimePoint now) const noexcept
 {
     const auto engines = static_cast<std::int64_t>(entries_.size());
-    return now + std::max(ShortestSteadyLook, millis(1'000) * engines / SteadyReadsPerSecond);
+    return now + std::max(MinSteadyCheckInterval, millis(1'000) * engines / SteadyReadsPerSecond);
 }
 
 } // namespace almondridge::control
--- a/libs/control/src/reconciler.cpp
+++ b/libs/control/src/reconciler.cpp
@@ -11,11 +11,11 @@
 /** Limits the concurrent reads, announcements and appends. */
 constexpr int Workers = 8;
 /** Interval between two searches for open intents of engines that left the domain. */
-constexpr Duration OrphanInterval = millis(2'000);
+constexpr Duration OrphanedIntentInterval = millis(2'000);
 /** The lease is released when no engine could be read for this many terms. */
-constexpr int BlindTerms = 2;
+constexpr int UnreadableTermsBeforeRelease = 2;
 /** After that, the lease is not claimed again for this many terms. */
-constexpr int PauseTerms = 5;
+constexpr int ClaimPauseTerms = 5;
 /** A lease whose release is not appended within this time is left to expire. */
 constexpr std::int64_t ReleaseTimeoutMillis = 2'000;
 
@@ -40,7 +40,7 @@
     void run();
     void round();
     void followLease();
-    bool givesUp();
+    bool yieldsLease();
     void release(TimePoint claimFrom);
 
     ControlLog &log_;
@@ -49,9 +49,9 @@
     WorkerPool pool_;
     std::thread thread_;
     std::shared_ptr<const fleet::Fleet> fleet_; ///< Used by the thread only.
-    TimePoint nextOrphans_ {};                  ///< Used by the thread only.
-    TimePoint blindSince_ {};                   ///< Used by the thread only.
-    bool givingUp_ = false;                     ///< Used by the thread only.
+    TimePoint nextOrphanedIntents_ {};          ///< Used by the thread only.
+    TimePoint unreadableSince_ {};              ///< Used by the thread only.
+    bool yielding_ = false;                     ///< Used by the thread only.
     const Duration term_;
 
     std::mutex mutex_;
@@ -79,7 +79,7 @@
         work_.withPlan([&](OrderPlan &plan) { plan.setFleet(fleet, BootClock::now()); });
     }
     followLease();
-    if (givesUp()) {
+    if (yieldsLease()) {
         return;
     }
     const auto fence = work_.withPlan([](OrderPlan &plan) { return plan.fence(); });
@@ -89,16 +89,16 @@
     const auto due = work_.withPlan([](OrderPlan &plan) { return plan.takeDue(BootClock::now()); });
     for (const EndpointId &id : due) {
         pool_.add([this, id, fence = *fence] {
-            work_.look(id, fence);
+            work_.processEndpoint(id, fence);
             wake_.notify_all(); // An engine that waited for this one may be due now.
         });
     }
-    if (const TimePoint now = BootClock::now(); now >= nextOrphans_) {
-        nextOrphans_ = now + OrphanInterval;
-        pool_.add([this, fence = *fence] { work_.settleOrphans(fence); });
+    if (const TimePoint now = BootClock::now(); now >= nextOrphanedIntents_) {
+        nextOrphanedIntents_ = now + OrphanedIntentInterval;
+        pool_.add([this, fence = *fence] { work_.closeOrphanedIntents(fence); });
     }
-    if (work_.withPlan([](OrderPlan &plan) { return plan.hasNews(); })) {
-        pool_.add([this, fence = *fence] { work_.announceNews(fence); });
+    if (work_.withPlan([](OrderPlan &plan) { return plan.hasPendingAnnouncements(); })) {
+        pool_.add([this, fence = *fence] { work_.announcePending(fence); });
     }
 }
 
@@ -106,25 +106,25 @@
  * An instance that reaches the log but none of the engines would keep renewing a lease that other
  * instances could use. It starts no more steps and releases the lease when none is in progress.
  */
-bool Reconciler::State::givesUp()
+bool Reconciler::State::yieldsLease()
 {
     const TimePoint now = BootClock::now();
-    const bool blind = work_.withPlan(
-        [](OrderPlan &plan) { return plan.fence().has_value() && plan.seesNoEngine(); });
-    if (!blind && !givingUp_) {
-        blindSince_ = now;
+    const bool allUnreadable = work_.withPlan(
+        [](OrderPlan &plan) { return plan.fence().has_value() && plan.allEnginesUnreadable(); });
+    if (!allUnreadable && !yielding_) {
+        unreadableSince_ = now;
         return false;
     }
-    if (now < blindSince_ + BlindTerms * term_) {
+    if (now < unreadableSince_ + UnreadableTermsBeforeRelease * term_) {
         return false;
     }
-    givingUp_ = true;
-    work_.withPlan([](OrderPlan &plan) { plan.drop(); });
+    yielding_ = true;
+    work_.withPlan([](OrderPlan &plan) { plan.onLeaseLost(); });
     if (!lease_->held()) {
-        givingUp_ = false;
+        yielding_ = false;
     } else if (work_.withPlan([&](OrderPlan &plan) { return plan.mayRelease(now); })) {
-        release(now + PauseTerms * term_);
-        givingUp_ = false;
+        release(now + ClaimPauseTerms * term_);
+        yielding_ = false;
     }
     return true;
 }
@@ -136,15 +136,15 @@
 
 void Reconciler::State::followLease()
 {
-    if (givingUp_) {
+    if (yielding_) {
         return;
     }
     const auto held = lease_->held();
     work_.withPlan([&](OrderPlan &plan) {
         if (!held) {
-            plan.drop();
+            plan.onLeaseLost();
         } else if (plan.fence() != held->fence_) {
-            plan.hold(held->fence_, held->firstOrderToIgnoring_, BootClock::now());
+            plan.onLeaseAcquired(held->fence_, held->firstUnfencedOrder_, BootClock::now());
         }
     });
 }
@@ -201,9 +201,9 @@
     state_->wake_.notify_all();
 }
 
-void Reconciler::lookAt(const EndpointId &engine)
+void Reconciler::requestCheck(const EndpointId &engine)
 {
-    state_->work_.withPlan([&](OrderPlan &plan) { plan.lookAt(engine, BootClock::now()); });
+    state_->work_.withPlan([&](OrderPlan &plan) { plan.requestCheck(engine, BootClock::now()); });
     state_->wake_.notify_all();
 }
 
--- a/libs/control/src/records.cpp
+++ b/libs/control/src/records.cpp
@@ -12,10 +12,11 @@
 constexpr const char *ThroughField = "through";
 constexpr const char *StateField = "state";
 
-boost::leaf::error_id notOurs(const std::string &what)
+boost::leaf::error_id invalidRecord(const std::string &what)
 {
-    return fail(ErrorKind::Protocol, "not a record of the control log: " + what,
-                "let no other program write to this log, and run the same version on all instances");
+    return fail(
+        ErrorKind::Protocol, "not a record of the control log: " + what,
+        "let no other program write to this log, and run the same version on all instances");
 }
 
 template <typename T>
@@ -114,19 +115,19 @@
 {
     const Json object = parseBounded(body);
     if (!object.is_object()) {
-        return notOurs("no JSON object");
+        return invalidRecord("no JSON object");
     }
     const RecordCodec *codec = findCodec(object.value(KindField, Json()));
     if (codec == nullptr) {
-        return notOurs("unknown kind");
+        return invalidRecord("unknown kind");
     }
     IdentifiedRecord decoded;
     if (const char *wrong = codec->decode_(object, decoded.record_)) {
-        return notOurs(std::string(codec->kind_) + " with a wrong field '" + wrong + "'");
+        return invalidRecord(std::string(codec->kind_) + " with a wrong field '" + wrong + "'");
     }
     const auto id = object.find(IdField);
     if (id != object.end() && !JsonValue<std::string>::read(*id, decoded.id_)) {
-        return notOurs("an id that is no text");
+        return invalidRecord("an id that is no text");
     }
     return decoded;
 }
--- a/libs/control/src/snapshotschedule.cpp
+++ b/libs/control/src/snapshotschedule.cpp
@@ -24,27 +24,28 @@
 void SnapshotSchedule::onFolded(TimePoint now, double random)
 {
     if (++foldedSince_ >= everyRecords_) {
-        want(now, random);
+        scheduleWrite(now, random);
     }
 }
 
 void SnapshotSchedule::onSnapshot(LogOffset offset)
 {
-    newest_ = std::max(newest_, offset);
+    newestSnapshot_ = std::max(newestSnapshot_, offset);
     foldedSince_ = 0;
     dueAt_.reset();
 }
 
-void SnapshotSchedule::onKept(LogOffset first, LogOffset next, TimePoint now, double random)
+void SnapshotSchedule::onRetainedRange(LogOffset first, LogOffset next, TimePoint now,
+                                       double random)
 {
     const bool trimmed = first > 1;
-    const bool inOlderHalf = newest_ < first + (next - first) / 2;
+    const bool inOlderHalf = newestSnapshot_ < first + (next - first) / 2;
     if (trimmed && inOlderHalf && foldedSince_ > 0) {
-        want(now, random);
+        scheduleWrite(now, random);
     }
 }
 
-void SnapshotSchedule::want(TimePoint now, double random)
+void SnapshotSchedule::scheduleWrite(TimePoint now, double random)
 {
     if (!dueAt_) {
         dueAt_ = now + std::chrono::duration_cast<Duration>(window_ * delayShare(random));
--- a/libs/control/src/snapshotschedule.h
+++ b/libs/control/src/snapshotschedule.h
@@ -30,18 +30,18 @@
      * newest one lies in the older half of that range, so that a new one is written before the
      * log trims it.
      */
-    void onKept(LogOffset first, LogOffset next, TimePoint now, double random);
+    void onRetainedRange(LogOffset first, LogOffset next, TimePoint now, double random);
 
     /** When to write; nullopt when no snapshot is due. */
     std::optional<TimePoint> dueAt() const noexcept { return dueAt_; }
 
 private:
-    void want(TimePoint now, double random);
+    void scheduleWrite(TimePoint now, double random);
 
     const std::int64_t everyRecords_;
     const Duration window_;
     std::int64_t foldedSince_ = 0;
-    LogOffset newest_ = 0;
+    LogOffset newestSnapshot_ = 0;
     std::optional<TimePoint> dueAt_;
 };
 
--- a/libs/control/tests/appendqueuetest.cpp
+++ b/libs/control/tests/appendqueuetest.cpp
@@ -16,10 +16,10 @@
 
 QueuedAppend record(const std::string &body, bool alone = false)
 {
-    return {body, Start + millis(1'000), WhenOut::Retry, alone};
+    return {body, Start + millis(1'000), OutagePolicy::Retry, alone};
 }
 
-ErrorKind failureOf(const std::vector<Answered> &answered)
+ErrorKind failureOf(const std::vector<CompletedAppend> &answered)
 {
     BOOST_REQUIRE(answered.size() == 1);
     return std::get<Error>(answered[0].answer_).kind_;
@@ -29,7 +29,7 @@
 
 BOOST_AUTO_TEST_SUITE(Appending)
 
-BOOST_AUTO_TEST_CASE(recordsThatWaitGoOutTogetherUpToTheLimits)
+BOOST_AUTO_TEST_CASE(waitingRecordsAreSentTogetherUpToTheLimits)
 {
     AppendQueue queue(3, 10);
     for (AppendId id = 1; id <= 4; ++id) {
@@ -44,14 +44,14 @@
     }
 }
 
-// A request would be refused as not run that did run.
-// Its claim went out, the answer was lost, it is sent again, and this time the log refuses it.
-// Cause: the last answer taken for the whole story.
-BOOST_AUTO_TEST_CASE(aRefusalAfterADoubtfulSendIsStillDoubtful)
+// A request that ran would be reported as not run when the acknowledgement of its claim was lost
+// and the log refuses the retry: the last result must not hide that the first send may have
+// succeeded.
+BOOST_AUTO_TEST_CASE(aRefusalAfterAnUncertainSendIsStillUncertain)
 {
     AppendQueue queue(10, 100);
     queue.add(1, record("r"));
-    queue.onDoubtful(queue.take(Start), Doubt, Start);
+    queue.onUncertain(queue.take(Start), Doubt, Start);
     const AppendGroup again = queue.take(Start);
     BOOST_TEST(again.ids_.size() == 1U);
     BOOST_TEST(queue.onRefused(again, Refusal).empty());
@@ -81,24 +81,23 @@
     BOOST_TEST(queue.onFolded(1, step).empty());
 }
 
-// A holder would be told that its claim was rejected while the log has it as accepted.
-// The instance falls behind the log's retention and takes a snapshot over the claim's offset.
-// Cause: judging a record by a second copy, since the first one was never seen.
-BOOST_AUTO_TEST_CASE(whatASnapshotPassedOverHasNoVerdict)
+// A holder would see its claim as rejected although the log accepted it, when the instance falls
+// behind the log's retention, skips the claim by a snapshot and then folds only the retried copy.
+BOOST_AUTO_TEST_CASE(appendsSkippedByASnapshotHaveNoVerdict)
 {
     AppendQueue queue(10, 100);
     queue.add(1, record("r"));
     queue.onAppended(queue.take(Start), 7);
     queue.add(2, record("later"));
     queue.onAppended(queue.take(Start), 9);
-    BOOST_TEST((failureOf(queue.onJumped(8)) == ErrorKind::Interrupted));
+    BOOST_TEST((failureOf(queue.onRecordsSkipped(8)) == ErrorKind::Interrupted));
     BOOST_TEST(queue.onFolded(2, {9, Verdict::Accepted, {}, {}, {}, false}).size() == 1U);
     queue.add(3, record("doubtful"));
-    queue.onDoubtful(queue.take(Start), Doubt, Start);
-    BOOST_TEST((failureOf(queue.onJumped(20)) == ErrorKind::Interrupted));
+    queue.onUncertain(queue.take(Start), Doubt, Start);
+    BOOST_TEST((failureOf(queue.onRecordsSkipped(20)) == ErrorKind::Interrupted));
 }
 
-BOOST_AUTO_TEST_CASE(theBudgetHoldsItsRateWhateverTheBurst)
+BOOST_AUTO_TEST_CASE(theRateLimitHoldsAfterABurst)
 {
     AppendBudget budget(20, 4);
     TimePoint now = Start;
@@ -112,7 +111,7 @@
     BOOST_TEST(sent <= 204);
 }
 
-BOOST_AUTO_TEST_CASE(theWaitAfterFailuresGrowsToItsLimitAndStartsAnew)
+BOOST_AUTO_TEST_CASE(backoffGrowsToItsLimitAndRestartsAfterASuccess)
 {
     Backoff backoff(100, 350);
     BOOST_TEST((backoff.onFailure(Start, 0.0) == Start + millis(50)));
@@ -122,9 +121,8 @@
     BOOST_TEST((backoff.onFailure(Start, 0.0) == Start + millis(50)));
 }
 
-// The log would get as many snapshots as there are instances, at the same moment.
-// All of them fold the same record and find that a snapshot is due.
-// Cause: one rule that fires everywhere at once.
+// The log would get one snapshot from every instance at the same time, because all of them fold the
+// record that makes a snapshot due.
 BOOST_AUTO_TEST_CASE(fewOfManyInstancesWriteASnapshot)
 {
     std::mt19937_64 random(5);
@@ -137,7 +135,7 @@
         }
         const TimePoint first = *std::min_element(due.begin(), due.end());
         const auto writers = std::count_if(due.begin(), due.end(), [&](TimePoint at) {
-            return at <= first + millis(500); // Until the first one's snapshot is read everywhere.
+            return at <= first + millis(500); // Until all instances have read the first snapshot.
         });
         BOOST_TEST(writers <= 5);
         BOOST_TEST((first <= Start + millis(20'000)));
--- a/libs/control/tests/controllogtest.cpp
+++ b/libs/control/tests/controllogtest.cpp
@@ -13,7 +13,7 @@
     FakeLog log;
     const auto one = caughtUp(quickBuilder(log));
     const auto two = caughtUp(quickBuilder(log));
-    BOOST_TEST(!one->read([](const Fold &fold) { return fold.knowsAnything(); }));
+    BOOST_TEST(!one->read([](const Fold &fold) { return fold.hasState(); }));
     const AppendVerdict verdict = one->append(fleetApply(0, "a"), soon()).value();
     BOOST_TEST(verdict.verdict_ == Verdict::Accepted);
     BOOST_TEST(two->waitForRevision(verdict.offset_, soon()));
@@ -21,9 +21,8 @@
     BOOST_TEST(two->fleetInForce()->name_ == "a");
 }
 
-// Two of five operators would each be told that their file is in force.
-// They apply at the same time through different instances, all written against revision 0.
-// Cause: an instance that decides by itself instead of by the log's order.
+// Several operators who apply a file for revision 0 at the same time through different instances
+// would all see it accepted if an instance decided by itself instead of by the order of the log.
 BOOST_AUTO_TEST_CASE(ofFiveRacingOperatorsExactlyOneIsAccepted)
 {
     FakeLog log;
@@ -51,9 +50,8 @@
     }
 }
 
-// An operator would be told "unknown" and apply again by hand, or be told the wrong verdict.
-// The log takes the record and the answer gets lost on the way back.
-// Cause: an acknowledgement lost after the write has taken effect.
+// An operator would get "unknown" or the wrong verdict when the log appends the record and the
+// acknowledgement is lost.
 BOOST_AUTO_TEST_CASE(aLostAcknowledgementEndsInTheVerdict)
 {
     FakeLog log;
@@ -64,9 +62,8 @@
     BOOST_TEST(appendVerdict(*instance, fleetApply(0, "b")) == Verdict::Rejected);
 }
 
-// A lease would change hands twice for one claim, and its holder would not know the fence.
-// The append hangs, the holder appends the claim again and gets it; then the first one lands.
-// Cause: an append that takes effect after its sender gave it up.
+// One claim would change the lease twice, with a fence that its holder does not know, when an
+// append hangs, its retry is accepted, and the first copy is appended after that.
 BOOST_AUTO_TEST_CASE(aRecordThatLandsLateAfterItsSecondCopyChangesNothing)
 {
     FakeLog log;
@@ -81,10 +78,9 @@
         [&](const Fold &fold) { BOOST_TEST(fold.lease(Pasila)->lastRecord_ == verdict.offset_); });
 }
 
-// Operators would be told "unknown" each time that an instance writes a snapshot.
-// An append is under way, its answer not there yet, when a snapshot is read in its turn.
-// Cause: every snapshot taken for a jump over records that were not seen.
-BOOST_AUTO_TEST_CASE(aSnapshotReadInItsTurnLeavesAppendsUnderWayAlone)
+// Pending appends would fail as "unknown" whenever a snapshot is written, if a snapshot at the next
+// offset were handled like one that skips records.
+BOOST_AUTO_TEST_CASE(aSnapshotAtTheNextOffsetDoesNotFailPendingAppends)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -100,17 +96,16 @@
     other.join();
 }
 
-// A caller would wait for an append that was refused, or be told "unknown" for what was not sent.
-// The log is out when the append comes, and stays out until its deadline.
-// Cause: a refusal taken for a broken connection.
-BOOST_AUTO_TEST_CASE(inAnOutageAnAppendIsNotAppendedAndSaysSo)
+// A caller would wait for an append that was refused, or get "unknown" for one that was never sent,
+// when the log is unavailable until the deadline and a refusal is handled like a broken connection.
+BOOST_AUTO_TEST_CASE(inAnOutageAppendsFailAsUnavailable)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
     log.setOutage(true);
     BOOST_TEST((appendFailure(*instance, fleetApply(0, "a"), BootClock::now() + millis(50))
                 == ErrorKind::Unavailable));
-    BOOST_TEST((appendFailure(*instance, fleetApply(0, "a"), soon(), WhenOut::Fail)
+    BOOST_TEST((appendFailure(*instance, fleetApply(0, "a"), soon(), OutagePolicy::Fail)
                 == ErrorKind::Unavailable));
     BOOST_TEST(eventually([&] { return !instance->logReachable(); }));
     log.setOutage(false);
@@ -118,7 +113,7 @@
     BOOST_TEST(log.next() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(whatMayHaveBeenAppendedByTheDeadlineIsInterrupted)
+BOOST_AUTO_TEST_CASE(anAppendThatMayHaveTakenEffectIsInterrupted)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -127,7 +122,7 @@
                 == ErrorKind::Interrupted));
 }
 
-BOOST_AUTO_TEST_CASE(anAppendOverTheRateIsSentAgain)
+BOOST_AUTO_TEST_CASE(anAppendOverTheRateLimitIsRetried)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -136,10 +131,9 @@
     BOOST_TEST(log.next() == 2U);
 }
 
-// A domain cut off from the platform would go on with a replaced configuration.
-// Its instance loses the log; a peer elsewhere has folded a later apply.
-// Cause: a partition between the failure domain and the platform.
-BOOST_AUTO_TEST_CASE(cutOffFromTheLogAnInstanceFollowsItsPeers)
+// An instance that is partitioned from the log would keep a replaced configuration although a peer
+// has folded a later apply.
+BOOST_AUTO_TEST_CASE(withoutTheLogAnInstanceFollowsItsPeers)
 {
     FakeLog log;
     FakeLog cutLog;
@@ -150,7 +144,7 @@
     const Revision first = peer->append(fleetApply(0, "a"), soon()).value().offset_;
     peers.peer_ = peer.get();
     BOOST_TEST(cut->waitForRevision(first, soon()));
-    BOOST_TEST(eventually([&] { return cut->caughtUp(); })); // Said after the whole batch.
+    BOOST_TEST(eventually([&] { return cut->caughtUp(); })); // Set after the whole batch.
     const Revision second = peer->append(fleetApply(first, "b"), soon()).value().offset_;
     cut->offer(peer->recordsFrom(second, 10));
     BOOST_TEST(cut->waitForRevision(second, soon()));
@@ -159,10 +153,9 @@
     cut->stop();
 }
 
-// Engines and callers would meet a configuration from hours ago, after the log lost its records.
-// The platform restores the log empty; its offsets start again at 1.
-// Cause: offsets that are taken for news because nobody compares them with what is folded.
-BOOST_AUTO_TEST_CASE(aLogThatWentBackIsIgnoredAndRefused)
+// An old configuration would come into force after the log was restored empty, because its offsets
+// start again at 1 and are not compared with those already folded.
+BOOST_AUTO_TEST_CASE(aLogThatLostRecordsIsIgnoredAndRefused)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -177,9 +170,10 @@
     BOOST_TEST(nextOf(*instance) == 3U);
 }
 
-// A configuration of another log is folded behind this one's. The log is restored empty, and before
-// the next read, which is held, this instance's own appends fill it past the last offset folded.
-BOOST_AUTO_TEST_CASE(appendsToALogThatWentBackEndBeforeItIsRead)
+// Records of another log would be folded after this one's: the log is restored empty, and this
+// instance's own appends fill it past the last folded offset before the next read, which is
+// blocked.
+BOOST_AUTO_TEST_CASE(appendsStopOnceOneFindsLostRecords)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -190,16 +184,15 @@
     for (int attempt = 0; attempt < 10; ++attempt) {
         appendFailure(*instance, fleetApply(2, "c"), BootClock::now() + millis(20));
     }
-    BOOST_TEST(log.next() == 2U); // One append found out, and none followed it.
+    BOOST_TEST(log.next() == 2U); // One append found the loss, and none followed.
     log.holdReads(false);
     BOOST_TEST(instance->fleet().revision_ == 2U);
     BOOST_TEST(nextOf(*instance) == 3U);
 }
 
-// An instance would fold the records of one log behind those of another and differ from all.
-// While it is cut off, the log is restored empty and others fill it past the last offset folded.
-// Cause: offsets that go on without a gap, in another log.
-BOOST_AUTO_TEST_CASE(aLogThatWasFilledAnewWhileCutOffIsIgnoredToo)
+// Records of another log would be folded after this one's: while the instance is partitioned, the
+// log is restored empty and others fill it past the last folded offset, so that no gap shows.
+BOOST_AUTO_TEST_CASE(aLogThatWasRefilledWhileUnreachableIsIgnored)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -228,7 +221,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(stoppingAnswersWhoeverWaits)
+BOOST_AUTO_TEST_CASE(stoppingFailsPendingAppends)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
--- a/libs/control/tests/foldsnapshottest.cpp
+++ b/libs/control/tests/foldsnapshottest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Writers that know an old or the present state, as late and racing ones do. */
+/** Writes random records against the current or an old state, like delayed or racing writers. */
 class RandomRecords
 {
 public:
@@ -59,10 +59,9 @@
 
 BOOST_AUTO_TEST_SUITE(Snapshots)
 
-// A replaced instance would accept what all others reject, and run another configuration.
-// It starts from a snapshot and folds on, while the others have folded every record.
-// Cause: something that a later verdict depends on missing from the snapshot.
-BOOST_AUTO_TEST_CASE(aReaderFromASnapshotComesToTheSameVerdictsAndState)
+// An instance that starts from a snapshot would accept records that the others reject, if state
+// that a later verdict depends on were missing from the snapshot.
+BOOST_AUTO_TEST_CASE(aReaderFromASnapshotGetsTheSameVerdictsAndState)
 {
     int accepted = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -88,9 +87,8 @@
     BOOST_TEST(accepted > 1'000);
 }
 
-// An instance would bring back a replaced configuration, though the log never did.
-// It reads a snapshot that was written before what it has folded itself.
-// Cause: taking a snapshot for news.
+// A replaced configuration would come back when an instance restores a snapshot that is older than
+// what it has folded.
 BOOST_AUTO_TEST_CASE(anOlderSnapshotChangesNothing)
 {
     FoldDriver fold;
@@ -119,7 +117,7 @@
 
     FoldDriver behind;
     BOOST_TEST(behind.fold_.fold({7, body}).verdict_ == Verdict::Accepted);
-    BOOST_TEST(behind.next() == 3U); // What lies between is still wanted.
+    BOOST_TEST(behind.next() == 3U); // The offsets between are still to be read.
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/control/tests/foldsupport.h
+++ b/libs/control/tests/foldsupport.h
@@ -1,4 +1,4 @@
-/** Short ways to write records, for the tests of the fold and of what runs it. */
+/** Helpers that create records for the tests of the fold and the control log. */
 #pragma once
 
 #include "almondridge/base/time.h"
@@ -63,7 +63,7 @@
     return KeyOutcomeRecord {key, RequestId(request), 201, "booked"};
 }
 
-/** Folds records one after the other, as a reader of the log from its start. */
+/** Folds records in order, like a reader that starts at the beginning of the log. */
 class FoldDriver
 {
 public:
@@ -72,7 +72,7 @@
         return fold_.fold({fold_.next(), encodeRecord(record)});
     }
     Verdict verdict(const Record &record) { return (*this)(record).verdict_; }
-    /** The offset that the next record gets. */
+    /** The offset of the next record. */
     LogOffset next() const { return fold_.next(); }
 
     Fold fold_ {Horizon};
--- a/libs/control/tests/foldtest.cpp
+++ b/libs/control/tests/foldtest.cpp
@@ -7,9 +7,8 @@
 
 BOOST_AUTO_TEST_SUITE(Folding)
 
-// Two operators apply different files at nearly the same time; one of them would find engines
-// running a mix of both. Both files name the same base; the log puts one before the other.
-// Cause: taking the later file for the newer one.
+// Engines would run a mix of two files that operators apply at the same time with the same base, if
+// the later one in the log were taken for the newer one.
 BOOST_AUTO_TEST_CASE(ofTwoRacingAppliesTheFirstInTheLogIsAccepted)
 {
     FoldDriver fold;
@@ -32,9 +31,8 @@
     BOOST_TEST(fold.fold_.fleet().revision_ == 2U);
 }
 
-// An operator would be told that their own apply lost against itself.
-// The acknowledgement is lost, the apply is appended again, and both copies are in the log.
-// Cause: judging the second copy by its base alone.
+// An operator's apply would seem to lose against itself when its acknowledgement is lost, it is
+// appended again, and the second copy is evaluated by its base alone.
 BOOST_AUTO_TEST_CASE(aSecondCopyOfAnApplyIsADuplicateThatNamesItsRevision)
 {
     FoldDriver fold;
@@ -46,9 +44,8 @@
     BOOST_TEST(fold.fold_.fleet().revision_ == 2U);
 }
 
-// A replaced configuration would come back minutes after its successor was in force.
-// An append hangs in the network, the operator applies another file, the first one lands.
-// Cause: an append that takes effect late.
+// A replaced configuration would come back when an append hangs in the network, another file is
+// applied, and the first append takes effect after that.
 BOOST_AUTO_TEST_CASE(aLateApplyOfAReplacedBaseIsRejected)
 {
     FoldDriver fold;
@@ -58,7 +55,7 @@
     BOOST_TEST(fold.fold_.fleet().fleet_->name_ == "b");
 }
 
-BOOST_AUTO_TEST_CASE(anApplyThatIsNoFleetFileIsRejectedAndUsesNoRevision)
+BOOST_AUTO_TEST_CASE(anApplyThatIsNotAFleetFileIsRejectedAndUsesNoRevision)
 {
     FoldDriver fold;
     BOOST_TEST(fold.verdict(ApplyRecord {0, "{", "op", "x"}) == Verdict::Rejected);
@@ -81,9 +78,8 @@
                == Verdict::Rejected);
 }
 
-// Two instances would both believe that they hold the lease and may order engines.
-// The holder's renewal hangs in the network, it releases the lease, and the renewal lands.
-// Cause: a renewal that revives a lease whose holder no longer counts on it.
+// Two instances would hold the lease when a holder's renewal hangs in the network, the holder
+// releases the lease, and the renewal is appended after the release.
 BOOST_AUTO_TEST_CASE(aLateRenewalDoesNotReviveAReleasedLease)
 {
     FoldDriver fold;
@@ -95,10 +91,9 @@
     BOOST_TEST(fold.verdict(leaseClaim("i2", 2)) == Verdict::Accepted);
 }
 
-// An engine would get orders from two holders at once.
-// The holder is paused, its lease lapses and another instance claims it; the first one wakes and
-// writes the intent it had in hand. Cause: authority that was lost while nobody ran.
-BOOST_AUTO_TEST_CASE(aLapsedHoldersIntentIsRejected)
+// An engine would get orders from two holders when a holder is paused, its lease expires and is
+// claimed by another instance, and the first one resumes and appends its intent.
+BOOST_AUTO_TEST_CASE(anIntentOfAnExpiredHolderIsRejected)
 {
     FoldDriver fold;
     fold(leaseClaim("i1", 0));
@@ -108,9 +103,8 @@
     BOOST_TEST(fold.verdict(intent(2, 1)) == Verdict::Accepted);
 }
 
-// An engine would get a second order while the first may still be under way.
-// A holder dies after writing an intent; its successor starts with an order of its own.
-// Cause: an order whose outcome nobody knows.
+// An engine would get a second order while the first may be in progress, when a holder dies after
+// its intent and the successor starts with an order of its own.
 BOOST_AUTO_TEST_CASE(aSuccessorClosesTheInheritedIntentBeforeItsOwn)
 {
     FoldDriver fold;
@@ -124,9 +118,8 @@
     BOOST_TEST(fold.verdict(intent(3, 3)) == Verdict::Accepted);
 }
 
-// An engine would stay unused, held by an intent that nobody works on.
-// An intent is rejected because another is open; its holder hears so and closes the other one;
-// then the copy of the first lands. Cause: a verdict that a second copy could change.
+// An engine would be blocked by an intent that no instance works on: an intent is rejected because
+// another is open, that one is closed, and then a retried copy of the first is appended.
 BOOST_AUTO_TEST_CASE(aRejectedIntentsLateCopyIsRejectedToo)
 {
     FoldDriver fold;
@@ -138,9 +131,8 @@
     BOOST_TEST(fold.verdict(intent(1, 3)) == Verdict::Accepted);
 }
 
-// An engine would get orders from the holders of two failure domains at once.
-// A file moves it to another domain while the old domain's order is under way; the new holder
-// closes that intent and writes its own. Cause: a holder that cannot know what another sends.
+// An engine would get orders from the holders of two failure domains, when a file moves it while an
+// order of its old domain is in progress and the new holder closes that intent.
 BOOST_AUTO_TEST_CASE(anIntentIsClosedByItsOwnDomainOnly)
 {
     FoldDriver fold;
@@ -169,9 +161,8 @@
     BOOST_TEST(fold.fold_.lastDone(EngineOne) == nullptr);
 }
 
-// A coordinator would pay two interpreters. The caller repeats a confirmation through another
-// instance while the first try is under way; both claim the key at nearly the same time.
-// Cause: two claims that each found the key free when they were written.
+// A confirmation would be sent twice when the caller repeats it through another instance and both
+// instances find the key free before either claim is in the log.
 BOOST_AUTO_TEST_CASE(ofTwoClaimsOfAKeyExactlyOneIsAccepted)
 {
     FoldDriver fold;
@@ -184,9 +175,8 @@
     BOOST_TEST(fold.fold_.claim("k")->body_ == "booked");
 }
 
-// A confirmation would go out a second time, an hour after the first.
-// A claim is appended and lands after the key's first claim was forgotten.
-// Cause: no claim in the fold taken for no claim ever.
+// A confirmation would be sent twice when a delayed claim is appended after the key's first claim
+// was dropped, and a missing claim is taken for a key that was never claimed.
 BOOST_AUTO_TEST_CASE(aClaimOlderThanTheHorizonIsRejected)
 {
     FoldDriver fold;
@@ -199,14 +189,13 @@
     BOOST_TEST(fold.verdict(keyClaim("k", "r5", 101)) == Verdict::Accepted);
 }
 
-// A confirmation would go out twice within the horizon.
-// A key is claimed, forgotten and claimed again; then the turn of its first claim comes to be
-// dropped. Cause: forgetting by key what has been claimed anew.
-BOOST_AUTO_TEST_CASE(aKeyClaimedAnewIsNotForgottenWithItsOldClaim)
+// A confirmation would be sent twice within the horizon when a key is claimed, dropped and claimed
+// again, and dropping the first claim by its key removes the new one too.
+BOOST_AUTO_TEST_CASE(aKeyClaimedAgainIsNotDroppedWithItsOldClaim)
 {
     FoldDriver fold;
     fold(keyClaim("first", "r1", 500));
-    fold(keyClaim("k", "r2", 100)); // An instance whose clock is a little behind.
+    fold(keyClaim("k", "r2", 100)); // From an instance whose clock is slightly behind.
     fold(keyClaim("other", "r3", 200 + Horizon));
     BOOST_TEST(fold.verdict(keyClaim("k", "r4", 200 + Horizon)) == Verdict::Accepted);
     fold(keyClaim("last", "r5", 501 + Horizon));
--- a/libs/control/tests/keyclaimstest.cpp
+++ b/libs/control/tests/keyclaimstest.cpp
@@ -41,9 +41,8 @@
 
 BOOST_AUTO_TEST_SUITE(KeyClaims)
 
-// A coordinator would pay two interpreters. The caller hears nothing and repeats the confirmation
-// through other instances while the first one runs.
-// Cause: two instances that each believe they are first.
+// A confirmation would be sent twice when the caller repeats it through other instances while the
+// first request still runs.
 BOOST_AUTO_TEST_CASE(ofRacingClaimsThroughSeveralInstancesOneRuns)
 {
     FakeLog log;
@@ -74,7 +73,7 @@
 {
     FakeLog log;
     Entry one(log);
-    Entry two(log, 600'000); // Reads on only when it has a reason to.
+    Entry two(log, 600'000); // Does not read again unless an append is pending.
     BOOST_TEST(one.claim("k", "r1").status_ == KeyClaimStatus::Claimed);
     one.claims_.finish("k", RequestId("r1"), 201, "booked");
     BOOST_TEST(one.log_->flush(soon()));
@@ -84,7 +83,7 @@
     BOOST_TEST(two.claim("k", "r2").body_ == "booked");
 }
 
-BOOST_AUTO_TEST_CASE(anOutcomeTooLongToKeepIsUnknown)
+BOOST_AUTO_TEST_CASE(anOutcomeTooLongToStoreIsUnknown)
 {
     FakeLog log;
     Entry entry(log);
@@ -94,9 +93,8 @@
     BOOST_TEST(entry.claim("k", "r2").status_ == KeyClaimStatus::Unknown);
 }
 
-// A caller would be told that its confirmation was not run, send it under a new key, and have it
-// go out twice. The claim may be in the log when the answer of the append is lost.
-// Cause: an acknowledgement lost for longer than the caller waits.
+// A confirmation would be sent twice if the caller got "not run" and sent it with a new key,
+// although the claim may be in the log and only its acknowledgement was lost.
 BOOST_AUTO_TEST_CASE(aClaimThatMayBeInTheLogIsUnknown)
 {
     FakeLog log;
@@ -107,7 +105,7 @@
     BOOST_TEST(answer.status_ == KeyClaimStatus::Unknown);
 }
 
-BOOST_AUTO_TEST_CASE(withTheLogOutAClaimIsRefusedAndAFoldedOneStillAnswers)
+BOOST_AUTO_TEST_CASE(withoutTheLogAClaimIsRefusedAndAFoldedOneIsStillReturned)
 {
     FakeLog log;
     Entry entry(log);
@@ -119,7 +117,7 @@
     BOOST_TEST(eventually([&] { return !entry.log_->logReachable(); }));
     const int tried = log.outageAppends();
     BOOST_TEST(entry.claim("new", "r2").status_ == KeyClaimStatus::LogOut);
-    BOOST_TEST(log.outageAppends() == tried); // Refused at once, not after a try.
+    BOOST_TEST(log.outageAppends() == tried); // Refused without an append call.
     BOOST_TEST(entry.claim("done", "r3").status_ == KeyClaimStatus::Finished);
     BOOST_TEST(entry.claims_.lookUp("done", soon()).status_ == KeyClaimStatus::Finished);
     BOOST_TEST(entry.claims_.lookUp("new", soon()).status_ == KeyClaimStatus::Unknown);
--- a/libs/control/tests/leaseguardtest.cpp
+++ b/libs/control/tests/leaseguardtest.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** Two connected sockets: the order's end and the engine's end. */
+/** Two connected sockets: the sender's and the engine's. */
 struct SocketPair
 {
     SocketPair() { ::socketpair(AF_UNIX, SOCK_STREAM, 0, ends_.data()); }
@@ -23,13 +23,13 @@
         ::close(ends_[1]);
     }
     bool send() const { return ::send(ends_[0], "order", 5, MSG_NOSIGNAL) == 5; }
-    /** Bytes that arrived; 0 at the end of the connection. */
+    /** Reads the received bytes; returns 0 at the end of the connection. */
     ssize_t receive() const
     {
         std::array<char, 16> bytes {};
         return ::recv(ends_[1], bytes.data(), bytes.size(), MSG_DONTWAIT);
     }
-    /** Waits until this end was shut down. */
+    /** Waits until the sender's socket was shut down. */
     bool waitForCut() const
     {
         pollfd entry {ends_[0], POLLRDHUP, 0};
@@ -49,19 +49,18 @@
 
 BOOST_AUTO_TEST_SUITE(Guard)
 
-// An engine would change its role by the word of a holder that lost its lease.
-// The holder checks its lease, is paused past the end of it, and wakes in front of the send.
-// Cause: no check stands close enough before the send; only the kernel comes before it.
-BOOST_AUTO_TEST_CASE(nothingIsSentOnceTheLeaseLapsedBetweenCheckAndSend)
+// An engine would accept an order of an expired lease when the holder checks its lease, is paused
+// past the expiry, and resumes right before the send.
+BOOST_AUTO_TEST_CASE(nothingIsSentWhenTheLeaseExpiresBetweenCheckAndSend)
 {
     const SocketPair sockets;
     const GuardedSocket guarded(guard(), sockets.ends_[0], BootClock::now() + millis(20));
-    BOOST_REQUIRE(sockets.waitForCut()); // The pause.
+    BOOST_REQUIRE(sockets.waitForCut()); // Stands for the pause.
     BOOST_TEST(!sockets.send());
     BOOST_TEST(sockets.receive() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aDeadlineInThePastCutsAtOnce)
+BOOST_AUTO_TEST_CASE(aDeadlineInThePastShutsTheSocketDownAtOnce)
 {
     for (const TimePoint deadline : {TimePoint(), BootClock::now() - millis(1)}) {
         const SocketPair sockets;
@@ -84,10 +83,9 @@
     BOOST_TEST(unguarded.receive() == 5);
 }
 
-// A paused holder would send although it has the guard.
-// The thread was started by one that blocks all signals, as a thread that waits for SIGTERM does.
-// Cause: a blocked signal stays pending and its handler never runs.
-BOOST_AUTO_TEST_CASE(aThreadThatInheritsABlockedSignalIsGuardedAllTheSame)
+// The guard would not work in a thread started by one that blocks all signals, for example to wait
+// for SIGTERM: a blocked signal stays pending and its handler never runs.
+BOOST_AUTO_TEST_CASE(aThreadThatInheritsABlockedSignalIsGuarded)
 {
     sigset_t all;
     sigset_t before;
--- a/libs/control/tests/leasekeepertest.cpp
+++ b/libs/control/tests/leasekeepertest.cpp
@@ -27,7 +27,7 @@
     return {Domain, InstanceId(holder), fence, last, Term, released};
 }
 
-/** Claims the free lease at a point and hears of its acceptance at another. */
+/** Claims the free lease at one time and receives its acceptance at another. */
 void claim(LeaseKeeper &keeper, const LeaseState *inForce, TimePoint appended, Fence fence,
            TimePoint heard)
 {
@@ -41,17 +41,17 @@
 
 BOOST_AUTO_TEST_SUITE(Lease)
 
-BOOST_AUTO_TEST_CASE(aHolderCountsFromBeforeItsAppend)
+BOOST_AUTO_TEST_CASE(aHolderMeasuresTheTermFromBeforeItsAppend)
 {
     LeaseKeeper one = keeper("one");
     claim(one, nullptr, at(0), 7, at(900));
     BOOST_TEST(one.heldFence(at(Term - 1)).value() == 7U);
     BOOST_TEST(!one.heldFence(at(Term)));
     BOOST_TEST((one.orderDeadline() == at(Term)));
-    BOOST_TEST((one.firstOrderToIgnoring() == TimePoint()));
+    BOOST_TEST((one.firstUnfencedOrder() == TimePoint()));
 }
 
-BOOST_AUTO_TEST_CASE(othersCountFromTheReadAndTheMargin)
+BOOST_AUTO_TEST_CASE(othersMeasureTheTermFromTheReadPlusTheMargin)
 {
     LeaseKeeper two = keeper("two");
     two.setBackoff(millis(50));
@@ -61,7 +61,7 @@
     BOOST_TEST((two.next(&held, at(900), record) == LeaseStep::Wait));
     BOOST_TEST((two.next(&held, at(expired + 49), record) == LeaseStep::Wait));
     claim(two, &held, at(expired + 50), 9, at(expired + 60));
-    BOOST_TEST((two.firstOrderToIgnoring() == at(expired + OrderNetworkBoundMillis + Margin)));
+    BOOST_TEST((two.firstUnfencedOrder() == at(expired + OrderNetworkBoundMillis + Margin)));
 }
 
 BOOST_AUTO_TEST_CASE(aHolderRenewsAtAThirdOfTheTerm)
@@ -79,10 +79,9 @@
     BOOST_TEST((one.orderDeadline() == at(Term / 3 + Term)));
 }
 
-// An engine would get orders from a holder that slept, next to those of its successor.
-// The holder appends a renewal, is paused past its lease, and wakes to hear that it was accepted.
-// Cause: taking the lease up again, instead of going through a claim.
-BOOST_AUTO_TEST_CASE(aHolderThatWasPausedPastItsLeaseMustClaimAnew)
+// An engine would get orders from two holders when a holder appends a renewal, is paused past its
+// lease, and on resuming reads that the renewal was accepted.
+BOOST_AUTO_TEST_CASE(aHolderThatWasPausedPastItsLeaseMustClaimAgain)
 {
     LeaseKeeper one = keeper("one");
     claim(one, nullptr, at(0), 7, at(10));
@@ -96,7 +95,7 @@
     held.lastRecord_ = 8;
     BOOST_TEST((one.next(&held, at(Term), record) == LeaseStep::Wait));
     claim(one, &held, at(Term + Term + Margin), 9, at(Term + Term + Margin));
-    BOOST_TEST((one.firstOrderToIgnoring() > one.orderDeadline() - millis(Term)));
+    BOOST_TEST((one.firstUnfencedOrder() > one.orderDeadline() - millis(Term)));
 }
 
 BOOST_AUTO_TEST_CASE(aVerdictThatComesAfterTheTermBringsNoLease)
@@ -106,10 +105,9 @@
     BOOST_TEST(!one.heldFence(at(Term)));
 }
 
-// Two holders at once: a claim of this name is in the log, but this process did not write it.
-// A paused process of the same name, which this one replaced, wrote it and may wake.
-// Cause: telling one's own claim by its name instead of by its append.
-BOOST_AUTO_TEST_CASE(aClaimOfTheSameNameWithoutAVerdictIsAnothers)
+// Two processes would hold the lease if a process recognised its claim by the instance id: a paused
+// process with the same id, which this one replaced, wrote the claim and may resume.
+BOOST_AUTO_TEST_CASE(aClaimWithTheSameInstanceIdButNoVerdictIsNotOwn)
 {
     LeaseKeeper one = keeper("one");
     Record record;
@@ -131,9 +129,8 @@
     BOOST_TEST(!one.heldFence(at(20)));
 }
 
-// An engine that ignores fences would take a late order of a holder two leases back.
-// It lapsed; its successor stops in good order at once and releases; the next need not wait.
-// Cause: releasing before the orders of the holder before can no longer arrive.
+// An engine that ignores fences would accept a delayed order of an expired holder, if that holder's
+// successor released the lease at once and the next holder did not wait.
 BOOST_AUTO_TEST_CASE(aLeaseIsReleasedOnlyOnceNoEarlierOrderCanArrive)
 {
     LeaseKeeper two = keeper("two");
@@ -151,10 +148,10 @@
     LeaseKeeper three = keeper("three");
     const LeaseState released = leaseOf("two", 9, 10, true);
     claim(three, &released, free, 11, free);
-    BOOST_TEST((three.firstOrderToIgnoring() == TimePoint()));
+    BOOST_TEST((three.firstUnfencedOrder() == TimePoint()));
 }
 
-BOOST_AUTO_TEST_CASE(aReaderThatKnowsNothingClaimsNothing)
+BOOST_AUTO_TEST_CASE(aReaderWithoutStateClaimsNothing)
 {
     LeaseKeeper one = keeper("one");
     Record record;
@@ -163,14 +160,14 @@
 
 namespace {
 
-/** One instance in the schedule below: its own clock, its own reading of the log, pauses. */
+/** An instance in the random schedules: it has its own clock, log position and pauses. */
 struct Candidate
 {
     struct Append
     {
         std::string body_;
         std::int64_t lands_ = 0;
-        LogOffset offset_ = 0; ///< Once landed.
+        LogOffset offset_ = 0; ///< Its offset, once appended.
         bool lost_ = false;    ///< Its verdict is never heard.
     };
 
@@ -179,7 +176,7 @@
     LeaseKeeper keeper_;
     Fold fold_ {1'000};
     std::int64_t offset_ = 0;
-    std::int64_t drift_ = 0; ///< Thousandths.
+    std::int64_t drift_ = 0; ///< Clock drift in thousandths.
     std::int64_t pausedUntil_ = 0;
     std::int64_t lastHeld_ = -1'000'000;
     std::vector<Append> appends_ {};
@@ -200,7 +197,7 @@
 
     void run(int steps)
     {
-        log_.push_back("{}"); // Somebody's record: an empty log is not known to be empty.
+        log_.push_back("{}"); // A foreign record: a reader of an empty log has no state.
         for (int step = 0; step < steps; ++step) {
             time_ += draw(150);
             land();
@@ -259,7 +256,7 @@
         candidate.keeper_.onAppending(record, now);
         const std::int64_t delay = draw(8) == 0 ? draw(2 * Term) : draw(300);
         for (Candidate::Append &earlier : candidate.appends_) {
-            earlier.lost_ = true; // The wait for its verdict was given up.
+            earlier.lost_ = true; // The wait for its verdict timed out.
         }
         candidate.appends_.push_back({encodeRecord(record), time_ + delay, 0, draw(6) == 0});
     }
@@ -287,7 +284,7 @@
             changes_ += holder_ != index ? 1 : 0;
             holder_ = index;
             BOOST_REQUIRE(other.lastHeld_ < time_);
-            if (now >= self.keeper_.firstOrderToIgnoring() && !releasedTo(index)) {
+            if (now >= self.keeper_.firstUnfencedOrder() && !releasedTo(index)) {
                 BOOST_REQUIRE(other.lastHeld_ + OrderNetworkBoundMillis < time_);
             }
             self.lastHeld_ = time_;
@@ -296,7 +293,7 @@
 
     bool releasedTo(std::size_t index) const
     {
-        return candidates_[index].keeper_.firstOrderToIgnoring() == TimePoint();
+        return candidates_[index].keeper_.firstUnfencedOrder() == TimePoint();
     }
 
     std::mt19937_64 random_;
@@ -308,10 +305,9 @@
 
 } // namespace
 
-// An engine would get orders from two holders at once.
-// Two instances with clocks that drift by up to 1 % claim, renew, release, are paused, lose
-// verdicts, and have appends land late and twice, in 400 random schedules.
-// Cause: any way of counting the lease by which two intervals overlap.
+// An engine would get orders from two holders if their terms overlapped. Runs 400 random schedules
+// in which two instances with clocks that drift by up to 1 % claim, renew, release, are paused and
+// lose verdicts, and appends take effect late or twice.
 BOOST_AUTO_TEST_CASE(twoInstancesNeverHoldTheLeaseAtOnce)
 {
     int holds = 0;
--- a/libs/control/tests/logsupport.h
+++ b/libs/control/tests/logsupport.h
@@ -1,4 +1,4 @@
-/** Instances on one log in memory, for the tests of what runs the fold. */
+/** Instances that share an in-memory log, for the tests of the control log. */
 #pragma once
 
 #include "../../store/tests/fakelog.h"
@@ -11,7 +11,7 @@
 
 namespace almondridge::control {
 
-/** Peers that hold what a test gives them. */
+/** A record source with the records set by a test. */
 class FakePeers : public RecordSource
 {
 public:
@@ -38,7 +38,7 @@
     return log;
 }
 
-/** Waits until condition holds; false when it did not in half a minute. */
+/** Waits until condition is true; returns false after 30 s. */
 template <typename Condition>
 bool eventually(Condition &&condition)
 {
@@ -65,11 +65,11 @@
     return log.append(record, soon()).value().verdict_;
 }
 
-/** The kind of the append's failure; Internal when it did not fail. */
+/** The kind of the append's error; Internal when it succeeded. */
 inline ErrorKind appendFailure(ControlLog &log, const Record &record, TimePoint deadline,
-                               WhenOut whenOut = WhenOut::Retry)
+                               OutagePolicy outagePolicy = OutagePolicy::Retry)
 {
-    const auto captured = capture([&] { return log.append(record, deadline, whenOut); });
+    const auto captured = capture([&] { return log.append(record, deadline, outagePolicy); });
     const Error *error = std::get_if<Error>(&captured);
     return error == nullptr ? ErrorKind::Internal : error->kind_;
 }
--- a/libs/control/tests/ordergatetest.cpp
+++ b/libs/control/tests/ordergatetest.cpp
@@ -22,7 +22,7 @@
     return BootClock::now() + millis(20'000);
 }
 
-/** An engine that gives the same answer to everything. */
+/** An engine that sends the same response to every request. */
 struct OneAnswer
 {
     OneAnswer()
@@ -46,7 +46,7 @@
         return capture([&] { return orders_->send(engine_, Order, sendUntil, later()); });
     }
 
-    /** Set between two calls. */
+    /** Only set between two calls. */
     std::atomic<int> status_ = 200;
     std::string answer_ = State;
     std::atomic<int> requests_ = 0;
@@ -61,7 +61,7 @@
 
 BOOST_AUTO_TEST_SUITE(Orders)
 
-BOOST_AUTO_TEST_CASE(anOrderAndAStateGoOverTheWireAsTheProtocolSays)
+BOOST_AUTO_TEST_CASE(ordersAndStatesFollowTheWireProtocol)
 {
     OneAnswer engine;
     const auto answer = engine.send(later());
@@ -81,7 +81,7 @@
     BOOST_TEST(engine.path_ == "/engine/state");
 }
 
-BOOST_AUTO_TEST_CASE(anAnswerTellsWhetherTheOrderWasTaken)
+BOOST_AUTO_TEST_CASE(theResponseShowsWhetherTheOrderWasAccepted)
 {
     struct Case
     {
@@ -103,10 +103,9 @@
     }
 }
 
-// An engine would take an order of a lease that has lapsed.
-// The order is made ready under the lease, and its turn comes after the end of it.
-// Cause: looking at the lease when the order is made ready, not when it is sent.
-BOOST_AUTO_TEST_CASE(nothingReachesTheEngineOnceTheLeaseHasLapsed)
+// An engine would accept an order of an expired lease if the lease were checked when the order is
+// prepared, not when it is sent.
+BOOST_AUTO_TEST_CASE(nothingReachesTheEngineOnceTheLeaseHasExpired)
 {
     OneAnswer engine;
     const auto answer = engine.send(BootClock::now() - millis(1));
@@ -115,10 +114,9 @@
     BOOST_TEST(engine.requests_ == 0);
 }
 
-// The holder would wait for an answer under a lease that is no longer its own.
-// The engine has the order and does not answer; the lease lapses meanwhile.
-// Cause: a connection that outlives the lease it was opened under.
-BOOST_AUTO_TEST_CASE(anOrderWithoutAnswerIsCutWhenTheLeaseLapses)
+// The holder would wait for a response under a lease that it no longer holds, when the engine does
+// not answer and the connection outlives the lease.
+BOOST_AUTO_TEST_CASE(anUnansweredOrderIsShutDownWhenTheLeaseExpires)
 {
     net::HttpServer silent = net::HttpServer::Builder()
                                  .workers(2)
--- a/libs/control/tests/orderplantest.cpp
+++ b/libs/control/tests/orderplantest.cpp
@@ -19,7 +19,7 @@
     return EndpointId("e" + std::to_string(number));
 }
 
-/** A domain with engines that are as the file wants them, and its plan under a lease. */
+/** A domain with engines in their target state, and its plan with a held lease. */
 struct Bench
 {
     explicit Bench(int engines, Fencing fencing = Fencing::Checks)
@@ -36,10 +36,13 @@
                 {ModelId("m"), "1", {}, EngineRole::Mixed, true}, EnginePhase::Ready, 0, Theirs, 1};
         }
         apply();
-        hold(TimePoint());
+        onLeaseAcquired(TimePoint());
     }
     void apply() { plan_.setFleet(std::make_shared<const fleet::Fleet>(fleet_), now_); }
-    void hold(TimePoint firstOrderToIgnoring) { plan_.hold(Mine, firstOrderToIgnoring, now_); }
+    void onLeaseAcquired(TimePoint firstUnfencedOrder)
+    {
+        plan_.onLeaseAcquired(Mine, firstUnfencedOrder, now_);
+    }
     void wantRole(int number, EngineRole role)
     {
         roles_[engineId(number)] = role;
@@ -47,7 +50,7 @@
     }
     EngineState &engine(int number) { return engines_[engineId(number)]; }
 
-    /** Reads the engine and steps; announcements are made and noted, up to another step. */
+    /** Reads the engine and computes steps; records announcements until another step follows. */
     EngineStep step(int number)
     {
         for (;;) {
@@ -65,14 +68,14 @@
         const auto open = open_.find(engineId(number));
         return plan_.step(engineId(number), open == open_.end() ? nullptr : &open->second, now_);
     }
-    /** Carries out an order step as far as the answer; the engine takes it when taken is set. */
-    void order(int number, const EngineStep &step, SendResult result, bool taken)
+    /** Executes an order step with the given result; the engine accepts it if taken is true. */
+    void order(int number, const EngineStep &step, SendResult result, bool accepted)
     {
         BOOST_REQUIRE(step.kind_ == StepKind::Order);
         place(number, Mine, step.target_);
         plan_.onSending(engineId(number));
         plan_.onSent(engineId(number), result, now_);
-        if (taken) {
+        if (accepted) {
             engine(number).target_ = step.target_;
             engine(number).fence_ = Mine;
         }
@@ -81,22 +84,22 @@
     {
         open_[engineId(number)] = {++offset_, {Domain, fence, offset_, engineId(number), target}};
     }
-    /** Expects the step to settle the open intent so, and does it. */
-    void settle(int number, OrderOutcome outcome)
+    /** Expects a step that closes the open intent with this outcome, and executes it. */
+    void closeIntent(int number, OrderOutcome outcome)
     {
-        const EngineStep settling = step(number);
-        BOOST_REQUIRE(settling.kind_ == StepKind::Settle);
-        BOOST_TEST((settling.outcome_ == outcome));
-        plan_.onSettled(engineId(number), settling.outcome_, now_);
+        const EngineStep closing = step(number);
+        BOOST_REQUIRE(closing.kind_ == StepKind::CloseIntent);
+        BOOST_TEST((closing.outcome_ == outcome));
+        plan_.onIntentClosed(engineId(number), closing.outcome_, now_);
         open_.erase(engineId(number));
     }
-    /** Orders the drain that a change begins with. */
+    /** Orders the drain at the start of a change. */
     void drain(int number)
     {
         const EngineStep step = this->step(number);
         BOOST_REQUIRE(!step.target_.admit_);
         order(number, step, SendResult::Answered, true);
-        settle(number, OrderOutcome::Done);
+        closeIntent(number, OrderOutcome::Done);
     }
     bool waits(int number) { return step(number).kind_ == StepKind::Wait; }
 
@@ -114,9 +117,8 @@
 
 BOOST_AUTO_TEST_SUITE(Plan)
 
-// A booking request would be cut, because an engine changes its role under it.
-// A long request runs when the change is planned; the drain takes as long as the request.
-// Cause: a deadline that ends the wait, or a change before the engine refuses new work.
+// A running request would be aborted by a planned change if the drain had a deadline, or if the
+// change were ordered before the engine rejects new requests.
 BOOST_AUTO_TEST_CASE(aChangeWaitsForALongRequestHoweverLongItTakes)
 {
     Bench bench(1);
@@ -134,9 +136,9 @@
     bench.engine(1).phase_ = EnginePhase::Changing;
     BOOST_TEST(bench.waits(1));
     bench.engine(1).phase_ = EnginePhase::Ready;
-    bench.settle(1, OrderOutcome::Done);
+    bench.closeIntent(1, OrderOutcome::Done);
     BOOST_TEST(bench.waits(1));
-    BOOST_TEST((bench.plan_.takeNews().at(engineId(1)) == Availability::Open));
+    BOOST_TEST((bench.plan_.takePendingAnnouncements().at(engineId(1)) == Availability::Open));
 }
 
 BOOST_AUTO_TEST_CASE(noMoreEnginesAreAwayAtOnceThanThePolicyAllows)
@@ -149,20 +151,19 @@
     BOOST_TEST(bench.waits(2));
     bench.order(1, bench.step(1), SendResult::Answered, true);
     BOOST_TEST(bench.waits(2));
-    bench.settle(1, OrderOutcome::Done);
+    bench.closeIntent(1, OrderOutcome::Done);
     BOOST_TEST(bench.waits(1));
     bench.drain(2);
 }
 
-// A domain would lose two engines at a time although its policy allows one.
-// The holder dies while it has one engine away; its successor plans the change of another.
-// Cause: counting only the engines that one has sent away oneself.
+// Two engines would be away although the policy allows one, when a holder dies with one engine away
+// and its successor counts only the engines that it drained itself.
 BOOST_AUTO_TEST_CASE(aSuccessorCountsTheEnginesThatItFindsAway)
 {
     Bench bench(2);
     bench.wantRole(1, EngineRole::Decode);
     bench.engine(2).phase_ = EnginePhase::Changing;
-    BOOST_TEST(bench.waits(1)); // The other was not looked at yet.
+    BOOST_TEST(bench.waits(1)); // The other engine was not read yet.
     BOOST_TEST(bench.waits(2));
     BOOST_TEST(bench.waits(1));
     bench.engine(2).phase_ = EnginePhase::Ready;
@@ -170,19 +171,18 @@
     bench.drain(1);
 }
 
-// An engine would stand idle although nothing is under way at it.
-// A holder announced its drain and died; the successor has another engine to change first.
-// Cause: a successor that announces only what it works on.
+// An engine would stay unused when a holder announced its drain and died, and the successor
+// announces only the engine that it changes first.
 BOOST_AUTO_TEST_CASE(anEngineThatWaitsForItsTurnIsAnnouncedAsOpen)
 {
     Bench bench(2);
     bench.wantRole(1, EngineRole::Decode);
     bench.engine(2).phase_ = EnginePhase::Changing;
     BOOST_TEST((bench.waits(2) && bench.waits(1)));
-    BOOST_TEST((bench.plan_.takeNews().at(engineId(1)) == Availability::Open));
+    BOOST_TEST((bench.plan_.takePendingAnnouncements().at(engineId(1)) == Availability::Open));
 }
 
-BOOST_AUTO_TEST_CASE(aBrokenEngineKeepsNoOtherFromBeingChanged)
+BOOST_AUTO_TEST_CASE(aBrokenEngineDoesNotBlockChangesOfOthers)
 {
     Bench bench(2);
     bench.wantRole(1, EngineRole::Decode);
@@ -195,9 +195,8 @@
     bench.drain(2);
 }
 
-// A caller would wait on an engine that has no model.
-// The engine crashes in the middle of a change and comes back in an unclear state.
-// Cause: taking an accepted order for a done one.
+// Requests would go to an engine without a model when it crashes during a change and an accepted
+// order is taken for a completed one.
 BOOST_AUTO_TEST_CASE(anEngineThatCrashedInAChangeGetsNoRequestsUntilItsStateIsKnown)
 {
     Bench bench(1);
@@ -207,29 +206,28 @@
     bench.plan_.onUnreadable(engineId(1), bench.now_);
     BOOST_TEST((bench.stepUnread(1).availability_ == Availability::Unclear));
     bench.engine(1).phase_ = EnginePhase::Unclear;
-    bench.settle(1, OrderOutcome::Unclear);
+    bench.closeIntent(1, OrderOutcome::Unclear);
     BOOST_TEST((bench.announced_.back() == Availability::Unclear));
     bench.now_ += millis(1'000);
-    BOOST_REQUIRE((bench.step(1).kind_ == StepKind::AskWeights));
-    bench.plan_.onWeights({}, bench.now_);
+    BOOST_REQUIRE((bench.step(1).kind_ == StepKind::ReadStoreStatus));
+    bench.plan_.onStoreStatus({}, bench.now_);
     const EngineStep known = bench.step(1);
     BOOST_TEST((known.target_.role_ == EngineRole::Decode));
     bench.order(1, known, SendResult::Answered, true);
     BOOST_TEST((bench.plan_.withheld().at(engineId(1)) == Availability::Unclear));
     bench.engine(1).phase_ = EnginePhase::Ready;
-    bench.settle(1, OrderOutcome::Done);
+    bench.closeIntent(1, OrderOutcome::Done);
     BOOST_TEST(bench.waits(1));
     BOOST_TEST(bench.plan_.withheld().empty());
 }
 
-// An engine would get two orders that differ, the older one last.
-// A holder is paused right after it sent; its successor reads the state before the order arrives.
-// Cause: taking a state for final while the order of the holder before is on its way.
-BOOST_AUTO_TEST_CASE(aSuccessorWaitsOutAnOrderThatIsOutstanding)
+// An engine would get the older of two orders last, when a holder is paused right after a send and
+// its successor reads the state before that order arrives.
+BOOST_AUTO_TEST_CASE(aSuccessorWaitsForAnOutstandingOrder)
 {
     Bench bench(1);
     const TimePoint arrivedBy = bench.now_ + millis(5'000);
-    bench.hold(arrivedBy);
+    bench.onLeaseAcquired(arrivedBy);
     EngineTarget ordered = bench.engine(1).target_;
     ordered.role_ = EngineRole::Prefill;
     bench.place(1, Theirs, ordered);
@@ -238,22 +236,22 @@
     bench.now_ = arrivedBy - millis(1);
     BOOST_TEST(bench.waits(1));
     bench.now_ = arrivedBy;
-    bench.settle(1, OrderOutcome::Refused);
+    bench.closeIntent(1, OrderOutcome::Refused);
 }
 
-BOOST_AUTO_TEST_CASE(aSuccessorSettlesAtOnceWhatTheEngineHasDone)
+BOOST_AUTO_TEST_CASE(aSuccessorClosesAnIntentAtOnceWhenTheOrderIsDone)
 {
     Bench bench(1);
-    bench.hold(bench.now_ + millis(5'000));
+    bench.onLeaseAcquired(bench.now_ + millis(5'000));
     bench.place(1, Theirs, bench.engine(1).target_);
-    bench.settle(1, OrderOutcome::Done);
+    bench.closeIntent(1, OrderOutcome::Done);
 }
 
 BOOST_AUTO_TEST_CASE(anEngineThatIgnoresFencesGetsNoOrderBeforeTheOldOnesHaveArrived)
 {
     for (const Fencing fencing : {Fencing::Checks, Fencing::Ignores}) {
         Bench bench(1, fencing);
-        bench.hold(bench.now_ + millis(5'000));
+        bench.onLeaseAcquired(bench.now_ + millis(5'000));
         bench.wantRole(1, EngineRole::Decode);
         const bool waits = bench.waits(1);
         BOOST_TEST(waits == (fencing == Fencing::Ignores));
@@ -263,35 +261,32 @@
     }
 }
 
-// A request would be cut: the engine, found drained, admits again just before it is changed.
-// The holder before had drained it, then ordered it to admit, and that order arrives late.
-// Cause: relying on a drain that an older order can undo.
-BOOST_AUTO_TEST_CASE(aDrainOfTheHolderBeforeIsOrderedAnewUnderTheOwnFence)
+// A request would be aborted when the previous holder drained the engine and then ordered it to
+// admit again, and that delayed order arrives just before the change.
+BOOST_AUTO_TEST_CASE(aDrainOfThePreviousHolderIsOrderedAgain)
 {
     Bench bench(1);
-    bench.hold(bench.now_ + millis(5'000));
+    bench.onLeaseAcquired(bench.now_ + millis(5'000));
     bench.wantRole(1, EngineRole::Decode);
     bench.engine(1).target_.admit_ = false;
     bench.drain(1);
     BOOST_TEST((bench.step(1).target_.role_ == EngineRole::Decode));
 }
 
-// An order would be sent twice, or never.
-// The acknowledgement of an intent is lost; the intent shows up in the log, its order unsent.
-// Cause: taking an intent in the log for an order on its way.
+// An order would be sent twice or never when an intent's acknowledgement is lost: the intent
+// appears in the log, but its order was not sent.
 BOOST_AUTO_TEST_CASE(anIntentWhoseAcknowledgementWasLostIsClosedAndNotSent)
 {
     Bench bench(1);
     bench.wantRole(1, EngineRole::Decode);
     const EngineStep drain = bench.step(1);
     bench.place(1, Mine, drain.target_);
-    bench.settle(1, OrderOutcome::Refused);
+    bench.closeIntent(1, OrderOutcome::Refused);
 }
 
-// An engine would take an order after another one that was sent later.
-// The connection breaks after an order left; the engine is paused with it in its buffer.
-// Cause: taking a state read before the bound, or through a pause, for final.
-BOOST_AUTO_TEST_CASE(anOrderWithoutAnAnswerIsWaitedOutFromTheLastFailedRead)
+// An engine would accept an order after a later one, when the connection breaks after the send, the
+// engine is paused with the order in its buffer, and a state read too early is taken for final.
+BOOST_AUTO_TEST_CASE(anUnansweredOrderIsAwaitedFromTheLastFailedRead)
 {
     Bench bench(1);
     bench.wantRole(1, EngineRole::Decode);
@@ -303,7 +298,7 @@
     bench.now_ += millis(OrderNetworkBoundMillis - 1);
     BOOST_TEST(bench.waits(1));
     bench.now_ += millis(1);
-    bench.settle(1, OrderOutcome::Refused);
+    bench.closeIntent(1, OrderOutcome::Refused);
     BOOST_TEST(bench.plan_.mayRelease(bench.now_));
 }
 
@@ -312,10 +307,10 @@
     Bench bench(1);
     bench.wantRole(1, EngineRole::Decode);
     const EngineStep drain = bench.step(1);
-    BOOST_TEST(bench.plan_.stillWants(engineId(1), drain.target_, bench.now_));
+    BOOST_TEST(bench.plan_.stillWantsOrder(engineId(1), drain.target_, bench.now_));
     bench.engine(1).phase_ = EnginePhase::Unclear;
     bench.plan_.onState(engineId(1), bench.engine(1), bench.now_);
-    BOOST_TEST(!bench.plan_.stillWants(engineId(1), drain.target_, bench.now_));
+    BOOST_TEST(!bench.plan_.stillWantsOrder(engineId(1), drain.target_, bench.now_));
 }
 
 BOOST_AUTO_TEST_CASE(anEndpointThatLeavesIsAnnouncedBeforeItIsReadAndOnlyDrained)
@@ -331,7 +326,7 @@
     expected.admit_ = false;
     BOOST_TEST((drain.target_ == expected));
     bench.order(1, drain, SendResult::Answered, true);
-    bench.settle(1, OrderOutcome::Done);
+    bench.closeIntent(1, OrderOutcome::Done);
     BOOST_TEST(bench.waits(1));
     bench.plan_.setLeaving({}, bench.now_);
     bench.fleet_.models_[ModelId("m")].version_ = "1";
@@ -339,30 +334,29 @@
     BOOST_TEST(bench.step(1).target_.admit_);
 }
 
-// An engine would take no orders any more after it was moved to another failure domain.
-// The file moves it while an order of its old domain is open; nobody there reads it again.
-// Cause: an intent is closed by its own domain only, and only for engines of the file.
+// An engine would get no more orders when a file moves it to another failure domain during an
+// order: only the old domain may close the intent, and it no longer reads the engine.
 BOOST_AUTO_TEST_CASE(theOpenIntentOfAnEngineThatWasMovedIsClosedByItsOldDomain)
 {
     Bench bench(1);
     bench.place(1, Theirs, bench.engine(1).target_);
-    BOOST_TEST(bench.plan_.orphans(bench.open_, bench.now_).empty());
+    BOOST_TEST(bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_).empty());
     bench.fleet_.endpoints_[engineId(1)].domain_ = DomainId("elsewhere");
     bench.apply();
-    BOOST_TEST(bench.plan_.orphans(bench.open_, bench.now_).empty());
+    BOOST_TEST(bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_).empty());
     bench.now_ += millis(OrderNetworkBoundMillis);
-    const auto outcomes = bench.plan_.orphans(bench.open_, bench.now_);
+    const auto outcomes = bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_);
     BOOST_REQUIRE(outcomes.size() == 1U);
     BOOST_TEST((outcomes[0].outcome_ == OrderOutcome::Unclear));
     bench.open_[engineId(1)].intent_.domain_ = DomainId("elsewhere");
-    BOOST_TEST(bench.plan_.orphans(bench.open_, bench.now_).empty());
+    BOOST_TEST(bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_).empty());
     bench.fleet_.endpoints_[engineId(1)].domain_ = Domain;
     bench.wantRole(1, EngineRole::Decode);
     bench.apply();
     BOOST_TEST(bench.waits(1));
 }
 
-BOOST_AUTO_TEST_CASE(anEngineThatIsAsWantedIsReadSeldomUnlessAsked)
+BOOST_AUTO_TEST_CASE(anEngineInItsTargetStateIsReadRarelyUnlessRequested)
 {
     Bench bench(20);
     BOOST_TEST(bench.plan_.takeDue(bench.now_).size() == 20U);
@@ -372,35 +366,35 @@
     }
     bench.now_ += millis(9'999);
     BOOST_TEST(bench.plan_.takeDue(bench.now_).empty());
-    bench.plan_.lookAt(engineId(7), bench.now_);
+    bench.plan_.requestCheck(engineId(7), bench.now_);
     BOOST_TEST((bench.plan_.takeDue(bench.now_) == std::vector {engineId(7)}));
 }
 
-BOOST_AUTO_TEST_CASE(aHolderIsBlindOnceAllItsEnginesWereTriedInVain)
+BOOST_AUTO_TEST_CASE(allEnginesAreUnreadableOnceEachReadHasFailed)
 {
     Bench bench(2);
     bench.plan_.onUnreadable(engineId(1), bench.now_);
-    BOOST_TEST(!bench.plan_.seesNoEngine());
+    BOOST_TEST(!bench.plan_.allEnginesUnreadable());
     bench.plan_.onUnreadable(engineId(2), bench.now_);
-    BOOST_TEST(bench.plan_.seesNoEngine());
+    BOOST_TEST(bench.plan_.allEnginesUnreadable());
     BOOST_TEST(bench.waits(1));
-    BOOST_TEST(!bench.plan_.seesNoEngine());
+    BOOST_TEST(!bench.plan_.allEnginesUnreadable());
 }
 
-BOOST_AUTO_TEST_CASE(loadsArePacedByTheWeightStore)
+BOOST_AUTO_TEST_CASE(loadsAreLimitedByTheWeightStore)
 {
     Bench bench(3);
     bench.fleet_.policy_.maxAwayPerDomain_ = 3;
     bench.fleet_.models_[ModelId("m")] = {ModelId("m"), "2", {}, 1'000};
     bench.apply();
-    bench.plan_.onWeights(store::WeightStoreStatus {20.0, 0}, bench.now_);
+    bench.plan_.onStoreStatus(store::WeightStoreStatus {20.0, 0}, bench.now_);
     for (const int number : {1, 2, 3}) { // All are looked at first.
         bench.plan_.onState(engineId(number), bench.engine(number), bench.now_);
     }
-    bench.drain(1); // 1,000 bytes at 20 a second: two are done within 120 s, three are not.
+    bench.drain(1); // 1,000 bytes at 20 B/s: two loads take 100 s, three exceed 120 s.
     bench.drain(2);
     BOOST_TEST(bench.waits(3));
-    bench.plan_.onWeights(std::nullopt, bench.now_);
+    bench.plan_.onStoreStatus(std::nullopt, bench.now_);
     BOOST_TEST(bench.waits(3));
 }
 
--- a/libs/control/tests/reconcilertest.cpp
+++ b/libs/control/tests/reconcilertest.cpp
@@ -19,7 +19,7 @@
     return EndpointId("e" + std::to_string(number));
 }
 
-/** One instance's way to the log, which can be cut. */
+/** An instance's connection to the log; can be interrupted. */
 class LogLine : public store::LogService
 {
 public:
@@ -42,7 +42,7 @@
     store::FakeLog &log_;
 };
 
-/** Engines that take orders at once and are ready again two reads after a change. */
+/** Engines that accept orders at once and are ready again two reads after a change. */
 class FakeEngines : public EngineOrders
 {
 public:
@@ -98,11 +98,11 @@
     }
 
     std::map<EndpointId, EngineState> states_;
-    int conflicts_ = 0; ///< Orders of an older fence, or sent twice.
+    int conflicts_ = 0; ///< Orders with an older fence, or sent twice.
     int cuts_ = 0;      ///< Changes of an engine that was not drained or still ran something.
     int mostAway_ = 0;
     int drains_ = 0;
-    std::function<void(const EndpointId &, EngineState &)> onRead_; ///< Before it is answered.
+    std::function<void(const EndpointId &, EngineState &)> onRead_; ///< Called before each read.
     Fence latestFence_ = 0;
 
 private:
@@ -130,7 +130,7 @@
     std::set<std::pair<EndpointId, std::uint64_t>> sent_;
 };
 
-/** The way of an instance that reaches no engine. */
+/** The engine calls of an instance that reaches no engine. */
 class NoEngines : public EngineOrders
 {
 public:
@@ -145,14 +145,14 @@
     }
 };
 
-/** Notes what entries were told last. */
+/** Records the last announced availability of each endpoint. */
 class FakeAnnouncer : public Announcer
 {
 public:
     void announce(const EndpointId &engine, Availability availability, Fence, TimePoint) override
     {
         const std::scoped_lock lock(mutex_);
-        told_[engine] = availability;
+        announced_[engine] = availability;
         ++announcements_[availability];
     }
     int count(Availability availability)
@@ -163,16 +163,16 @@
     Availabilities told()
     {
         const std::scoped_lock lock(mutex_);
-        return told_;
+        return announced_;
     }
 
 private:
     std::mutex mutex_;
-    Availabilities told_;
+    Availabilities announced_;
     std::map<Availability, int> announcements_;
 };
 
-/** An entry instance as far as control goes. */
+/** The control part of an instance. */
 struct Instance
 {
     Instance(const char *name, store::FakeLog &log, EngineOrders &engines)
@@ -264,7 +264,7 @@
 
 BOOST_AUTO_TEST_SUITE(Control)
 
-BOOST_AUTO_TEST_CASE(aFileAndRolesAreBroughtToEveryEngineAndAStopReleasesTheLease)
+BOOST_AUTO_TEST_CASE(everyEngineGetsTheFileAndRolesAndStopReleasesTheLease)
 {
     World world;
     Instance one("one", world.log_, world.engines_);
@@ -288,10 +288,9 @@
     checkOrders(world);
 }
 
-// Two holders would order the same engines, one of them without authority.
-// The holder is cut from the log in the middle of a change of the fleet, and lapses.
-// Cause: going on with orders after the lease, or a successor that starts from nothing.
-BOOST_AUTO_TEST_CASE(aSuccessorEndsWhatACutOffHolderBegan)
+// Two holders would order the same engines when a holder is partitioned from the log during a
+// change, its lease expires, and it goes on or its successor ignores the open intents.
+BOOST_AUTO_TEST_CASE(aSuccessorCompletesTheChangeOfAPartitionedHolder)
 {
     World world;
     Instance one("one", world.log_, world.engines_);
@@ -319,10 +318,9 @@
     checkOrders(world);
 }
 
-// An engine that crashed would be sent back into the state before its crash.
-// It crashes after the intent of its drain is in the log, and before the order is sent.
-// Cause: an order that rests on a state read before its intent was appended.
-BOOST_AUTO_TEST_CASE(anOrderDoesNotRestOnAStateReadBeforeItsIntent)
+// An engine that crashes between the intent of its drain and the order would be ordered back into
+// the state before its crash.
+BOOST_AUTO_TEST_CASE(anOrderIsNotBasedOnAStateReadBeforeItsIntent)
 {
     World world;
     bool crashed = false;
@@ -347,10 +345,9 @@
     checkOrders(world);
 }
 
-// No file would come into force in the domain although most of its instances could see to it.
-// The holder reaches the log and none of the engines; its neighbour reaches both.
-// Cause: renewing a lease that one cannot use.
-BOOST_AUTO_TEST_CASE(aHolderThatReachesNoEngineLeavesTheLeaseToAnother)
+// No fleet file would come into force in the domain when the holder reaches the log but no engine
+// and keeps renewing the lease, although its neighbour reaches both.
+BOOST_AUTO_TEST_CASE(aHolderThatReachesNoEngineReleasesTheLease)
 {
     World world;
     NoEngines nowhere;
@@ -362,9 +359,8 @@
     checkOrders(world);
 }
 
-// The whole domain would stand still, or the engine would be ordered without end.
-// One engine has a fence from elsewhere that is higher than any lease, and refuses all orders.
-// Cause: taking its refusal for the loss of the lease, which the log alone decides.
+// The domain would get no orders, or the engine endless ones, when an engine with a fence higher
+// than any lease rejects all orders and its rejection is taken for the loss of the lease.
 BOOST_AUTO_TEST_CASE(anEngineThatRefusesEveryFenceDoesNotStopTheOthers)
 {
     World world;
--- a/libs/control/tests/recordstest.cpp
+++ b/libs/control/tests/recordstest.cpp
@@ -34,7 +34,7 @@
 
 BOOST_AUTO_TEST_SUITE(Records)
 
-BOOST_AUTO_TEST_CASE(everyKindComesBackAsItWasWrittenWithItsId)
+BOOST_AUTO_TEST_CASE(everyKindIsDecodedAsItWasEncoded)
 {
     BOOST_TEST(sampleRecords().size() == std::variant_size_v<Record>);
     for (const Record &record : sampleRecords()) {
@@ -46,10 +46,9 @@
     }
 }
 
-// A caller would get another request's stored answer for its own key.
-// Two keys that are no UTF-8 are claimed; written with replacement characters they would be one.
-// Cause: JSON text can hold UTF-8 only, and header values are any bytes.
-BOOST_AUTO_TEST_CASE(bytesThatAreNoUtf8AreKeptExactly)
+// A caller would get another request's stored response when two keys that are not UTF-8 become the
+// same key, because JSON text replaces their invalid bytes.
+BOOST_AUTO_TEST_CASE(bytesThatAreNotUtf8ArePreserved)
 {
     const std::string bytes = std::string("\xff\x00\xfe", 3) + "\"\\";
     const Record decoded =
@@ -58,7 +57,7 @@
     BOOST_TEST(std::get<KeyOutcomeRecord>(decoded).body_ == bytes);
 }
 
-BOOST_AUTO_TEST_CASE(whatIsNoRecordOfOursIsAProtocolError)
+BOOST_AUTO_TEST_CASE(aForeignBodyIsAProtocolError)
 {
     for (
         const std::string_view body :
@@ -71,9 +70,8 @@
     }
 }
 
-// Every instance would crash at the same record, again after each restart.
-// A foreign writer appends a hundred thousand brackets; the parser takes them.
-// Cause: writing JSON that deep recurses and overflows the stack.
+// Every instance would crash at the same record, again after each restart, when a foreign writer
+// appends a hundred thousand brackets: serialising such JSON recurses and overflows the stack.
 BOOST_AUTO_TEST_CASE(deepNestingIsRefused)
 {
     const std::string deep(100'000, '[');
@@ -82,9 +80,8 @@
                 == ErrorKind::Protocol));
 }
 
-// Every instance would crash at the same record, again after each restart.
-// A record arrives with a few bytes changed; it is folded into a state that holds something.
-// Cause: a decoder that trusts what it reads.
+// Every instance would crash at the same record, again after each restart, if the decoder trusted a
+// corrupted record. The records are folded into a state that is not empty.
 BOOST_AUTO_TEST_CASE(changedBytesNeverCrashTheFold)
 {
     std::mt19937_64 random(17);
--- a/libs/control/tests/trimmedlogtest.cpp
+++ b/libs/control/tests/trimmedlogtest.cpp
@@ -32,10 +32,9 @@
 
 BOOST_AUTO_TEST_SUITE(TrimmedLog)
 
-// An operator's file would be accepted against nothing, and replace one that is in force.
-// An instance is replaced; the log has forgotten the applies and holds no snapshot.
-// Cause: an empty state taken for the state of a new system.
-BOOST_AUTO_TEST_CASE(withoutASnapshotAFreshInstanceKnowsNothingAndRefuses)
+// A fleet file would replace the current one without a check of its base, when a new instance reads
+// a trimmed log without a snapshot and takes its empty state for that of a new system.
+BOOST_AUTO_TEST_CASE(withoutASnapshotANewInstanceRefusesAppends)
 {
     FakeLog log;
     {
@@ -57,17 +56,16 @@
     FoldStore store(Horizon);
     LogFollower follower(store, {1'000, 0, 1});
     follower.start();
-    follower.foldNow({{{0, "no snapshot"}}, 0, 1}); // A peer that sends nonsense.
+    follower.foldNow({{{0, "no snapshot"}}, 0, 1}); // A peer that sends a malformed snapshot.
     follower.foldNow({{{5, "a record"}}, 4, 6});    // A log whose start is trimmed.
     BOOST_TEST(!follower.caughtUp());
     follower.foldNow({{}, 1, 1});
     BOOST_TEST(follower.caughtUp());
 }
 
-// A holder would be told that its claim was rejected, when it may have been accepted.
-// While the claim's answer is missing, the instance loses the log, falls behind its retention,
-// and goes on from a snapshot. Cause: judging a record by a copy sent after the first was passed.
-BOOST_AUTO_TEST_CASE(anAppendUnderWayWhenASnapshotPassesOverRecordsIsInterrupted)
+// A holder would see its claim as rejected although it may have been accepted, when the instance
+// loses the log before the acknowledgement and resumes from a snapshot that skips the claim.
+BOOST_AUTO_TEST_CASE(aPendingAppendIsInterruptedWhenASnapshotSkipsRecords)
 {
     FakeLog log;
     const auto instance = caughtUp(quickBuilder(log));
@@ -91,7 +89,7 @@
     BOOST_TEST((failure == ErrorKind::Interrupted));
 }
 
-BOOST_AUTO_TEST_CASE(withASnapshotAFreshInstanceKnowsTheStateAndGoesOn)
+BOOST_AUTO_TEST_CASE(withASnapshotANewInstanceHasTheStateAndContinues)
 {
     FakeLog log;
     const auto old = caughtUp(quickBuilder(log).snapshotEvery(4));
@@ -105,7 +103,7 @@
     BOOST_TEST(appendVerdict(*fresh, leaseClaim("i2", 0)) == Verdict::Rejected);
 }
 
-BOOST_AUTO_TEST_CASE(withoutASnapshotAFreshInstanceAsksItsPeers)
+BOOST_AUTO_TEST_CASE(withoutASnapshotANewInstanceReadsFromItsPeers)
 {
     FakeLog log;
     FakePeers peers;
@@ -122,9 +120,8 @@
     fresh->stop();
 }
 
-// A replaced instance would find a log without any snapshot, though they are written.
-// Few records come, so that the log trims the newest snapshot before the next is due by count.
-// Cause: a retention by time against snapshots by number of records.
+// A new instance would find no snapshot in the log when few records come, because the log trims the
+// newest snapshot by age before the next one is due by the number of records.
 BOOST_AUTO_TEST_CASE(aSnapshotIsWrittenBeforeTheNewestOneIsTrimmed)
 {
     FakeLog log;
@@ -145,7 +142,7 @@
     FakeLog log;
     const auto ahead = caughtUp(quickBuilder(log));
     appendVerdict(*ahead, fleetApply(0, "a"));
-    renew(*ahead, 4'100); // More than the tail holds.
+    renew(*ahead, 4'100); // More records than a peer retains.
     const auto records = ahead->recordsFrom(1, 10);
     BOOST_TEST(records.size() == 1U);
     BOOST_TEST(records.at(0).offset_ == 0U);
