--- a/libs/store/include/almondridge/store/httpstore.h
+++ b/libs/store/include/almondridge/store/httpstore.h
@@ -1,5 +1,5 @@
 /**
- * HTTP clients of the platform's services; docs/PROTOCOLS.md has the calls.
+ * HTTP clients of the platform's services. The calls are specified in docs/PROTOCOLS.md.
  */
 #pragma once
 
--- a/libs/store/include/almondridge/store/store.h
+++ b/libs/store/include/almondridge/store/store.h
@@ -1,6 +1,5 @@
 /**
- * What the platform gives, as narrow interfaces. HTTP clients for them are in httpplatform.h;
- * tests put small fakes in their place.
+ * Interfaces of the platform's services. Their HTTP clients are in httpstore.h; tests use fakes.
  */
 #pragma once
 
@@ -15,15 +14,15 @@
 
 struct LogRecord
 {
-    LogOffset offset_ = 0; ///< From 1 on, without gaps.
+    LogOffset offset_ = 0; ///< Starts at 1; offsets have no gaps.
     std::string body_;
 };
 
-/** A run of records, and which offsets the log has at all. */
+/** Consecutive records and the range of offsets that the log retains. */
 struct LogPage
 {
-    LogOffset first_ = 0; ///< The oldest offset still kept.
-    LogOffset next_ = 0;  ///< The offset that the next append gets.
+    LogOffset first_ = 0; ///< The oldest offset retained.
+    LogOffset next_ = 0;  ///< The offset of the next append.
     std::vector<LogRecord> records_;
 };
 
@@ -34,16 +33,17 @@
     virtual ~LogService() = default;
 
     /**
-     * Appends all bodies in one go, at offsets in a row, and gives the first one.
-     * Unavailable or Overloaded: not appended. Interrupted: it may or may not have been, now
-     * or later.
+     * Appends all bodies atomically at consecutive offsets and returns the first offset. Errors:
+     * Unavailable and Overloaded, nothing was appended; Interrupted, the bodies may have been
+     * appended or may still be.
      */
     virtual Result<LogOffset> append(const std::vector<std::string> &bodies,
                                      TimePoint deadline) = 0;
 
     /**
-     * Records from offset on; waits for the first until waitUntil. Trimmed: offset is no longer
-     * kept. An offset beyond the next one gives no records, but still says which ones there are.
+     * Reads records, starting at offset from; waits for the first one until waitUntil. Error
+     * Trimmed: the offset is no longer retained. An offset beyond the end returns no records, but
+     * still the retained range.
      */
     virtual Result<LogPage> read(LogOffset from, TimePoint waitUntil) = 0;
 };
@@ -55,13 +55,13 @@
     {ListedState::Leaving, "leaving"},
 }};
 
-/** An entry instance or an endpoint as the platform's list shows it, late. */
+/** An instance or endpoint in the platform's list, which may be out of date. */
 struct ListedInstance
 {
     std::string id_;   ///< An InstanceId or an EndpointId.
     std::string kind_; ///< "entry", "engine" or "service".
     DomainId domain_;
-    std::string address_; ///< Entries: their peer address.
+    std::string address_; ///< For kind "entry": the peer address.
     ListedState state_ = ListedState::Live;
 };
 
@@ -72,7 +72,7 @@
     virtual Result<std::vector<ListedInstance>> fetch(TimePoint deadline) = 0;
 };
 
-/** How much the weight store lets through, so that loads are paced. */
+/** The weight store's rate and load, used to limit concurrent loads. */
 struct WeightStoreStatus
 {
     double bytesPerSecond_ = 0;
--- a/libs/store/src/httplog.cpp
+++ b/libs/store/src/httplog.cpp
@@ -7,36 +7,36 @@
 
 const std::string LogSource = "the log service";
 constexpr int TrimmedStatus = 410;
-/** How much longer than its own wait a read may take before its connection counts as silent. */
-constexpr std::int64_t ReadSlackMillis = 1'500;
+/** Added to a read's own wait to get its timeout. */
+constexpr std::int64_t ReadTimeoutMarginMillis = 1'500;
 
-bool isOffset(const Json &object, const char *name)
+bool hasOffset(const Json &object, const char *name)
 {
     return object.is_object() && object.contains(name) && object[name].is_number_unsigned();
 }
 
 Result<LogRecord> parseRecord(const Json &entry)
 {
-    if (!isOffset(entry, "offset") || !entry.contains("body") || !entry["body"].is_string()) {
-        return wrongAnswer(LogSource, "a record without offset or body");
+    if (!hasOffset(entry, "offset") || !entry.contains("body") || !entry["body"].is_string()) {
+        return protocolError(LogSource, "a record without offset or body");
     }
     return LogRecord {entry["offset"].get<LogOffset>(), entry["body"].get<std::string>()};
 }
 
-/** Records must lie in a row from the offset asked for: a gap would make readers differ. */
+/** Requires consecutive offsets, starting at from: a gap would make the readers' states differ. */
 Result<LogPage> parsePage(const Json &body, LogOffset from)
 {
-    if (!isOffset(body, "first") || !isOffset(body, "next") || !body.contains("records")
+    if (!hasOffset(body, "first") || !hasOffset(body, "next") || !body.contains("records")
         || !body["records"].is_array()) {
-        return wrongAnswer(LogSource, "a page without first, next or records");
+        return protocolError(LogSource, "a page without first, next or records");
     }
     LogPage page {body["first"].get<LogOffset>(), body["next"].get<LogOffset>(), {}};
     page.records_.reserve(body["records"].size());
     for (const Json &entry : body["records"]) {
         BOOST_LEAF_AUTO(record, parseRecord(entry));
         if (record.offset_ != from + page.records_.size()) {
-            return wrongAnswer(LogSource,
-                               "a page with a gap before offset " + std::to_string(record.offset_));
+            return protocolError(LogSource, "a page with a gap before offset "
+                                                + std::to_string(record.offset_));
         }
         page.records_.push_back(std::move(record));
     }
@@ -59,8 +59,8 @@
         if (answer.status_ != 200) {
             return failedStatus(LogSource, answer);
         }
-        if (!isOffset(answer.body_, "first_offset")) {
-            return wrongAnswer(LogSource, "an append's answer without first_offset");
+        if (!hasOffset(answer.body_, "first_offset")) {
+            return protocolError(LogSource, "an append's answer without first_offset");
         }
         return answer.body_["first_offset"].get<LogOffset>();
     }
@@ -71,7 +71,7 @@
         net::Request request;
         request.path_ =
             "/log/read?from=" + std::to_string(from) + "&wait_in_ms=" + std::to_string(wait);
-        const TimePoint deadline = BootClock::now() + millis(wait + ReadSlackMillis);
+        const TimePoint deadline = BootClock::now() + millis(wait + ReadTimeoutMarginMillis);
         BOOST_LEAF_AUTO(answer, storeCall(address_, request, deadline));
         if (answer.status_ == TrimmedStatus) {
             return fail(ErrorKind::Trimmed,
--- a/libs/store/src/httpstore.cpp
+++ b/libs/store/src/httpstore.cpp
@@ -8,7 +8,7 @@
 const std::string ListSource = "the instance list";
 const std::string StoreSource = "the weight store";
 
-/** The text of a field; empty when it is missing or no text. */
+/** Returns a string field; empty when it is missing or not a string. */
 std::string textOf(const Json &object, const char *name)
 {
     const auto found = object.find(name);
@@ -18,7 +18,7 @@
 Result<ListedInstance> parseInstance(const Json &entry)
 {
     if (!entry.is_object()) {
-        return wrongAnswer(ListSource, "an entry that is no object");
+        return protocolError(ListSource, "an entry that is no object");
     }
     ListedInstance instance;
     instance.id_ = textOf(entry, "id");
@@ -27,8 +27,8 @@
     instance.address_ = textOf(entry, "address");
     const auto state = valueOf(ListedStateNames, textOf(entry, "state"));
     if (instance.id_.empty() || instance.kind_.empty() || !state) {
-        return wrongAnswer(ListSource, "an entry without id, kind or a state out of "
-                                           + namesOf(ListedStateNames));
+        return protocolError(ListSource, "an entry without id, kind or a state out of "
+                                             + namesOf(ListedStateNames));
     }
     instance.state_ = *state;
     return instance;
@@ -51,7 +51,7 @@
         }
         const Json &body = answer.body_;
         if (!body.is_object() || !body.contains("instances") || !body["instances"].is_array()) {
-            return wrongAnswer(ListSource, "an answer without instances");
+            return protocolError(ListSource, "an answer without instances");
         }
         std::vector<ListedInstance> instances;
         for (const Json &entry : body["instances"]) {
@@ -84,7 +84,7 @@
         if (!body.is_object() || !body.contains("bytes_per_second")
             || !body["bytes_per_second"].is_number() || !body.contains("fetches_running")
             || !body["fetches_running"].is_number_integer()) {
-            return wrongAnswer(StoreSource, "a status without its rate or its running fetches");
+            return protocolError(StoreSource, "a status without its rate or its running fetches");
         }
         return WeightStoreStatus {body["bytes_per_second"].get<double>(),
                                   body["fetches_running"].get<int>()};
--- a/libs/store/src/storecall.cpp
+++ b/libs/store/src/storecall.cpp
@@ -5,10 +5,10 @@
 namespace almondridge::store {
 namespace {
 
-/** A page of the log is at most 1,000 records; a snapshot of the largest fleet fits many times. */
-constexpr std::size_t MaxAnswerBytes = 256U << 20U;
+/** Limit in bytes; a page of 1,000 records and snapshots of the largest fleets are far below. */
+constexpr std::size_t MaxResponseBytes = 256U << 20U;
 
-/** A connection that was never made sent nothing, however the attempt ended. */
+/** Connects. Any failure is Unavailable, because nothing was sent. */
 Result<net::HttpExchange> connect(const net::Address &address, TimePoint deadline)
 {
     auto connected = capture([&] { return net::HttpExchange::connect(address, deadline); });
@@ -21,21 +21,21 @@
 
 } // namespace
 
-Result<PlatformAnswer> storeCall(const net::Address &address, const net::Request &request,
-                                 TimePoint deadline)
+Result<PlatformResponse> storeCall(const net::Address &address, const net::Request &request,
+                                   TimePoint deadline)
 {
     BOOST_LEAF_AUTO(exchange, connect(address, deadline));
     BOOST_LEAF_CHECK(exchange.send(request, deadline));
     BOOST_LEAF_AUTO(head, exchange.readHead(deadline));
-    BOOST_LEAF_AUTO(body, exchange.readRest(deadline, MaxAnswerBytes));
-    PlatformAnswer answer;
+    BOOST_LEAF_AUTO(body, exchange.readRest(deadline, MaxResponseBytes));
+    PlatformResponse answer;
     answer.status_ = head.status_;
     answer.retryAfter_ = net::headerValue(head.headers_, "Retry-After");
     answer.body_ = Json::parse(body, nullptr, false);
     return answer;
 }
 
-boost::leaf::error_id failedStatus(const std::string &source, const PlatformAnswer &answer)
+boost::leaf::error_id failedStatus(const std::string &source, const PlatformResponse &answer)
 {
     const std::string message = source + " answered " + std::to_string(answer.status_);
     if (answer.status_ == 429) {
@@ -54,7 +54,7 @@
                 "check that the settings name the right address for it");
 }
 
-boost::leaf::error_id wrongAnswer(const std::string &source, const std::string &what)
+boost::leaf::error_id protocolError(const std::string &source, const std::string &what)
 {
     return fail(ErrorKind::Protocol, source + ": " + what,
                 "check that the settings name the right address and that its version fits");
--- a/libs/store/src/storecall.h
+++ b/libs/store/src/storecall.h
@@ -1,6 +1,6 @@
 /**
- * One JSON call to a service of the platform, on a fresh connection and bounded by a deadline
- * from connecting to the last byte. Private to the library.
+ * One JSON call to a service of the platform on a new connection. The deadline covers the whole
+ * call. Private to the library.
  */
 #pragma once
 
@@ -14,24 +14,24 @@
 
 using Json = nlohmann::json;
 
-/** The answer's status with its body as JSON; discarded JSON when the body is none. */
-struct PlatformAnswer
+/** An HTTP response; body_ is discarded JSON when the body is not JSON. */
+struct PlatformResponse
 {
     int status_ = 0;
-    std::string retryAfter_; ///< The header's value; empty when there is none.
+    std::string retryAfter_; ///< The Retry-After header; empty when absent.
     Json body_;
 };
 
 /**
- * Unavailable: nothing was sent. Interrupted: something was sent and no whole answer came.
+ * Errors: Unavailable, nothing was sent; Interrupted, the response is missing or incomplete.
  */
-Result<PlatformAnswer> storeCall(const net::Address &address, const net::Request &request,
-                                 TimePoint deadline);
+Result<PlatformResponse> storeCall(const net::Address &address, const net::Request &request,
+                                   TimePoint deadline);
 
-/** The failure that a status other than 200 stands for; source names the service. */
-boost::leaf::error_id failedStatus(const std::string &source, const PlatformAnswer &answer);
+/** Maps a status other than 200 to an error; source names the service in the message. */
+boost::leaf::error_id failedStatus(const std::string &source, const PlatformResponse &answer);
 
-/** Protocol: the answer is not what docs/PROTOCOLS.md says. */
-boost::leaf::error_id wrongAnswer(const std::string &source, const std::string &what);
+/** Error Protocol: the response violates docs/PROTOCOLS.md; what describes how. */
+boost::leaf::error_id protocolError(const std::string &source, const std::string &what);
 
 } // namespace almondridge::store
--- a/libs/store/tests/fakelog.h
+++ b/libs/store/tests/fakelog.h
@@ -1,5 +1,5 @@
 /**
- * An append-only log in memory, with the failures that the platform's has. Thread-safe.
+ * An in-memory append-only log that simulates the failures of the platform's log. Thread-safe.
  * Other libraries' tests include it by path.
  */
 #pragma once
@@ -16,26 +16,26 @@
 class FakeLog : public LogService
 {
 public:
-    /** Refuses every call as not done, until it is switched off. */
+    /** While true, every call fails as not executed. */
     void setOutage(bool on)
     {
         const std::lock_guard lock(mutex_);
         outage_ = on;
         changed_.notify_all();
     }
-    /** The next count appends are refused as over the rate. */
+    /** The next count appends fail because of the rate limit. */
     void refuseAppends(int count)
     {
         const std::lock_guard lock(mutex_);
         refusals_ = count;
     }
-    /** The next count appends take effect, but their answers get lost. */
+    /** The next count appends take effect, but their acknowledgements are lost. */
     void loseAcks(int count)
     {
         const std::lock_guard lock(mutex_);
         lostAcks_ = count;
     }
-    /** The answers of the next count appends get lost, and they take effect in landLate(). */
+    /** The next count appends lose their acknowledgements and take effect in landLate(). */
     void delayAppends(int count)
     {
         const std::lock_guard lock(mutex_);
@@ -48,14 +48,14 @@
             push(body);
         }
     }
-    /** Reads are answered once it is switched off. */
+    /** While true, reads block. */
     void holdReads(bool on)
     {
         const std::lock_guard lock(mutex_);
         readsHeld_ = on;
         changed_.notify_all();
     }
-    /** Forgets the records before first. */
+    /** Trims the records before first. */
     void trim(LogOffset first)
     {
         const std::lock_guard lock(mutex_);
@@ -63,7 +63,7 @@
             records_.pop_front();
         }
     }
-    /** Loses everything and starts again at offset 1, which the platform promises never to do. */
+    /** Loses all records and starts again at offset 1, which the platform guarantees not to do. */
     void reset()
     {
         const std::lock_guard lock(mutex_);
@@ -72,7 +72,7 @@
         changed_.notify_all();
     }
 
-    /** Appends past any outage, as others do that are not cut off. */
+    /** Appends even during an outage, like other instances that are not partitioned. */
     void fill(const std::vector<std::string> &bodies)
     {
         const std::lock_guard lock(mutex_);
@@ -89,13 +89,13 @@
         const std::lock_guard lock(mutex_);
         return first_ + records_.size();
     }
-    /** Appends that took effect, whatever their number of records. */
+    /** Number of append calls that took effect. */
     int appends() const
     {
         const std::lock_guard lock(mutex_);
         return appends_;
     }
-    /** Appends that came during an outage. */
+    /** Number of append calls during an outage. */
     int outageAppends() const
     {
         const std::lock_guard lock(mutex_);
@@ -106,7 +106,7 @@
         const std::lock_guard lock(mutex_);
         return reads_;
     }
-    /** Waits until appends are held back for landLate(). */
+    /** Waits until an append is held for landLate(). */
     void waitForLate() const
     {
         std::unique_lock lock(mutex_);
--- a/libs/store/tests/httpstoretest.cpp
+++ b/libs/store/tests/httpstoretest.cpp
@@ -13,7 +13,7 @@
     return BootClock::now() + millis(20'000);
 }
 
-/** A platform that gives every call the same answer; status 0 closes without one. */
+/** A platform that sends every call the same response; status 0 closes the connection. */
 class FixedPlatform
 {
 public:
@@ -64,7 +64,7 @@
 
 BOOST_AUTO_TEST_SUITE(HttpStore)
 
-BOOST_AUTO_TEST_CASE(theLogIsAppendedToAndReadAsTheProtocolSays)
+BOOST_AUTO_TEST_CASE(appendsAndReadsFollowTheWireProtocol)
 {
     std::string appended;
     std::string query;
@@ -94,10 +94,9 @@
     BOOST_TEST(page.records_[1].body_ == "b");
 }
 
-// A record would be taken for lost that is in the log, or for written that is not.
-// Every answer of the log's that stands for "not appended" has to be told from a doubtful one.
-// Cause: a refusal and a broken connection taken for the same failure.
-BOOST_AUTO_TEST_CASE(onlyARefusalSaysThatNothingWasAppended)
+// A record would be reported as not appended although it is in the log, or the reverse, if a
+// refusal by the log and a broken connection were handled as the same error.
+BOOST_AUTO_TEST_CASE(onlyARefusalMeansThatNothingWasAppended)
 {
     BOOST_TEST((appendFailure(429, "{}") == ErrorKind::Overloaded));
     BOOST_TEST((appendFailure(503, "{}") == ErrorKind::Unavailable));
@@ -107,7 +106,7 @@
     BOOST_TEST((failureOf([&] { return log->append({"r"}, soon()); }) == ErrorKind::Unavailable));
 }
 
-BOOST_AUTO_TEST_CASE(aTrimmedOffsetIsToldFromAnOutage)
+BOOST_AUTO_TEST_CASE(aTrimmedOffsetIsDistinguishedFromAnOutage)
 {
     BOOST_TEST((readFailure(410, R"({"first":9,"next":12})") == ErrorKind::Trimmed));
     BOOST_TEST((readFailure(503, "{}") == ErrorKind::Unavailable));
