--- a/libs/control/include/almondridge/control/leasekeeper.h
+++ b/libs/control/include/almondridge/control/leasekeeper.h
@@ -2,8 +2,8 @@
  * One instance's view of a failure domain's lease. Time and random numbers are passed in.
  *
  * The holder measures the term from before its append; all other instances measure it from when
- * they read the record, plus a margin for clock drift. So the holder stops before any other
- * instance may claim the lease.
+ * they read the record, plus a margin. So the holder stops before any other instance may claim
+ * the lease.
  */
 #pragma once
 
--- a/libs/control/src/foldstore.h
+++ b/libs/control/src/foldstore.h
@@ -26,7 +26,7 @@
 
     LogOffset next() const;
     bool hasState() const { return next() > 1; }
-    /** The raw record before next(); nullopt when a snapshot was the last thing folded. */
+    /** The raw record before next(); nullopt when it is not held, as after a restored snapshot. */
     std::optional<store::LogRecord> lastRecord() const;
     /** The whole state as a snapshot record. */
     SnapshotRecord snapshot() const;
--- a/libs/control/tests/leasekeepertest.cpp
+++ b/libs/control/tests/leasekeepertest.cpp
@@ -28,13 +28,13 @@
 }
 
 /** Claims the free lease at one time and receives its acceptance at another. */
-void claim(LeaseKeeper &keeper, const LeaseState *inForce, TimePoint appended, Fence fence,
-           TimePoint heard)
+void claim(LeaseKeeper &keeper, const LeaseState *current, TimePoint appendedAt, Fence fence,
+           TimePoint acknowledgedAt)
 {
     Record record;
-    BOOST_REQUIRE(keeper.next(inForce, appended, record) == LeaseStep::Claim);
-    keeper.onAppending(record, appended);
-    keeper.onVerdict(Verdict::Accepted, fence, heard);
+    BOOST_REQUIRE(keeper.next(current, appendedAt, record) == LeaseStep::Claim);
+    keeper.onAppending(record, appendedAt);
+    keeper.onVerdict(Verdict::Accepted, fence, acknowledgedAt);
 }
 
 } // namespace
@@ -166,9 +166,9 @@
     struct Append
     {
         std::string body_;
-        std::int64_t lands_ = 0;
+        std::int64_t takesEffectAt_ = 0;
         LogOffset offset_ = 0; ///< Its offset, once appended.
-        bool lost_ = false;    ///< Its verdict is never heard.
+        bool lost_ = false;    ///< Its verdict is never received.
     };
 
     TimePoint local(std::int64_t time) const { return at(offset_ + time + time * drift_ / 1'000); }
@@ -200,7 +200,7 @@
         log_.push_back("{}"); // A foreign record: a reader of an empty log has no state.
         for (int step = 0; step < steps; ++step) {
             time_ += draw(150);
-            land();
+            appendDue();
             for (Candidate &candidate : candidates_) {
                 if (time_ >= candidate.pausedUntil_) {
                     act(candidate);
@@ -218,11 +218,11 @@
         return static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(below));
     }
 
-    void land()
+    void appendDue()
     {
         for (Candidate &candidate : candidates_) {
             for (Candidate::Append &append : candidate.appends_) {
-                if (append.offset_ == 0 && append.lands_ <= time_) {
+                if (append.offset_ == 0 && append.takesEffectAt_ <= time_) {
                     log_.push_back(append.body_);
                     append.offset_ = log_.size();
                     if (draw(5) == 0) {
@@ -242,7 +242,7 @@
         const std::size_t readable = draw(4) == 0 ? log_.size() : candidate.fold_.next() - 1;
         while (candidate.fold_.next() <= readable) {
             const LogOffset offset = candidate.fold_.next();
-            hear(candidate, candidate.fold_.fold({offset, log_[offset - 1]}));
+            deliver(candidate, candidate.fold_.fold({offset, log_[offset - 1]}));
         }
         candidate.keeper_.setBackoff(millis(draw(Term / 4)));
         Record record;
@@ -261,7 +261,7 @@
         candidate.appends_.push_back({encodeRecord(record), time_ + delay, 0, draw(6) == 0});
     }
 
-    void hear(Candidate &candidate, const FoldStep &step)
+    void deliver(Candidate &candidate, const FoldStep &step)
     {
         candidate.keeper_.onFolded(step);
         for (const Candidate::Append &append : candidate.appends_) {
--- a/libs/control/tests/logsupport.h
+++ b/libs/control/tests/logsupport.h
@@ -11,7 +11,7 @@
 
 namespace almondridge::control {
 
-/** A record source with the records set by a test. */
+/** A record source that reads from the instance set as its peer. */
 class FakePeers : public RecordSource
 {
 public:
--- a/libs/control/tests/orderplantest.cpp
+++ b/libs/control/tests/orderplantest.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 const DomainId Domain("ebene");
-constexpr Fence Mine = 40;
-constexpr Fence Theirs = 30;
+constexpr Fence OwnFence = 40;
+constexpr Fence PreviousFence = 30;
 
 EndpointId engineId(int number)
 {
@@ -20,9 +20,9 @@
 }
 
 /** A domain with engines in their target state, and its plan with a held lease. */
-struct Bench
+struct PlanFixture
 {
-    explicit Bench(int engines, Fencing fencing = Fencing::Checks)
+    explicit PlanFixture(int engines, Fencing fencing = Fencing::Checks)
     {
         fleet_.models_[ModelId("m")] = {ModelId("m"), "1", {}, 1'000};
         for (int number = 1; number <= engines; ++number) {
@@ -32,8 +32,11 @@
             endpoint.fencing_ = fencing;
             endpoint.model_ = ModelId("m");
             fleet_.endpoints_[endpoint.id_] = endpoint;
-            engines_[endpoint.id_] = {
-                {ModelId("m"), "1", {}, EngineRole::Mixed, true}, EnginePhase::Ready, 0, Theirs, 1};
+            engines_[endpoint.id_] = {{ModelId("m"), "1", {}, EngineRole::Mixed, true},
+                                      EnginePhase::Ready,
+                                      0,
+                                      PreviousFence,
+                                      1};
         }
         apply();
         onLeaseAcquired(TimePoint());
@@ -41,7 +44,7 @@
     void apply() { plan_.setFleet(std::make_shared<const fleet::Fleet>(fleet_), now_); }
     void onLeaseAcquired(TimePoint firstUnfencedOrder)
     {
-        plan_.onLeaseAcquired(Mine, firstUnfencedOrder, now_);
+        plan_.onLeaseAcquired(OwnFence, firstUnfencedOrder, now_);
     }
     void wantRole(int number, EngineRole role)
     {
@@ -72,12 +75,12 @@
     void order(int number, const EngineStep &step, SendResult result, bool accepted)
     {
         BOOST_REQUIRE(step.kind_ == StepKind::Order);
-        place(number, Mine, step.target_);
+        place(number, OwnFence, step.target_);
         plan_.onSending(engineId(number));
         plan_.onSent(engineId(number), result, now_);
         if (accepted) {
             engine(number).target_ = step.target_;
-            engine(number).fence_ = Mine;
+            engine(number).fence_ = OwnFence;
         }
     }
     void place(int number, Fence fence, const EngineTarget &target)
@@ -121,143 +124,143 @@
 // change were ordered before the engine rejects new requests.
 BOOST_AUTO_TEST_CASE(aChangeWaitsForALongRequestHoweverLongItTakes)
 {
-    Bench bench(1);
-    bench.engine(1).running_ = 1;
-    bench.wantRole(1, EngineRole::Decode);
-    bench.drain(1);
-    BOOST_TEST((bench.announced_ == std::vector {Availability::Draining}));
-    bench.now_ += millis(3'600'000);
-    BOOST_TEST(bench.waits(1));
-    bench.engine(1).running_ = 0;
-    const EngineStep change = bench.step(1);
+    PlanFixture fixture(1);
+    fixture.engine(1).running_ = 1;
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.drain(1);
+    BOOST_TEST((fixture.announced_ == std::vector {Availability::Draining}));
+    fixture.now_ += millis(3'600'000);
+    BOOST_TEST(fixture.waits(1));
+    fixture.engine(1).running_ = 0;
+    const EngineStep change = fixture.step(1);
     BOOST_TEST((change.target_.role_ == EngineRole::Decode));
     BOOST_TEST(change.target_.admit_);
-    bench.order(1, change, SendResult::Answered, true);
-    bench.engine(1).phase_ = EnginePhase::Changing;
-    BOOST_TEST(bench.waits(1));
-    bench.engine(1).phase_ = EnginePhase::Ready;
-    bench.closeIntent(1, OrderOutcome::Done);
-    BOOST_TEST(bench.waits(1));
-    BOOST_TEST((bench.plan_.takePendingAnnouncements().at(engineId(1)) == Availability::Open));
+    fixture.order(1, change, SendResult::Answered, true);
+    fixture.engine(1).phase_ = EnginePhase::Changing;
+    BOOST_TEST(fixture.waits(1));
+    fixture.engine(1).phase_ = EnginePhase::Ready;
+    fixture.closeIntent(1, OrderOutcome::Done);
+    BOOST_TEST(fixture.waits(1));
+    BOOST_TEST((fixture.plan_.takePendingAnnouncements().at(engineId(1)) == Availability::Open));
 }
 
 BOOST_AUTO_TEST_CASE(noMoreEnginesAreAwayAtOnceThanThePolicyAllows)
 {
-    Bench bench(3);
-    BOOST_TEST((bench.waits(1) && bench.waits(2) && bench.waits(3)));
-    bench.wantRole(1, EngineRole::Decode);
-    bench.wantRole(2, EngineRole::Decode);
-    bench.drain(1);
-    BOOST_TEST(bench.waits(2));
-    bench.order(1, bench.step(1), SendResult::Answered, true);
-    BOOST_TEST(bench.waits(2));
-    bench.closeIntent(1, OrderOutcome::Done);
-    BOOST_TEST(bench.waits(1));
-    bench.drain(2);
+    PlanFixture fixture(3);
+    BOOST_TEST((fixture.waits(1) && fixture.waits(2) && fixture.waits(3)));
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.wantRole(2, EngineRole::Decode);
+    fixture.drain(1);
+    BOOST_TEST(fixture.waits(2));
+    fixture.order(1, fixture.step(1), SendResult::Answered, true);
+    BOOST_TEST(fixture.waits(2));
+    fixture.closeIntent(1, OrderOutcome::Done);
+    BOOST_TEST(fixture.waits(1));
+    fixture.drain(2);
 }
 
 // Two engines would be away although the policy allows one, when a holder dies with one engine away
 // and its successor counts only the engines that it drained itself.
 BOOST_AUTO_TEST_CASE(aSuccessorCountsTheEnginesThatItFindsAway)
 {
-    Bench bench(2);
-    bench.wantRole(1, EngineRole::Decode);
-    bench.engine(2).phase_ = EnginePhase::Changing;
-    BOOST_TEST(bench.waits(1)); // The other engine was not read yet.
-    BOOST_TEST(bench.waits(2));
-    BOOST_TEST(bench.waits(1));
-    bench.engine(2).phase_ = EnginePhase::Ready;
-    BOOST_TEST(bench.waits(2));
-    bench.drain(1);
+    PlanFixture fixture(2);
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.engine(2).phase_ = EnginePhase::Changing;
+    BOOST_TEST(fixture.waits(1)); // The other engine was not read yet.
+    BOOST_TEST(fixture.waits(2));
+    BOOST_TEST(fixture.waits(1));
+    fixture.engine(2).phase_ = EnginePhase::Ready;
+    BOOST_TEST(fixture.waits(2));
+    fixture.drain(1);
 }
 
 // An engine would stay unused when a holder announced its drain and died, and the successor
 // announces only the engine that it changes first.
 BOOST_AUTO_TEST_CASE(anEngineThatWaitsForItsTurnIsAnnouncedAsOpen)
 {
-    Bench bench(2);
-    bench.wantRole(1, EngineRole::Decode);
-    bench.engine(2).phase_ = EnginePhase::Changing;
-    BOOST_TEST((bench.waits(2) && bench.waits(1)));
-    BOOST_TEST((bench.plan_.takePendingAnnouncements().at(engineId(1)) == Availability::Open));
+    PlanFixture fixture(2);
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.engine(2).phase_ = EnginePhase::Changing;
+    BOOST_TEST((fixture.waits(2) && fixture.waits(1)));
+    BOOST_TEST((fixture.plan_.takePendingAnnouncements().at(engineId(1)) == Availability::Open));
 }
 
 BOOST_AUTO_TEST_CASE(aBrokenEngineDoesNotBlockChangesOfOthers)
 {
-    Bench bench(2);
-    bench.wantRole(1, EngineRole::Decode);
-    bench.wantRole(2, EngineRole::Decode);
-    BOOST_TEST(bench.waits(2));
-    bench.drain(1);
-    bench.plan_.onUnreadable(engineId(1), bench.now_);
-    BOOST_TEST(bench.waits(2));
-    bench.now_ += millis(30'000);
-    bench.drain(2);
+    PlanFixture fixture(2);
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.wantRole(2, EngineRole::Decode);
+    BOOST_TEST(fixture.waits(2));
+    fixture.drain(1);
+    fixture.plan_.onUnreadable(engineId(1), fixture.now_);
+    BOOST_TEST(fixture.waits(2));
+    fixture.now_ += millis(30'000);
+    fixture.drain(2);
 }
 
 // Requests would go to an engine without a model when it crashes during a change and an accepted
 // order is taken for a completed one.
 BOOST_AUTO_TEST_CASE(anEngineThatCrashedInAChangeGetsNoRequestsUntilItsStateIsKnown)
 {
-    Bench bench(1);
-    bench.wantRole(1, EngineRole::Decode);
-    bench.drain(1);
-    bench.order(1, bench.step(1), SendResult::Answered, true);
-    bench.plan_.onUnreadable(engineId(1), bench.now_);
-    BOOST_TEST((bench.stepUnread(1).availability_ == Availability::Unclear));
-    bench.engine(1).phase_ = EnginePhase::Unclear;
-    bench.closeIntent(1, OrderOutcome::Unclear);
-    BOOST_TEST((bench.announced_.back() == Availability::Unclear));
-    bench.now_ += millis(1'000);
-    BOOST_REQUIRE((bench.step(1).kind_ == StepKind::ReadStoreStatus));
-    bench.plan_.onStoreStatus({}, bench.now_);
-    const EngineStep known = bench.step(1);
+    PlanFixture fixture(1);
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.drain(1);
+    fixture.order(1, fixture.step(1), SendResult::Answered, true);
+    fixture.plan_.onUnreadable(engineId(1), fixture.now_);
+    BOOST_TEST((fixture.stepUnread(1).availability_ == Availability::Unclear));
+    fixture.engine(1).phase_ = EnginePhase::Unclear;
+    fixture.closeIntent(1, OrderOutcome::Unclear);
+    BOOST_TEST((fixture.announced_.back() == Availability::Unclear));
+    fixture.now_ += millis(1'000);
+    BOOST_REQUIRE((fixture.step(1).kind_ == StepKind::ReadStoreStatus));
+    fixture.plan_.onStoreStatus({}, fixture.now_);
+    const EngineStep known = fixture.step(1);
     BOOST_TEST((known.target_.role_ == EngineRole::Decode));
-    bench.order(1, known, SendResult::Answered, true);
-    BOOST_TEST((bench.plan_.withheld().at(engineId(1)) == Availability::Unclear));
-    bench.engine(1).phase_ = EnginePhase::Ready;
-    bench.closeIntent(1, OrderOutcome::Done);
-    BOOST_TEST(bench.waits(1));
-    BOOST_TEST(bench.plan_.withheld().empty());
+    fixture.order(1, known, SendResult::Answered, true);
+    BOOST_TEST((fixture.plan_.withheld().at(engineId(1)) == Availability::Unclear));
+    fixture.engine(1).phase_ = EnginePhase::Ready;
+    fixture.closeIntent(1, OrderOutcome::Done);
+    BOOST_TEST(fixture.waits(1));
+    BOOST_TEST(fixture.plan_.withheld().empty());
 }
 
 // An engine would get the older of two orders last, when a holder is paused right after a send and
 // its successor reads the state before that order arrives.
 BOOST_AUTO_TEST_CASE(aSuccessorWaitsForAnOutstandingOrder)
 {
-    Bench bench(1);
-    const TimePoint arrivedBy = bench.now_ + millis(5'000);
-    bench.onLeaseAcquired(arrivedBy);
-    EngineTarget ordered = bench.engine(1).target_;
+    PlanFixture fixture(1);
+    const TimePoint arrivedBy = fixture.now_ + millis(5'000);
+    fixture.onLeaseAcquired(arrivedBy);
+    EngineTarget ordered = fixture.engine(1).target_;
     ordered.role_ = EngineRole::Prefill;
-    bench.place(1, Theirs, ordered);
-    BOOST_TEST(bench.waits(1));
-    BOOST_TEST((bench.announced_ == std::vector {Availability::Unclear}));
-    bench.now_ = arrivedBy - millis(1);
-    BOOST_TEST(bench.waits(1));
-    bench.now_ = arrivedBy;
-    bench.closeIntent(1, OrderOutcome::Refused);
+    fixture.place(1, PreviousFence, ordered);
+    BOOST_TEST(fixture.waits(1));
+    BOOST_TEST((fixture.announced_ == std::vector {Availability::Unclear}));
+    fixture.now_ = arrivedBy - millis(1);
+    BOOST_TEST(fixture.waits(1));
+    fixture.now_ = arrivedBy;
+    fixture.closeIntent(1, OrderOutcome::Refused);
 }
 
 BOOST_AUTO_TEST_CASE(aSuccessorClosesAnIntentAtOnceWhenTheOrderIsDone)
 {
-    Bench bench(1);
-    bench.onLeaseAcquired(bench.now_ + millis(5'000));
-    bench.place(1, Theirs, bench.engine(1).target_);
-    bench.closeIntent(1, OrderOutcome::Done);
+    PlanFixture fixture(1);
+    fixture.onLeaseAcquired(fixture.now_ + millis(5'000));
+    fixture.place(1, PreviousFence, fixture.engine(1).target_);
+    fixture.closeIntent(1, OrderOutcome::Done);
 }
 
 BOOST_AUTO_TEST_CASE(anEngineThatIgnoresFencesGetsNoOrderBeforeTheOldOnesHaveArrived)
 {
     for (const Fencing fencing : {Fencing::Checks, Fencing::Ignores}) {
-        Bench bench(1, fencing);
-        bench.onLeaseAcquired(bench.now_ + millis(5'000));
-        bench.wantRole(1, EngineRole::Decode);
-        const bool waits = bench.waits(1);
+        PlanFixture fixture(1, fencing);
+        fixture.onLeaseAcquired(fixture.now_ + millis(5'000));
+        fixture.wantRole(1, EngineRole::Decode);
+        const bool waits = fixture.waits(1);
         BOOST_TEST(waits == (fencing == Fencing::Ignores));
-        bench.now_ += millis(5'000);
-        bench.drain(1);
-        BOOST_TEST((bench.step(1).target_.role_ == EngineRole::Decode));
+        fixture.now_ += millis(5'000);
+        fixture.drain(1);
+        BOOST_TEST((fixture.step(1).target_.role_ == EngineRole::Decode));
     }
 }
 
@@ -265,153 +268,154 @@
 // admit again, and that delayed order arrives just before the change.
 BOOST_AUTO_TEST_CASE(aDrainOfThePreviousHolderIsOrderedAgain)
 {
-    Bench bench(1);
-    bench.onLeaseAcquired(bench.now_ + millis(5'000));
-    bench.wantRole(1, EngineRole::Decode);
-    bench.engine(1).target_.admit_ = false;
-    bench.drain(1);
-    BOOST_TEST((bench.step(1).target_.role_ == EngineRole::Decode));
+    PlanFixture fixture(1);
+    fixture.onLeaseAcquired(fixture.now_ + millis(5'000));
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.engine(1).target_.admit_ = false;
+    fixture.drain(1);
+    BOOST_TEST((fixture.step(1).target_.role_ == EngineRole::Decode));
 }
 
 // An order would be sent twice or never when an intent's acknowledgement is lost: the intent
 // appears in the log, but its order was not sent.
 BOOST_AUTO_TEST_CASE(anIntentWhoseAcknowledgementWasLostIsClosedAndNotSent)
 {
-    Bench bench(1);
-    bench.wantRole(1, EngineRole::Decode);
-    const EngineStep drain = bench.step(1);
-    bench.place(1, Mine, drain.target_);
-    bench.closeIntent(1, OrderOutcome::Refused);
+    PlanFixture fixture(1);
+    fixture.wantRole(1, EngineRole::Decode);
+    const EngineStep drain = fixture.step(1);
+    fixture.place(1, OwnFence, drain.target_);
+    fixture.closeIntent(1, OrderOutcome::Refused);
 }
 
 // An engine would accept an order after a later one, when the connection breaks after the send, the
 // engine is paused with the order in its buffer, and a state read too early is taken for final.
 BOOST_AUTO_TEST_CASE(anUnansweredOrderIsAwaitedFromTheLastFailedRead)
 {
-    Bench bench(1);
-    bench.wantRole(1, EngineRole::Decode);
-    bench.order(1, bench.step(1), SendResult::Unknown, false);
-    BOOST_TEST(bench.waits(1));
-    BOOST_TEST(!bench.plan_.mayRelease(bench.now_));
-    bench.now_ += millis(OrderNetworkBoundMillis - 1);
-    bench.plan_.onUnreadable(engineId(1), bench.now_);
-    bench.now_ += millis(OrderNetworkBoundMillis - 1);
-    BOOST_TEST(bench.waits(1));
-    bench.now_ += millis(1);
-    bench.closeIntent(1, OrderOutcome::Refused);
-    BOOST_TEST(bench.plan_.mayRelease(bench.now_));
+    PlanFixture fixture(1);
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.order(1, fixture.step(1), SendResult::Unknown, false);
+    BOOST_TEST(fixture.waits(1));
+    BOOST_TEST(!fixture.plan_.mayRelease(fixture.now_));
+    fixture.now_ += millis(OrderNetworkBoundMillis - 1);
+    fixture.plan_.onUnreadable(engineId(1), fixture.now_);
+    fixture.now_ += millis(OrderNetworkBoundMillis - 1);
+    BOOST_TEST(fixture.waits(1));
+    fixture.now_ += millis(1);
+    fixture.closeIntent(1, OrderOutcome::Refused);
+    BOOST_TEST(fixture.plan_.mayRelease(fixture.now_));
 }
 
 BOOST_AUTO_TEST_CASE(anOrderIsNotSentWhenTheEngineCrashedAfterItsIntent)
 {
-    Bench bench(1);
-    bench.wantRole(1, EngineRole::Decode);
-    const EngineStep drain = bench.step(1);
-    BOOST_TEST(bench.plan_.stillWantsOrder(engineId(1), drain.target_, bench.now_));
-    bench.engine(1).phase_ = EnginePhase::Unclear;
-    bench.plan_.onState(engineId(1), bench.engine(1), bench.now_);
-    BOOST_TEST(!bench.plan_.stillWantsOrder(engineId(1), drain.target_, bench.now_));
+    PlanFixture fixture(1);
+    fixture.wantRole(1, EngineRole::Decode);
+    const EngineStep drain = fixture.step(1);
+    BOOST_TEST(fixture.plan_.stillWantsOrder(engineId(1), drain.target_, fixture.now_));
+    fixture.engine(1).phase_ = EnginePhase::Unclear;
+    fixture.plan_.onState(engineId(1), fixture.engine(1), fixture.now_);
+    BOOST_TEST(!fixture.plan_.stillWantsOrder(engineId(1), drain.target_, fixture.now_));
 }
 
 BOOST_AUTO_TEST_CASE(anEndpointThatLeavesIsAnnouncedBeforeItIsReadAndOnlyDrained)
 {
-    Bench bench(1);
-    bench.fleet_.models_[ModelId("m")].version_ = "2";
-    bench.apply();
-    bench.plan_.setLeaving({engineId(1)}, bench.now_);
-    BOOST_TEST(!bench.plan_.wantsState(engineId(1)));
-    BOOST_TEST((bench.stepUnread(1).availability_ == Availability::Leaving));
-    const EngineStep drain = bench.step(1);
-    EngineTarget expected = bench.engine(1).target_;
+    PlanFixture fixture(1);
+    fixture.fleet_.models_[ModelId("m")].version_ = "2";
+    fixture.apply();
+    fixture.plan_.setLeaving({engineId(1)}, fixture.now_);
+    BOOST_TEST(!fixture.plan_.wantsState(engineId(1)));
+    BOOST_TEST((fixture.stepUnread(1).availability_ == Availability::Leaving));
+    const EngineStep drain = fixture.step(1);
+    EngineTarget expected = fixture.engine(1).target_;
     expected.admit_ = false;
     BOOST_TEST((drain.target_ == expected));
-    bench.order(1, drain, SendResult::Answered, true);
-    bench.closeIntent(1, OrderOutcome::Done);
-    BOOST_TEST(bench.waits(1));
-    bench.plan_.setLeaving({}, bench.now_);
-    bench.fleet_.models_[ModelId("m")].version_ = "1";
-    bench.apply();
-    BOOST_TEST(bench.step(1).target_.admit_);
+    fixture.order(1, drain, SendResult::Answered, true);
+    fixture.closeIntent(1, OrderOutcome::Done);
+    BOOST_TEST(fixture.waits(1));
+    fixture.plan_.setLeaving({}, fixture.now_);
+    fixture.fleet_.models_[ModelId("m")].version_ = "1";
+    fixture.apply();
+    BOOST_TEST(fixture.step(1).target_.admit_);
 }
 
 // An engine would get no more orders when a file moves it to another failure domain during an
 // order: only the old domain may close the intent, and it no longer reads the engine.
 BOOST_AUTO_TEST_CASE(theOpenIntentOfAnEngineThatWasMovedIsClosedByItsOldDomain)
 {
-    Bench bench(1);
-    bench.place(1, Theirs, bench.engine(1).target_);
-    BOOST_TEST(bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_).empty());
-    bench.fleet_.endpoints_[engineId(1)].domain_ = DomainId("elsewhere");
-    bench.apply();
-    BOOST_TEST(bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_).empty());
-    bench.now_ += millis(OrderNetworkBoundMillis);
-    const auto outcomes = bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_);
+    PlanFixture fixture(1);
+    fixture.place(1, PreviousFence, fixture.engine(1).target_);
+    BOOST_TEST(fixture.plan_.outcomesOfOrphanedIntents(fixture.open_, fixture.now_).empty());
+    fixture.fleet_.endpoints_[engineId(1)].domain_ = DomainId("elsewhere");
+    fixture.apply();
+    BOOST_TEST(fixture.plan_.outcomesOfOrphanedIntents(fixture.open_, fixture.now_).empty());
+    fixture.now_ += millis(OrderNetworkBoundMillis);
+    const auto outcomes = fixture.plan_.outcomesOfOrphanedIntents(fixture.open_, fixture.now_);
     BOOST_REQUIRE(outcomes.size() == 1U);
     BOOST_TEST((outcomes[0].outcome_ == OrderOutcome::Unclear));
-    bench.open_[engineId(1)].intent_.domain_ = DomainId("elsewhere");
-    BOOST_TEST(bench.plan_.outcomesOfOrphanedIntents(bench.open_, bench.now_).empty());
-    bench.fleet_.endpoints_[engineId(1)].domain_ = Domain;
-    bench.wantRole(1, EngineRole::Decode);
-    bench.apply();
-    BOOST_TEST(bench.waits(1));
+    fixture.open_[engineId(1)].intent_.domain_ = DomainId("elsewhere");
+    BOOST_TEST(fixture.plan_.outcomesOfOrphanedIntents(fixture.open_, fixture.now_).empty());
+    fixture.fleet_.endpoints_[engineId(1)].domain_ = Domain;
+    fixture.wantRole(1, EngineRole::Decode);
+    fixture.apply();
+    BOOST_TEST(fixture.waits(1));
 }
 
 BOOST_AUTO_TEST_CASE(anEngineInItsTargetStateIsReadRarelyUnlessRequested)
 {
-    Bench bench(20);
-    BOOST_TEST(bench.plan_.takeDue(bench.now_).size() == 20U);
+    PlanFixture fixture(20);
+    BOOST_TEST(fixture.plan_.takeDue(fixture.now_).size() == 20U);
     for (int number = 1; number <= 20; ++number) {
-        BOOST_TEST(bench.waits(number));
-        bench.plan_.finish(engineId(number), bench.now_);
+        BOOST_TEST(fixture.waits(number));
+        fixture.plan_.finish(engineId(number), fixture.now_);
     }
-    bench.now_ += millis(9'999);
-    BOOST_TEST(bench.plan_.takeDue(bench.now_).empty());
-    bench.plan_.requestCheck(engineId(7), bench.now_);
-    BOOST_TEST((bench.plan_.takeDue(bench.now_) == std::vector {engineId(7)}));
+    fixture.now_ += millis(9'999);
+    BOOST_TEST(fixture.plan_.takeDue(fixture.now_).empty());
+    fixture.plan_.requestCheck(engineId(7), fixture.now_);
+    BOOST_TEST((fixture.plan_.takeDue(fixture.now_) == std::vector {engineId(7)}));
 }
 
 BOOST_AUTO_TEST_CASE(allEnginesAreUnreadableOnceEachReadHasFailed)
 {
-    Bench bench(2);
-    bench.plan_.onUnreadable(engineId(1), bench.now_);
-    BOOST_TEST(!bench.plan_.allEnginesUnreadable());
-    bench.plan_.onUnreadable(engineId(2), bench.now_);
-    BOOST_TEST(bench.plan_.allEnginesUnreadable());
-    BOOST_TEST(bench.waits(1));
-    BOOST_TEST(!bench.plan_.allEnginesUnreadable());
+    PlanFixture fixture(2);
+    fixture.plan_.onUnreadable(engineId(1), fixture.now_);
+    BOOST_TEST(!fixture.plan_.allEnginesUnreadable());
+    fixture.plan_.onUnreadable(engineId(2), fixture.now_);
+    BOOST_TEST(fixture.plan_.allEnginesUnreadable());
+    BOOST_TEST(fixture.waits(1));
+    BOOST_TEST(!fixture.plan_.allEnginesUnreadable());
 }
 
 BOOST_AUTO_TEST_CASE(loadsAreLimitedByTheWeightStore)
 {
-    Bench bench(3);
-    bench.fleet_.policy_.maxAwayPerDomain_ = 3;
-    bench.fleet_.models_[ModelId("m")] = {ModelId("m"), "2", {}, 1'000};
-    bench.apply();
-    bench.plan_.onStoreStatus(store::WeightStoreStatus {20.0, 0}, bench.now_);
+    PlanFixture fixture(3);
+    fixture.fleet_.policy_.maxAwayPerDomain_ = 3;
+    fixture.fleet_.models_[ModelId("m")] = {ModelId("m"), "2", {}, 1'000};
+    fixture.apply();
+    fixture.plan_.onStoreStatus(store::WeightStoreStatus {20.0, 0}, fixture.now_);
     for (const int number : {1, 2, 3}) { // All are looked at first.
-        bench.plan_.onState(engineId(number), bench.engine(number), bench.now_);
+        fixture.plan_.onState(engineId(number), fixture.engine(number), fixture.now_);
     }
-    bench.drain(1); // 1,000 bytes at 20 B/s: two loads take 100 s, three exceed 120 s.
-    bench.drain(2);
-    BOOST_TEST(bench.waits(3));
-    bench.plan_.onStoreStatus(std::nullopt, bench.now_);
-    BOOST_TEST(bench.waits(3));
+    fixture.drain(1); // 1,000 bytes at 20 B/s: two loads take 100 s, three exceed 120 s.
+    fixture.drain(2);
+    BOOST_TEST(fixture.waits(3));
+    fixture.plan_.onStoreStatus(std::nullopt, fixture.now_);
+    BOOST_TEST(fixture.waits(3));
 }
 
 BOOST_AUTO_TEST_CASE(wantedRolesCountWithinTheFilesBounds)
 {
-    Bench bench(3);
-    bench.fleet_.roleBounds_.push_back({Domain, ModelId("m"), 0, 1, 0, 3});
+    PlanFixture fixture(3);
+    fixture.fleet_.roleBounds_.push_back({Domain, ModelId("m"), 0, 1, 0, 3});
     const WantedRoles roles {{engineId(1), EngineRole::Prefill},
                              {engineId(2), EngineRole::Prefill},
                              {engineId(3), EngineRole::Decode},
                              {EndpointId("gone"), EngineRole::Decode}};
-    const auto targets = wantedTargets(bench.fleet_, Domain, roles, {});
+    const auto targets = wantedTargets(fixture.fleet_, Domain, roles, {});
     BOOST_REQUIRE(targets.size() == 3U);
     BOOST_TEST((targets.at(engineId(1)).role_ == EngineRole::Prefill));
     BOOST_TEST((targets.at(engineId(2)).role_ == EngineRole::Mixed));
     BOOST_TEST((targets.at(engineId(3)).role_ == EngineRole::Decode));
-    BOOST_TEST(wantedTargets(bench.fleet_, Domain, roles, {engineId(1)}).count(engineId(1)) == 0U);
+    BOOST_TEST(wantedTargets(fixture.fleet_, Domain, roles, {engineId(1)}).count(engineId(1))
+               == 0U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/libs/control/tests/reconcilertest.cpp
+++ b/libs/control/tests/reconcilertest.cpp
@@ -20,24 +20,27 @@
 }
 
 /** An instance's connection to the log; can be interrupted. */
-class LogLine : public store::LogService
+class InterruptibleLog : public store::LogService
 {
 public:
-    explicit LogLine(store::FakeLog &log)
+    explicit InterruptibleLog(store::FakeLog &log)
         : log_(log)
     { }
     Result<LogOffset> append(const std::vector<std::string> &bodies, TimePoint deadline) override
     {
-        return cut_ ? Result<LogOffset>(noLine()) : log_.append(bodies, deadline);
+        return interrupted_ ? Result<LogOffset>(unreachable()) : log_.append(bodies, deadline);
     }
     Result<store::LogPage> read(LogOffset from, TimePoint waitUntil) override
     {
-        return cut_ ? Result<store::LogPage>(noLine()) : log_.read(from, waitUntil);
+        return interrupted_ ? Result<store::LogPage>(unreachable()) : log_.read(from, waitUntil);
     }
-    std::atomic<bool> cut_ = false;
+    std::atomic<bool> interrupted_ = false;
 
 private:
-    static boost::leaf::error_id noLine() { return fail(ErrorKind::Unavailable, "cut", "wait"); }
+    static boost::leaf::error_id unreachable()
+    {
+        return fail(ErrorKind::Unavailable, "cut", "wait");
+    }
 
     store::FakeLog &log_;
 };
@@ -76,8 +79,8 @@
         conflicts_ +=
             order.fence_ < latestFence_ || !sent_.insert({engine.id_, order.sequence_}).second;
         latestFence_ = std::max(latestFence_, order.fence_);
-        take(engine.id_, state, order);
-        mostAway_ = std::max(mostAway_, away());
+        accept(engine.id_, state, order);
+        maxAway_ = std::max(maxAway_, away());
         drains_ += !order.target_.admit_;
         return state;
     }
@@ -99,18 +102,19 @@
 
     std::map<EndpointId, EngineState> states_;
     int conflicts_ = 0; ///< Orders with an older fence, or sent twice.
-    int cuts_ = 0;      ///< Changes of an engine that was not drained or still ran something.
-    int mostAway_ = 0;
+    int changesWithoutDrain_ =
+        0; ///< Changes of an engine that was not drained or still ran something.
+    int maxAway_ = 0;
     int drains_ = 0;
     std::function<void(const EndpointId &, EngineState &)> onRead_; ///< Called before each read.
     Fence latestFence_ = 0;
 
 private:
-    void take(const EndpointId &id, EngineState &state, const EngineOrder &order)
+    void accept(const EndpointId &id, EngineState &state, const EngineOrder &order)
     {
         const bool unclear = state.phase_ == EnginePhase::Unclear;
         if (unclear || withAdmit(order.target_, false) != withAdmit(state.target_, false)) {
-            cuts_ += state.running_ > 0 || (state.target_.admit_ && !unclear);
+            changesWithoutDrain_ += state.running_ > 0 || (state.target_.admit_ && !unclear);
             state.phase_ = EnginePhase::Changing;
             reads_[id] = 0;
         }
@@ -131,7 +135,7 @@
 };
 
 /** The engine calls of an instance that reaches no engine. */
-class NoEngines : public EngineOrders
+class UnreachableEngines : public EngineOrders
 {
 public:
     Result<EngineState> readState(const fleet::Endpoint &, TimePoint) override
@@ -160,7 +164,7 @@
         const std::scoped_lock lock(mutex_);
         return announcements_[availability];
     }
-    Availabilities told()
+    Availabilities announced()
     {
         const std::scoped_lock lock(mutex_);
         return announced_;
@@ -176,10 +180,10 @@
 struct Instance
 {
     Instance(const char *name, store::FakeLog &log, EngineOrders &engines)
-        : line_(log)
+        : logService_(log)
         , timeline_(InstanceId(name), Domain, 10'000)
         , log_(ControlLog::Builder()
-                   .logService(line_)
+                   .logService(logService_)
                    .appendsPerSecond(500)
                    .readWait(50)
                    .readPause(5)
@@ -196,23 +200,23 @@
         log_->start();
         reconciler_->start();
     }
-    bool explains(const std::string &name) const
+    bool hasEvent(const std::string &name) const
     {
         const auto events = timeline_.events();
         return std::any_of(events.begin(), events.end(),
                            [&](const observe::Event &event) { return event.name_ == name; });
     }
 
-    LogLine line_;
+    InterruptibleLog logService_;
     observe::Timeline timeline_;
     FakeAnnouncer announcer_;
     std::unique_ptr<ControlLog> log_;
     std::unique_ptr<Reconciler> reconciler_;
 };
 
-struct World
+struct Cluster
 {
-    World()
+    Cluster()
     {
         fleet_.name_ = "lagon";
         fleet_.domains_ = {Domain};
@@ -245,18 +249,18 @@
 bool allOpen(Instance &instance)
 {
     return eventually([&] {
-        const Availabilities told = instance.announcer_.told();
-        return told.size() == Engines
-               && std::all_of(told.begin(), told.end(),
+        const Availabilities announced = instance.announcer_.announced();
+        return announced.size() == Engines
+               && std::all_of(announced.begin(), announced.end(),
                               [](const auto &item) { return item.second == Availability::Open; });
     });
 }
 
-void checkOrders(World &world)
+void checkOrders(Cluster &cluster)
 {
-    world.engines_.with([](FakeEngines &engines) {
+    cluster.engines_.with([](FakeEngines &engines) {
         BOOST_TEST(engines.conflicts_ == 0);
-        BOOST_TEST(engines.cuts_ == 0);
+        BOOST_TEST(engines.changesWithoutDrain_ == 0);
     });
 }
 
@@ -266,67 +270,67 @@
 
 BOOST_AUTO_TEST_CASE(everyEngineGetsTheFileAndRolesAndStopReleasesTheLease)
 {
-    World world;
-    Instance one("one", world.log_, world.engines_);
+    Cluster cluster;
+    Instance one("one", cluster.log_, cluster.engines_);
     BOOST_REQUIRE(allOpen(one));
-    world.apply("2");
-    BOOST_REQUIRE(eventually([&] { return world.engines_.allAre("2", EngineRole::Mixed); }));
+    cluster.apply("2");
+    BOOST_REQUIRE(eventually([&] { return cluster.engines_.allAre("2", EngineRole::Mixed); }));
     WantedRoles roles;
     for (int number = 1; number <= Engines; ++number) {
         roles[engineId(number)] = EngineRole::Decode;
     }
     one.reconciler_->setWantedRoles(roles);
-    BOOST_REQUIRE(eventually([&] { return world.engines_.allAre("2", EngineRole::Decode); }));
+    BOOST_REQUIRE(eventually([&] { return cluster.engines_.allAre("2", EngineRole::Decode); }));
     BOOST_REQUIRE(allOpen(one));
     BOOST_TEST(one.announcer_.count(Availability::Draining) == 2 * Engines);
-    BOOST_TEST(world.engines_.with([](FakeEngines &engines) { return engines.mostAway_; }) == 1);
-    BOOST_TEST(one.explains("lease.claimed"));
-    BOOST_TEST(one.explains("order.sent"));
+    BOOST_TEST(cluster.engines_.with([](FakeEngines &engines) { return engines.maxAway_; }) == 1);
+    BOOST_TEST(one.hasEvent("lease.claimed"));
+    BOOST_TEST(one.hasEvent("order.sent"));
     one.reconciler_->stop();
     BOOST_TEST(one.log_->read([](const Fold &fold) { return fold.lease(Domain)->released_; }));
     BOOST_TEST(!one.reconciler_->heldFence());
-    checkOrders(world);
+    checkOrders(cluster);
 }
 
 // Two holders would order the same engines when a holder is partitioned from the log during a
 // change, its lease expires, and it goes on or its successor ignores the open intents.
 BOOST_AUTO_TEST_CASE(aSuccessorCompletesTheChangeOfAPartitionedHolder)
 {
-    World world;
-    Instance one("one", world.log_, world.engines_);
+    Cluster cluster;
+    Instance one("one", cluster.log_, cluster.engines_);
     BOOST_REQUIRE(eventually([&] { return one.reconciler_->heldFence().has_value(); }));
-    Instance two("two", world.log_, world.engines_);
-    world.apply("2");
+    Instance two("two", cluster.log_, cluster.engines_);
+    cluster.apply("2");
     BOOST_REQUIRE(eventually([&] { return one.announcer_.count(Availability::Draining) > 0; }));
-    one.line_.cut_ = true;
+    one.logService_.interrupted_ = true;
     BOOST_REQUIRE(eventually([&] { return two.reconciler_->heldFence().has_value(); }));
     BOOST_TEST(!one.reconciler_->heldFence());
-    BOOST_REQUIRE(eventually([&] { return world.engines_.allAre("2", EngineRole::Mixed); }));
+    BOOST_REQUIRE(eventually([&] { return cluster.engines_.allAre("2", EngineRole::Mixed); }));
     BOOST_REQUIRE(allOpen(two));
-    BOOST_TEST(one.explains("lease.lost"));
-    checkOrders(world);
+    BOOST_TEST(one.hasEvent("lease.lost"));
+    checkOrders(cluster);
 }
 
 BOOST_AUTO_TEST_CASE(lostAcknowledgementsNeitherStopAChangeNorSendAnOrderTwice)
 {
-    World world;
-    Instance one("one", world.log_, world.engines_);
+    Cluster cluster;
+    Instance one("one", cluster.log_, cluster.engines_);
     BOOST_REQUIRE(allOpen(one));
-    world.log_.loseAcks(4);
-    world.apply("2");
-    BOOST_REQUIRE(eventually([&] { return world.engines_.allAre("2", EngineRole::Mixed); }));
-    checkOrders(world);
+    cluster.log_.loseAcks(4);
+    cluster.apply("2");
+    BOOST_REQUIRE(eventually([&] { return cluster.engines_.allAre("2", EngineRole::Mixed); }));
+    checkOrders(cluster);
 }
 
 // An engine that crashes between the intent of its drain and the order would be ordered back into
 // the state before its crash.
 BOOST_AUTO_TEST_CASE(anOrderIsNotBasedOnAStateReadBeforeItsIntent)
 {
-    World world;
+    Cluster cluster;
     bool crashed = false;
-    world.engines_.with([&](FakeEngines &engines) {
+    cluster.engines_.with([&](FakeEngines &engines) {
         engines.onRead_ = [&](const EndpointId &, EngineState &state) {
-            const auto records = world.log_.records();
+            const auto records = cluster.log_.records();
             const bool intended = std::any_of(records.begin(), records.end(), [](const auto &item) {
                 return item.body_.find("\"intent\"") != std::string::npos;
             });
@@ -335,49 +339,49 @@
             }
         };
     });
-    Instance one("one", world.log_, world.engines_);
+    Instance one("one", cluster.log_, cluster.engines_);
     BOOST_REQUIRE(allOpen(one));
-    world.apply("2");
-    BOOST_REQUIRE(eventually([&] { return world.engines_.allAre("2", EngineRole::Mixed); }));
-    BOOST_TEST(world.engines_.with([](FakeEngines &engines) { return engines.drains_; })
+    cluster.apply("2");
+    BOOST_REQUIRE(eventually([&] { return cluster.engines_.allAre("2", EngineRole::Mixed); }));
+    BOOST_TEST(cluster.engines_.with([](FakeEngines &engines) { return engines.drains_; })
                == Engines - 1);
     BOOST_TEST(one.announcer_.count(Availability::Unclear) == 1);
-    checkOrders(world);
+    checkOrders(cluster);
 }
 
 // No fleet file would come into force in the domain when the holder reaches the log but no engine
 // and keeps renewing the lease, although its neighbour reaches both.
 BOOST_AUTO_TEST_CASE(aHolderThatReachesNoEngineReleasesTheLease)
 {
-    World world;
-    NoEngines nowhere;
-    Instance one("one", world.log_, nowhere);
+    Cluster cluster;
+    UnreachableEngines nowhere;
+    Instance one("one", cluster.log_, nowhere);
     BOOST_REQUIRE(eventually([&] { return one.reconciler_->heldFence().has_value(); }));
-    Instance two("two", world.log_, world.engines_);
-    world.apply("2");
-    BOOST_REQUIRE(eventually([&] { return world.engines_.allAre("2", EngineRole::Mixed); }));
-    checkOrders(world);
+    Instance two("two", cluster.log_, cluster.engines_);
+    cluster.apply("2");
+    BOOST_REQUIRE(eventually([&] { return cluster.engines_.allAre("2", EngineRole::Mixed); }));
+    checkOrders(cluster);
 }
 
 // The domain would get no orders, or the engine endless ones, when an engine with a fence higher
 // than any lease rejects all orders and its rejection is taken for the loss of the lease.
 BOOST_AUTO_TEST_CASE(anEngineThatRefusesEveryFenceDoesNotStopTheOthers)
 {
-    World world;
-    world.engines_.with(
+    Cluster cluster;
+    cluster.engines_.with(
         [](FakeEngines &engines) { engines.states_[engineId(1)].fence_ = 1'000'000; });
-    Instance one("one", world.log_, world.engines_);
+    Instance one("one", cluster.log_, cluster.engines_);
     BOOST_REQUIRE(allOpen(one));
-    world.apply("2");
+    cluster.apply("2");
     BOOST_REQUIRE(eventually([&] {
-        return world.engines_.with([](FakeEngines &engines) {
+        return cluster.engines_.with([](FakeEngines &engines) {
             return engines.states_[engineId(2)].target_.version_ == "2"
                    && engines.states_[engineId(4)].target_.version_ == "2"
                    && engines.states_[engineId(3)].target_.version_ == "2";
-        }) && one.explains("order.refused");
+        }) && one.hasEvent("order.refused");
     }));
     BOOST_TEST(one.reconciler_->heldFence().has_value());
-    checkOrders(world);
+    checkOrders(cluster);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
