--- a/libs/control/src/fold.cpp
+++ b/libs/control/src/fold.cpp
@@ -56,7 +56,7 @@
 FoldStep Fold::fold(const store::LogRecord &record)
 {
     if (record.offset_ < next_) {
-        return {record.offset_, Verdict::Duplicate, {}, "folded before", {}, false};
+        return {record.offset_, Verdict::Duplicate, {}, "this offset was folded before", {}, false};
     }
     return record.offset_ == next_ ? foldNext(record) : foldSnapshotAhead(record);
 }
@@ -86,7 +86,7 @@
 {
     FoldStep step;
     step.offset_ = record.offset_;
-    step.reason_ = "offset " + std::to_string(next_) + " is wanted first";
+    step.reason_ = "offset " + std::to_string(next_) + " must be folded first";
     auto decoded = capture([&] { return decodeRecord(record.body_); });
     Record *body = std::get_if<Record>(&decoded);
     if (body == nullptr || !std::holds_alternative<SnapshotRecord>(*body)) {
@@ -187,7 +187,7 @@
                                   + ", held by '" + current.holder_.value() + "'");
     }
     if (record.termMillis_ <= 0) {
-        return Evaluation::reject("a lease needs a term");
+        return Evaluation::reject("the lease term is not positive");
     }
     leases_[record.domain_] = {record.domain_, record.holder_,     offset,
                                offset,         record.termMillis_, false};
@@ -243,7 +243,7 @@
     // Only the lease holder of the intent's own domain may close it: the holder of another domain
     // cannot know whether the order is still in progress.
     if (open->second.intent_.domain_ != record.domain_) {
-        return Evaluation::reject("the intent is of another failure domain");
+        return Evaluation::reject("the intent belongs to another failure domain");
     }
     if (record.outcome_ == OrderOutcome::Done) {
         lastDone_[record.engine_] = std::move(open->second.intent_.target_);
@@ -259,7 +259,7 @@
     // A delayed append could arrive after the key's first claim was dropped. Accepting it would
     // run the request a second time, so its own wall time is checked against the horizon.
     if (record.wallMillis_ < horizonStart()) {
-        return Evaluation::reject("older than the horizon");
+        return Evaluation::reject("the claim is older than the horizon");
     }
     if (const KeyClaim *earlier = claim(record.key_)) {
         return Evaluation::reject("claimed by request '" + earlier->request_.value() + "'");
@@ -294,7 +294,7 @@
         return Evaluation::reject("the request does not hold the claim");
     }
     if (found->finished_) {
-        return Evaluation::reject("finished before");
+        return Evaluation::reject("the key already has an outcome");
     }
     KeyClaim &finished = claims_[record.key_];
     finished.finished_ = true;
@@ -306,8 +306,9 @@
 Fold::Evaluation Fold::evaluate(const SnapshotRecord &record, LogOffset offset)
 {
     // This reader has already folded everything that the snapshot covers.
-    return record.through_ < offset ? Evaluation::accept()
-                                    : Evaluation::reject("covers offsets after its own");
+    return record.through_ < offset
+               ? Evaluation::accept()
+               : Evaluation::reject("the snapshot covers offsets after its own");
 }
 
 } // namespace almondridge::control
--- a/libs/control/src/foldsnapshot.cpp
+++ b/libs/control/src/foldsnapshot.cpp
@@ -126,11 +126,11 @@
     }
     const Json json = parseBounded(state);
     if (!json.is_object()) {
-        return invalidSnapshot("no JSON object");
+        return invalidSnapshot("not a JSON object");
     }
     FoldState parsed;
     if (const char *wrong = readFields(json, parsed)) {
-        return invalidSnapshot(std::string("a wrong field '") + wrong + "'");
+        return invalidSnapshot(std::string("missing or invalid field '") + wrong + "'");
     }
     // A longer prefix cannot have a lower revision, so this snapshot is from another log.
     // Restoring it would bring back a configuration that was replaced.
--- a/libs/control/src/foldstore.cpp
+++ b/libs/control/src/foldstore.cpp
@@ -59,7 +59,7 @@
     Record *body = std::get_if<Record>(&decoded);
     const auto *snapshot = body == nullptr ? nullptr : std::get_if<SnapshotRecord>(body);
     if (snapshot == nullptr) {
-        logRefusedSnapshot("no snapshot");
+        logRefusedSnapshot("not a snapshot record");
         return std::nullopt;
     }
     const bool taken = tryOr([&] { return fold_.restore(snapshot->through_, snapshot->state_); },
--- a/libs/control/src/records.cpp
+++ b/libs/control/src/records.cpp
@@ -115,7 +115,7 @@
 {
     const Json object = parseBounded(body);
     if (!object.is_object()) {
-        return invalidRecord("no JSON object");
+        return invalidRecord("not a JSON object");
     }
     const RecordCodec *codec = findCodec(object.value(KindField, Json()));
     if (codec == nullptr) {
@@ -123,11 +123,12 @@
     }
     IdentifiedRecord decoded;
     if (const char *wrong = codec->decode_(object, decoded.record_)) {
-        return invalidRecord(std::string(codec->kind_) + " with a wrong field '" + wrong + "'");
+        return invalidRecord(std::string(codec->kind_) + ": missing or invalid field '" + wrong
+                             + "'");
     }
     const auto id = object.find(IdField);
     if (id != object.end() && !JsonValue<std::string>::read(*id, decoded.id_)) {
-        return invalidRecord("an id that is no text");
+        return invalidRecord("the id is not a string");
     }
     return decoded;
 }
--- a/libs/store/src/httpstore.cpp
+++ b/libs/store/src/httpstore.cpp
@@ -18,7 +18,7 @@
 Result<ListedInstance> parseInstance(const Json &entry)
 {
     if (!entry.is_object()) {
-        return protocolError(ListSource, "an entry that is no object");
+        return protocolError(ListSource, "an entry that is not an object");
     }
     ListedInstance instance;
     instance.id_ = textOf(entry, "id");
