--- a/libs/control/src/enginework.h
+++ b/libs/control/src/enginework.h
@@ -1,5 +1,5 @@
 /**
- * Carries out the steps that an OrderPlan wants: reads, announcements, records and orders.
+ * Executes the steps of an OrderPlan: reads, announcements, log records and orders.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace almondridge::control {
 
-/** What a Reconciler works with. Store and time line may be null. */
+/** The dependencies of a Reconciler. Store and timeline may be null. */
 struct ReconcilerParts
 {
     InstanceId instance_;
@@ -22,7 +22,7 @@
     observe::Timeline *timeline_ = nullptr;
 };
 
-/** Used by several threads at once, each with another endpoint. */
+/** Thread-safe; each thread works on a different endpoint. */
 class EngineWork
 {
 public:
@@ -36,21 +36,21 @@
         return function(plan_);
     }
 
-    /** Carries out the endpoint's steps under the fence until one is to wait, then finishes it. */
-    void look(const EndpointId &id, Fence fence);
-    /** Makes the announcements that no order waits for. */
-    void announceNews(Fence fence);
-    /** Closes intents of engines that left the domain. */
-    void settleOrphans(Fence fence);
-    /** No step is begun from here on. */
+    /** Executes the endpoint's steps under the fence until it has to wait, then finishes it. */
+    void processEndpoint(const EndpointId &id, Fence fence);
+    /** Sends the pending announcements that no order depends on. */
+    void announcePending(Fence fence);
+    /** Closes the open intents of engines that left the domain. */
+    void closeOrphanedIntents(Fence fence);
+    /** Starts no more steps. */
     void stop() noexcept { stopping_ = true; }
 
 private:
-    /** False ends the look. */
-    using Performer = bool (EngineWork::*)(const EndpointId &, Fence, const EngineStep &);
+    /** Executes one step; returns false when no more steps follow for now. */
+    using StepFunction = bool (EngineWork::*)(const EndpointId &, Fence, const EngineStep &);
 
-    bool goesOn(Fence fence) const;
-    bool lookOnce(const EndpointId &id, Fence fence);
+    bool mayContinue(Fence fence) const;
+    bool executeNextStep(const EndpointId &id, Fence fence);
     bool readState(const EndpointId &id, Fence fence);
     std::optional<OpenIntent> openIntent(const EndpointId &id) const;
     std::optional<fleet::Endpoint> endpoint(const EndpointId &id) const;
@@ -58,15 +58,15 @@
 
     bool wait(const EndpointId &id, Fence fence, const EngineStep &step);
     bool announce(const EndpointId &id, Fence fence, const EngineStep &step);
-    bool askWeights(const EndpointId &id, Fence fence, const EngineStep &step);
-    bool settle(const EndpointId &id, Fence fence, const EngineStep &step);
+    bool readStoreStatus(const EndpointId &id, Fence fence, const EngineStep &step);
+    bool closeIntent(const EndpointId &id, Fence fence, const EngineStep &step);
     bool order(const EndpointId &id, Fence fence, const EngineStep &step);
     bool send(const EndpointId &id, const EngineOrder &order);
-    SendResult noteAnswer(const EndpointId &id, const std::variant<EngineState, Error> &answer);
-    void explain(observe::EventKind kind, std::string name, const EndpointId &id,
-                 std::string detail) const;
+    SendResult recordAnswer(const EndpointId &id, const std::variant<EngineState, Error> &answer);
+    void addTimelineEvent(observe::EventKind kind, std::string name, const EndpointId &id,
+                          std::string detail) const;
 
-    /** Runs function on the plan if it still works under fence. False when it does not. */
+    /** Runs function on the plan if its fence is still the given one; otherwise returns false. */
     template <typename Function>
     bool underFence(Fence fence, Function &&function) const
     {
@@ -85,11 +85,11 @@
     mutable std::mutex planMutex_;
     mutable OrderPlan plan_;
 
-    /** One announcement at a time, so that entries hear the latest one last. */
+    /** Serialises announcements so that instances receive the latest one last. */
     std::mutex announceMutex_;
 
     std::mutex waitsMutex_;
-    std::map<EndpointId, std::string> explainedWaits_;
+    std::map<EndpointId, std::string> loggedWaits_;
 };
 
 } // namespace almondridge::control
--- a/libs/control/src/leasekeeper.cpp
+++ b/libs/control/src/leasekeeper.cpp
@@ -5,12 +5,12 @@
 namespace almondridge::control {
 namespace {
 
-/** A renewal goes out after this share of the term, so that two tries may fail. */
+/** A lease is renewed after this fraction of its term, so two attempts may fail. */
 constexpr int RenewalsPerTerm = 3;
-/** The least wait between two tries, as a share of the term; the back-off comes on top. */
+/** Minimum wait between two attempts, as a fraction of the term; the backoff is added. */
 constexpr int TriesPerTerm = 6;
 
-/** A domain that never had a lease is as free as one whose lease was released. */
+/** A domain without any lease is treated like one with a released lease. */
 LeaseState noLease()
 {
     LeaseState none;
@@ -30,19 +30,20 @@
 
 LeaseStep LeaseKeeper::next(const Fold &fold, TimePoint now, Record &record)
 {
-    // A reader of a trimmed log without a snapshot knows of no holder, and so of no lease free.
-    if (!fold.knowsAnything()) {
+    // Without any folded record the current holder is unknown, for example when the log was
+    // trimmed and has no snapshot.
+    if (!fold.hasState()) {
         return LeaseStep::Wait;
     }
     return next(fold.lease(domain_), now, record);
 }
 
-LeaseStep LeaseKeeper::next(const LeaseState *inForce, TimePoint now, Record &record)
+LeaseStep LeaseKeeper::next(const LeaseState *current, TimePoint now, Record &record)
 {
-    forgetIfLapsed(now);
-    witness(inForce != nullptr ? *inForce : noLease(), now);
+    dropIfExpired(now);
+    onLeaseRead(current != nullptr ? *current : noLease(), now);
     if (fence_) {
-        return nextRenewal(inForce, now, record);
+        return nextRenewal(current, now, record);
     }
     if (now < nextTry_ || now < claimFrom_) {
         return LeaseStep::Wait;
@@ -51,10 +52,10 @@
     return LeaseStep::Claim;
 }
 
-LeaseStep LeaseKeeper::nextRenewal(const LeaseState *inForce, TimePoint now, Record &record) const
+LeaseStep LeaseKeeper::nextRenewal(const LeaseState *current, TimePoint now, Record &record) const
 {
-    const bool inForceHere = inForce != nullptr && inForce->fence_ == *fence_;
-    if (!inForceHere || now < nextTry_) {
+    const bool isOwnLease = current != nullptr && current->fence_ == *fence_;
+    if (!isOwnLease || now < nextTry_) {
         return LeaseStep::Wait;
     }
     record = LeaseRenewRecord {domain_, self_, *fence_, false};
@@ -68,37 +69,37 @@
     const auto *renewal = std::get_if<LeaseRenewRecord>(&record);
     appending_ = renewal != nullptr ? Appending::Renewal : Appending::Claim;
     if (renewal != nullptr && renewal->release_) {
-        // From here on the log may show the lease free: a successor sends without waiting.
+        // From here on a successor may read the release and send orders without waiting.
         fence_.reset();
     }
-    const TimePoint waited = othersExpire_ + millis(OrderNetworkBoundMillis) + margin_;
-    appendingFirstOrder_ = seenReleased_ ? TimePoint {} : waited;
+    const TimePoint waited = observedExpiry_ + millis(OrderNetworkBoundMillis) + margin_;
+    pendingFirstUnfencedOrder_ = seenReleased_ ? TimePoint {} : waited;
 }
 
 /**
- * The lease counts from before the append, and only once this append's own verdict is known. A
- * record that reads the same may be an earlier try that landed late, or be of a process of the
- * same name that this one replaced: to count that one from here would be to hold the lease for
- * longer than the others wait.
+ * The term starts before the append, and the lease is held only once the verdict on this very
+ * append is known. An identical record may be a delayed earlier attempt, or come from a previous
+ * process with the same instance id; measuring the term of that record from this append would
+ * hold the lease for longer than other instances wait.
  */
 void LeaseKeeper::onVerdict(Verdict verdict, LogOffset offset, TimePoint now)
 {
-    forgetIfLapsed(now);
+    dropIfExpired(now);
     const Appending appended = std::exchange(appending_, Appending::Nothing);
     if (verdict != Verdict::Accepted) {
         return;
     }
     if (appended == Appending::Claim) {
         fence_ = offset;
-        firstOrderToIgnoring_ = appendingFirstOrder_;
+        firstUnfencedOrder_ = pendingFirstUnfencedOrder_;
     }
     if (appended == Appending::Nothing || !fence_) {
         return;
     }
     heldUntil_ = appendingSince_ + term_;
     nextTry_ = appendingSince_ + term_ / RenewalsPerTerm;
-    // A verdict that took longer than the term brings a lease that has lapsed.
-    forgetIfLapsed(now);
+    // The lease has already expired if the verdict took longer than the term.
+    dropIfExpired(now);
 }
 
 void LeaseKeeper::onFolded(const FoldStep &step) noexcept
@@ -115,7 +116,7 @@
 
 std::optional<LeaseRenewRecord> LeaseKeeper::release(TimePoint now) const
 {
-    if (!heldFence(now) || now < firstOrderToIgnoring_) {
+    if (!heldFence(now) || now < firstUnfencedOrder_) {
         return std::nullopt;
     }
     return LeaseRenewRecord {domain_, self_, *fence_, true};
@@ -127,25 +128,25 @@
 }
 
 /**
- * A lapsed lease is never taken up again, even if a late renewal of it is accepted: the holder
- * slept or was cut off, and has to go through a claim like anyone else.
+ * An expired lease is never resumed, even if a delayed renewal is accepted: the holder was paused
+ * or partitioned and has to claim the lease again like any other instance.
  */
-void LeaseKeeper::forgetIfLapsed(TimePoint now) noexcept
+void LeaseKeeper::dropIfExpired(TimePoint now) noexcept
 {
     if (fence_ && now >= heldUntil_) {
         fence_.reset();
     }
 }
 
-void LeaseKeeper::witness(const LeaseState &inForce, TimePoint now)
+void LeaseKeeper::onLeaseRead(const LeaseState &current, TimePoint now)
 {
-    if (seenRecord_ == inForce.lastRecord_) {
+    if (seenRecord_ == current.lastRecord_) {
         return;
     }
-    seenRecord_ = inForce.lastRecord_;
-    seenReleased_ = inForce.released_;
-    othersExpire_ = inForce.released_ ? now : now + millis(inForce.termMillis_) + margin_;
-    claimFrom_ = othersExpire_ + backoff_;
+    seenRecord_ = current.lastRecord_;
+    seenReleased_ = current.released_;
+    observedExpiry_ = current.released_ ? now : now + millis(current.termMillis_) + margin_;
+    claimFrom_ = observedExpiry_ + backoff_;
 }
 
 } // namespace almondridge::control
--- a/libs/control/src/reconciler.cpp
+++ b/libs/control/src/reconciler.cpp
@@ -6,17 +6,17 @@
 namespace almondridge::control {
 namespace {
 
-/** Between two rounds of handing out endpoints that are due. */
+/** Interval between two rounds that dispatch the endpoints that are due. */
 constexpr std::chrono::milliseconds RoundInterval {50};
-/** Bounds the reads, announcements and appends under way at once. */
+/** Limits the concurrent reads, announcements and appends. */
 constexpr int Workers = 8;
-/** Between two looks for open intents of engines that left the domain. */
-constexpr Duration OrphanInterval = millis(2'000);
-/** After so many terms without an answer of any engine the lease is given up, */
-constexpr int BlindTerms = 2;
-/** and not claimed again for so many. */
-constexpr int PauseTerms = 5;
-/** A release that the log does not take by then is left to lapse. */
+/** Interval between two searches for open intents of engines that left the domain. */
+constexpr Duration OrphanedIntentInterval = millis(2'000);
+/** The lease is released when no engine could be read for this many terms. */
+constexpr int UnreadableTermsBeforeRelease = 2;
+/** After that, the lease is not claimed again for this many terms. */
+constexpr int ClaimPauseTerms = 5;
+/** A lease whose release is not appended within this time is left to expire. */
 constexpr std::int64_t ReleaseTimeoutMillis = 2'000;
 
 } // namespace
@@ -40,18 +40,18 @@
     void run();
     void round();
     void followLease();
-    bool givesUp();
+    bool yieldsLease();
     void release(TimePoint claimFrom);
 
     ControlLog &log_;
-    std::shared_ptr<LeaseLoop> lease_; ///< Shared with the log's listener, which may outlive it.
+    std::shared_ptr<LeaseLoop> lease_; ///< Shared with the log's listener, which may outlive this.
     EngineWork work_;
     WorkerPool pool_;
     std::thread thread_;
-    std::shared_ptr<const fleet::Fleet> fleet_; ///< The thread's own.
-    TimePoint nextOrphans_ {};                  ///< The thread's own.
-    TimePoint blindSince_ {};                   ///< The thread's own.
-    bool givingUp_ = false;                     ///< The thread's own.
+    std::shared_ptr<const fleet::Fleet> fleet_; ///< Used by the thread only.
+    TimePoint nextOrphanedIntents_ {};          ///< Used by the thread only.
+    TimePoint unreadableSince_ {};              ///< Used by the thread only.
+    bool yielding_ = false;                     ///< Used by the thread only.
     const Duration term_;
 
     std::mutex mutex_;
@@ -79,7 +79,7 @@
         work_.withPlan([&](OrderPlan &plan) { plan.setFleet(fleet, BootClock::now()); });
     }
     followLease();
-    if (givesUp()) {
+    if (yieldsLease()) {
         return;
     }
     const auto fence = work_.withPlan([](OrderPlan &plan) { return plan.fence(); });
@@ -89,42 +89,42 @@
     const auto due = work_.withPlan([](OrderPlan &plan) { return plan.takeDue(BootClock::now()); });
     for (const EndpointId &id : due) {
         pool_.add([this, id, fence = *fence] {
-            work_.look(id, fence);
-            wake_.notify_all(); // An engine that waited for this one may be due.
+            work_.processEndpoint(id, fence);
+            wake_.notify_all(); // An engine that waited for this one may be due now.
         });
     }
-    if (const TimePoint now = BootClock::now(); now >= nextOrphans_) {
-        nextOrphans_ = now + OrphanInterval;
-        pool_.add([this, fence = *fence] { work_.settleOrphans(fence); });
+    if (const TimePoint now = BootClock::now(); now >= nextOrphanedIntents_) {
+        nextOrphanedIntents_ = now + OrphanedIntentInterval;
+        pool_.add([this, fence = *fence] { work_.closeOrphanedIntents(fence); });
     }
-    if (work_.withPlan([](OrderPlan &plan) { return plan.hasNews(); })) {
-        pool_.add([this, fence = *fence] { work_.announceNews(fence); });
+    if (work_.withPlan([](OrderPlan &plan) { return plan.hasPendingAnnouncements(); })) {
+        pool_.add([this, fence = *fence] { work_.announcePending(fence); });
     }
 }
 
 /**
- * An instance that reaches the log but no engine would keep the lease and do nothing with it,
- * while its neighbours could. It stops its steps, and gives the lease up when none is under way.
+ * An instance that reaches the log but none of the engines would keep renewing a lease that other
+ * instances could use. It starts no more steps and releases the lease when none is in progress.
  */
-bool Reconciler::State::givesUp()
+bool Reconciler::State::yieldsLease()
 {
     const TimePoint now = BootClock::now();
-    const bool blind = work_.withPlan(
-        [](OrderPlan &plan) { return plan.fence().has_value() && plan.seesNoEngine(); });
-    if (!blind && !givingUp_) {
-        blindSince_ = now;
+    const bool allUnreadable = work_.withPlan(
+        [](OrderPlan &plan) { return plan.fence().has_value() && plan.allEnginesUnreadable(); });
+    if (!allUnreadable && !yielding_) {
+        unreadableSince_ = now;
         return false;
     }
-    if (now < blindSince_ + BlindTerms * term_) {
+    if (now < unreadableSince_ + UnreadableTermsBeforeRelease * term_) {
         return false;
     }
-    givingUp_ = true;
-    work_.withPlan([](OrderPlan &plan) { plan.drop(); });
+    yielding_ = true;
+    work_.withPlan([](OrderPlan &plan) { plan.onLeaseLost(); });
     if (!lease_->held()) {
-        givingUp_ = false;
+        yielding_ = false;
     } else if (work_.withPlan([&](OrderPlan &plan) { return plan.mayRelease(now); })) {
-        release(now + PauseTerms * term_);
-        givingUp_ = false;
+        release(now + ClaimPauseTerms * term_);
+        yielding_ = false;
     }
     return true;
 }
@@ -136,15 +136,15 @@
 
 void Reconciler::State::followLease()
 {
-    if (givingUp_) {
+    if (yielding_) {
         return;
     }
     const auto held = lease_->held();
     work_.withPlan([&](OrderPlan &plan) {
         if (!held) {
-            plan.drop();
+            plan.onLeaseLost();
         } else if (plan.fence() != held->fence_) {
-            plan.hold(held->fence_, held->firstOrderToIgnoring_, BootClock::now());
+            plan.onLeaseAcquired(held->fence_, held->firstUnfencedOrder_, BootClock::now());
         }
     });
 }
@@ -165,7 +165,7 @@
     state_->thread_ = std::thread([state = state_.get()] { state->run(); });
 }
 
-/** The lease is renewed until the last step under way is done: orders need it until then. */
+/** Renews the lease until the last step in progress is done, because orders need it. */
 void Reconciler::stop()
 {
     if (!state_->thread_.joinable()) {
@@ -201,9 +201,9 @@
     state_->wake_.notify_all();
 }
 
-void Reconciler::lookAt(const EndpointId &engine)
+void Reconciler::requestCheck(const EndpointId &engine)
 {
-    state_->work_.withPlan([&](OrderPlan &plan) { plan.lookAt(engine, BootClock::now()); });
+    state_->work_.withPlan([&](OrderPlan &plan) { plan.requestCheck(engine, BootClock::now()); });
     state_->wake_.notify_all();
 }
 
--- a/libs/control/src/records.cpp
+++ b/libs/control/src/records.cpp
@@ -12,10 +12,11 @@
 constexpr const char *ThroughField = "through";
 constexpr const char *StateField = "state";
 
-boost::leaf::error_id notOurs(const std::string &what)
+boost::leaf::error_id invalidRecord(const std::string &what)
 {
-    return fail(ErrorKind::Protocol, "not a record of the control log: " + what,
-                "keep other writers off this log, and run one version everywhere");
+    return fail(
+        ErrorKind::Protocol, "not a record of the control log: " + what,
+        "let no other program write to this log, and run the same version on all instances");
 }
 
 template <typename T>
@@ -24,14 +25,14 @@
     writeFields(std::get<T>(record), object);
 }
 
-/** The name of the first wrong field, or null. */
+/** Returns the name of the first invalid field, or null. */
 template <typename T>
 const char *decodeAs(const Json &object, Record &record)
 {
     return readFields(object, record.emplace<T>());
 }
 
-/** The state goes in as JSON, not as text in text, which would quote the fleet file twice. */
+/** Embeds the state as JSON, not as a string, which would escape the fleet file twice. */
 void encodeSnapshot(const Record &record, Json &object)
 {
     const auto &snapshot = std::get<SnapshotRecord>(record);
@@ -68,7 +69,7 @@
     return {kind, &encodeAs<T>, &decodeAs<T>};
 }
 
-/** In the order of Record's alternatives. */
+/** In the order of the alternatives of Record. */
 constexpr std::array<RecordCodec, std::variant_size_v<Record>> Codecs {{
     codec<ApplyRecord>("apply"),
     codec<LeaseClaimRecord>("lease-claim"),
@@ -114,19 +115,20 @@
 {
     const Json object = parseBounded(body);
     if (!object.is_object()) {
-        return notOurs("no JSON object");
+        return invalidRecord("not a JSON object");
     }
     const RecordCodec *codec = findCodec(object.value(KindField, Json()));
     if (codec == nullptr) {
-        return notOurs("unknown kind");
+        return invalidRecord("unknown kind");
     }
     IdentifiedRecord decoded;
     if (const char *wrong = codec->decode_(object, decoded.record_)) {
-        return notOurs(std::string(codec->kind_) + " with a wrong field '" + wrong + "'");
+        return invalidRecord(std::string(codec->kind_) + ": missing or invalid field '" + wrong
+                             + "'");
     }
     const auto id = object.find(IdField);
     if (id != object.end() && !JsonValue<std::string>::read(*id, decoded.id_)) {
-        return notOurs("an id that is no text");
+        return invalidRecord("the id is not a string");
     }
     return decoded;
 }
