--- a/spec/authority.pml
+++ b/spec/authority.pml
@@ -1,7 +1,7 @@
 /*
  * The right to give orders that is taken from a group of the platform's store.
  *
- * Code: Authority (libs/gateway). Two instances that ask the store again and again; a store that
+ * Code: LeaderState (libs/gateway). Two instances that ask the store again and again; a store that
  * names one of them, gives the right on when its holder has not asked for a term, and may hand it
  * on at any moment without a word. A claim's place in a log is its fence. A pause, and a cut from
  * the store, are an instance that takes no step for a while; an answer may come late. Engines here
--- a/spec/keylease.pml
+++ b/spec/keylease.pml
@@ -1,8 +1,8 @@
 /*
  * What a caller's key allows is a lease on the configuration that has it.
  *
- * Code: KeyLease and isStillGranted (libs/gateway), Board::onProven, encodeChanges and decodeChanges
- * (libs/news). A reader asks the store, a peer asks the reader; answers take any time, so that they
+ * Code: KeyLease and isStillGranted (libs/gateway), TopicReplica::onCompleteAsOf, encodeChanges and decodeChanges
+ * (libs/replication). A reader asks the store, a peer asks the reader; answers take any time, so that they
  * may be on their way, or in a frozen process, for long. The key is taken away at any moment. The
  * peer takes requests, checks them, and checks again when it sends them to an endpoint.
  *
--- a/spec/runlease.pml
+++ b/spec/runlease.pml
@@ -1,7 +1,7 @@
 /*
  * One run at a time of a request that is suspected to crash endpoints, in the whole fleet.
  *
- * Code: CrashEvidence::acquireLease, holdsLease and onNews, and Call::beginWithLease (libs/gateway).
+ * Code: CrashEvidence::acquireLease, holdsLease and onUpdate, and Call::startWithLease (libs/gateway).
  * Three instances get the request at any moment. One that knows of no live lease announces its own,
  * waits, and runs the request if it knows of no lower number by then. An announcement takes up to
  * DELAY ticks to each of the others (instances that are in touch; what a cut does is not searched).
