--- a/libs/app/include/almondridge/app/commandline.h
+++ b/libs/app/include/almondridge/app/commandline.h
@@ -1,5 +1,5 @@
 /**
- * The command line of the one binary.
+ * Entry point of the almondridge command line.
  */
 #pragma once
 
@@ -7,19 +7,19 @@
 
 namespace almondridge::app {
 
-/** What the process exits with. */
+/** Process exit codes. */
 enum class ExitCode {
     Done = 0,
-    Failed = 1,        ///< Something else went wrong; the message says what.
-    Usage = 2,         ///< The command line is wrong.
-    Invalid = 3,       ///< A settings or fleet file breaks its schema.
-    Conflict = 4,      ///< Another apply won; the message names the revision and what differs.
-    Unknown = 5,       ///< The apply may or may not take effect; ask status.
-    NotRun = 6,        ///< Nothing was changed; try again later.
-    NotEverywhere = 7, ///< In force, but not yet on every live instance.
+    Failed = 1,        ///< Any other failure; stderr has the message.
+    Usage = 2,         ///< Invalid command line.
+    Invalid = 3,       ///< A settings or fleet file is invalid.
+    Conflict = 4,      ///< Another apply was accepted first; its revision and the diff are printed.
+    Unknown = 5,       ///< The apply may or may not take effect; check with status.
+    NotRun = 6,        ///< Nothing was changed; retry later.
+    NotEverywhere = 7, ///< Accepted, but not yet active on every live instance.
 };
 
-/** Runs the verb that argv names. */
+/** Runs the subcommand named by argv[1]. Prints the help and returns Usage if it is unknown. */
 ExitCode runCommandLine(int argc, char **argv);
 
 } // namespace almondridge::app
--- a/libs/app/include/almondridge/app/instance.h
+++ b/libs/app/include/almondridge/app/instance.h
@@ -1,5 +1,5 @@
 /**
- * One running entry instance: every part wired together.
+ * A running entry instance. Creates, connects and owns all of its components.
  */
 #pragma once
 
@@ -14,19 +14,20 @@
 class Instance
 {
 public:
-    /** Starts to listen. Unavailable when an address is taken. */
+    /** Builds all components and starts listening. Unavailable: an address is in use. */
     static Result<std::unique_ptr<Instance>> start(const fleet::Settings &settings);
 
     ~Instance();
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /** The port for callers. */
+    /** TCP port that serves callers. */
     std::uint16_t port() const noexcept;
 
     /**
-     * Graceful shutdown: not ready any more, the lease handed over, new requests still served
-     * for a grace time while the balancer lags, then every request finished.
+     * Shuts down gracefully. Reports not ready and releases the lease, keeps accepting requests
+     * for the settings' grace period because load balancers notice the change late, then stops
+     * accepting and returns once every active request has finished.
      */
     void shutDown();
 
--- a/libs/app/src/adminapi.cpp
+++ b/libs/app/src/adminapi.cpp
@@ -24,8 +24,8 @@
     return list;
 }
 
-/** What an engine's orders depend on, as the file has it. */
-nlohmann::json orderedState(const fleet::Fleet &fleet, const fleet::Endpoint &engine)
+/** The state that fleet configures for engine, as far as engine orders depend on it. */
+nlohmann::json configuredTarget(const fleet::Fleet &fleet, const fleet::Endpoint &engine)
 {
     const auto model = fleet.models_.find(engine.model_);
     nlohmann::json adapters = nlohmann::json::array();
@@ -43,7 +43,7 @@
             {"admit", !engine.leaving_}};
 }
 
-/** The engines that the change from one file to the next gives orders to. */
+/** The orders, one per engine, that replacing fleet file before by after causes. */
 nlohmann::json ordersJson(const fleet::Fleet &before, const fleet::Fleet &after)
 {
     nlohmann::json orders = nlohmann::json::array();
@@ -52,8 +52,8 @@
             continue;
         }
         const auto old = before.endpoints_.find(id);
-        const nlohmann::json target = orderedState(after, engine);
-        if (old == before.endpoints_.end() || orderedState(before, old->second) != target) {
+        const nlohmann::json target = configuredTarget(after, engine);
+        if (old == before.endpoints_.end() || configuredTarget(before, old->second) != target) {
             orders.push_back({{"engine", id.value()}, {"target", target}});
         }
     }
@@ -66,7 +66,7 @@
     return accepted.fleet_ ? *accepted.fleet_ : empty;
 }
 
-bool sameSecret(std::string_view left, std::string_view right)
+bool equalInConstantTime(std::string_view left, std::string_view right)
 {
     return left.size() == right.size()
            && CRYPTO_memcmp(left.data(), right.data(), left.size()) == 0;
@@ -131,7 +131,7 @@
         return false;
     }
     given.remove_prefix(Scheme.size());
-    return sameSecret(given, settings_.operatorKey_);
+    return equalInConstantTime(given, settings_.operatorKey_);
 }
 
 nlohmann::json AdminApi::readJson(net::ServerExchange &exchange) const
@@ -215,11 +215,11 @@
         answerError(exchange, 503, error, unknown ? "unknown" : "not-run");
         return;
     }
-    answerVerdict(exchange, std::get<0>(verdict), std::get<0>(parsed));
+    respondToAppend(exchange, std::get<0>(verdict), std::get<0>(parsed));
 }
 
-void AdminApi::answerVerdict(net::ServerExchange &exchange, const control::AppendVerdict &verdict,
-                             const fleet::Fleet &wanted)
+void AdminApi::respondToAppend(net::ServerExchange &exchange, const control::AppendVerdict &verdict,
+                               const fleet::Fleet &wanted)
 {
     if (verdict.verdict_ == control::Verdict::Accepted
         || verdict.verdict_ == control::Verdict::Duplicate) {
@@ -242,7 +242,7 @@
         nlohmann::json others = nlohmann::json::array();
         const TimePoint deadline = BootClock::now() + millis(AskAllTimeoutMillis);
         for (auto &[instance, status] :
-             askAll(peers_, StatusTopic, nlohmann::json::object(), deadline)) {
+             requestFromAll(peers_, StatusTopic, nlohmann::json::object(), deadline)) {
             others.push_back(std::move(status));
         }
         answer["others"] = std::move(others);
@@ -256,7 +256,7 @@
     if (exchange.queryValue("all") == "1") {
         const TimePoint deadline = BootClock::now() + millis(AskAllTimeoutMillis);
         for (const auto &[instance, answer] :
-             askAll(peers_, TimelineTopic, nlohmann::json::object(), deadline)) {
+             requestFromAll(peers_, TimelineTopic, nlohmann::json::object(), deadline)) {
             perInstance.push_back(observe::eventsFromJson(answer.value("events", "[]")));
         }
     }
--- a/libs/app/src/adminapi.h
+++ b/libs/app/src/adminapi.h
@@ -1,5 +1,5 @@
 /**
- * The operators' calls under /admin.
+ * HTTP API for operators under /admin.
  */
 #pragma once
 
@@ -20,7 +20,7 @@
     AdminApi(const fleet::Settings &settings, control::ControlLog &log, peers::PeerExchange &peers,
              observe::Timeline &timeline, std::function<nlohmann::json()> status);
 
-    /** False when the path is not under /admin. */
+    /** Answers the request; returns false if its path is not under /admin. */
     bool handle(net::ServerExchange &exchange);
 
 private:
@@ -28,7 +28,7 @@
     static const std::array<Call, 5> Calls;
 
     bool authorized(const net::ServerExchange &exchange) const;
-    /** The body as a JSON object; answers 400 itself and gives null when it is none. */
+    /** Reads the body as a JSON object. Otherwise answers 400 and returns null. */
     nlohmann::json readJson(net::ServerExchange &exchange) const;
 
     void showFleet(net::ServerExchange &exchange);
@@ -36,8 +36,8 @@
     void apply(net::ServerExchange &exchange);
     void showStatus(net::ServerExchange &exchange);
     void showTimeline(net::ServerExchange &exchange);
-    void answerVerdict(net::ServerExchange &exchange, const control::AppendVerdict &verdict,
-                       const fleet::Fleet &wanted);
+    void respondToAppend(net::ServerExchange &exchange, const control::AppendVerdict &verdict,
+                         const fleet::Fleet &wanted);
 
     const fleet::Settings settings_;
     control::ControlLog &log_;
--- a/libs/app/src/availabilitytable.h
+++ b/libs/app/src/availabilitytable.h
@@ -1,5 +1,5 @@
 /**
- * Which endpoints get no new work, and who says so.
+ * Tracks which endpoints are withheld from new work, per source.
  */
 #pragma once
 
@@ -12,31 +12,32 @@
 
 namespace almondridge::app {
 
-/** The lease holder's word on its domain's engines; engines not named are open. */
+/** Engine availability of a domain, published by the lease holder; unlisted engines are open. */
 struct Announcement
 {
     Fence fence_ = 0;
-    std::uint64_t version_ = 0; ///< Grows with each change under one fence.
+    std::uint64_t version_ = 0; ///< Increases with each change under the same fence.
     std::map<EndpointId, control::Availability> withheld_;
 };
 
 nlohmann::json toJson(const Announcement &announcement);
-/** Protocol when malformed. */
+/** Fails with Protocol if json is malformed. */
 Result<Announcement> announcementFromJson(const nlohmann::json &json);
 
 /**
- * Merges what the holder announces with what the instance list and the fleet file say. An
- * endpoint is open when nobody withholds it. Thread-safe.
+ * Merges the lease holder's announcement with the leaving endpoints of the instance list and of
+ * the fleet file. An endpoint is open unless one of these sources withholds it. Thread-safe.
  */
 class AvailabilityTable
 {
 public:
     /**
-     * Takes a holder's whole announcement over. One that is older by fence or version changes
-     * nothing, so a holder that lapsed cannot reopen what its successor has closed.
+     * Replaces the stored announcement and returns true. Returns false and changes nothing unless
+     * its (fence, version) is newer, so that a holder with an expired lease cannot reopen engines
+     * that its successor has withheld.
      */
     bool onAnnouncement(const Announcement &announcement);
-    /** The holder's own change: gives the announcement to send. */
+    /** Records a change made by this instance as lease holder; returns the announcement to send. */
     Announcement announce(const EndpointId &engine, control::Availability availability,
                           Fence fence);
     Announcement announcement() const;
@@ -45,7 +46,7 @@
     void setFileLeaving(std::set<EndpointId> leaving);
 
     control::Availability availability(const EndpointId &endpoint) const;
-    /** Everything that is not open. */
+    /** All endpoints that are not open. */
     std::map<EndpointId, control::Availability> withheld() const;
 
 private:
--- a/libs/app/src/endpointwatch.cpp
+++ b/libs/app/src/endpointwatch.cpp
@@ -11,7 +11,7 @@
 constexpr int ReaderThreads = 4;
 constexpr std::int64_t ReadTimeoutMillis = 1'000;
 constexpr std::size_t MaxReportBytes = 1 << 20;
-/** Refused connections in a row after which an endpoint counts as unreachable. */
+/** Consecutive failed reads after which an endpoint is considered unreachable. */
 constexpr int FailuresUntilUnreachable = 2;
 constexpr std::string_view LoadPathEngine = "/engine/load";
 constexpr std::string_view LoadPathService = "/service/load";
@@ -32,8 +32,8 @@
     return json;
 }
 
-/** A stamp of the wall clock as a point of this machine's boot clock, never in the future. */
-TimePoint stampOf(const nlohmann::json &json, TimePoint now)
+/** Converts a wall-clock timestamp to this machine's boot clock; never later than now. */
+TimePoint timestampOf(const nlohmann::json &json, TimePoint now)
 {
     const std::int64_t age = wallMillis() - json.value("stamp_ms", wallMillis());
     return now - millis(std::max<std::int64_t>(age, 0));
@@ -44,7 +44,7 @@
 {
     routing::LoadReport report;
     report.endpoint_ = endpoint.id_;
-    report.stamp_ = stampOf(json, now);
+    report.stamp_ = timestampOf(json, now);
     report.running_ = json.value("running", 0);
     report.waiting_ = json.value("waiting", 0);
     report.prefillTokensWaiting_ = json.value("prefill_tokens_waiting", std::int64_t {0});
@@ -193,7 +193,7 @@
         for (const nlohmann::json &entry : json.at("events")) {
             const std::string hash = entry.at("prefix_hash").get<std::string>();
             events.push_back({endpoint.endpoint_.id_, std::stoull(hash, nullptr, 16),
-                              entry.value("cached", true), stampOf(entry, now)});
+                              entry.value("cached", true), timestampOf(entry, now)});
         }
         endpoint.nextCacheEvent_ = json.at("next").get<std::uint64_t>();
         relay_.withRouter([&](routing::Router &router) {
@@ -202,7 +202,8 @@
             }
         });
     } catch (const std::exception &failure) {
-        // Cache events are hints: a malformed one costs a prefix hit, never a request.
+        // Cache events are only routing hints: losing one may cost a prefix
+        // hit but fails no request.
         logEvent(LogLevel::Warning, "endpoint.cache-events-malformed",
                  {{"endpoint", endpoint.endpoint_.id_.value()}, {"why", failure.what()}});
     }
@@ -218,14 +219,14 @@
         if (found == endpoints_.end()) {
             return;
         }
-        WatchedEndpoint &kept = found->second;
-        kept.reading_ = false;
-        kept.report_ = endpoint.report_;
-        kept.nextCacheEvent_ = endpoint.nextCacheEvent_;
-        kept.failures_ = reachable ? 0 : kept.failures_ + 1;
-        const bool now = kept.failures_ < FailuresUntilUnreachable;
-        changed = now != kept.reachable_;
-        kept.reachable_ = now;
+        WatchedEndpoint &stored = found->second;
+        stored.reading_ = false;
+        stored.report_ = endpoint.report_;
+        stored.nextCacheEvent_ = endpoint.nextCacheEvent_;
+        stored.failures_ = reachable ? 0 : stored.failures_ + 1;
+        const bool now = stored.failures_ < FailuresUntilUnreachable;
+        changed = now != stored.reachable_;
+        stored.reachable_ = now;
         reachable = now;
     }
     condition_.notify_one();
--- a/libs/app/src/endpointwatch.h
+++ b/libs/app/src/endpointwatch.h
@@ -1,5 +1,5 @@
 /**
- * Reads the load reports and cache events of the endpoints of this failure domain.
+ * Polls the endpoints of this failure domain for load reports and cache events.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace almondridge::app {
 
-/** What is known of an endpoint by its own word. */
+/** An endpoint, its polling state and its latest load report. */
 struct WatchedEndpoint
 {
     fleet::Endpoint endpoint_;
@@ -25,7 +25,7 @@
     TimePoint nextRead_ {};
     bool reading_ = false;
     bool reachable_ = true;
-    int failures_ = 0; ///< In a row.
+    int failures_ = 0; ///< Consecutive failed reads.
     std::uint64_t nextCacheEvent_ = 0;
     std::optional<routing::LoadReport> report_;
 };
@@ -33,20 +33,20 @@
 class EndpointWatch
 {
 public:
-    /** onChange is called without locks held when an endpoint became reachable or unreachable. */
+    /** Calls onChange, with no lock held, when an endpoint becomes reachable or unreachable. */
     EndpointWatch(const fleet::Settings &settings, relay::Relay &relay, observe::Timeline &timeline,
                   std::function<void()> onChange);
     ~EndpointWatch();
     EndpointWatch(const EndpointWatch &) = delete;
     EndpointWatch &operator=(const EndpointWatch &) = delete;
 
-    /** Watches the endpoints of this domain in fleet from now on. */
+    /** Replaces the set of polled endpoints by those of this failure domain in fleet. */
     void setFleet(const fleet::Fleet &fleet);
     std::map<EndpointId, WatchedEndpoint> endpoints() const;
 
 private:
     void run();
-    /** Claims the endpoint whose turn is next; waits for it. nullopt when stopping. */
+    /** Waits for the next endpoint that is due and claims it; nullopt when stopping. */
     std::optional<WatchedEndpoint> takeNext();
     void readOne(WatchedEndpoint endpoint);
     void readCacheEvents(WatchedEndpoint &endpoint);
--- a/libs/app/src/entryverb.cpp
+++ b/libs/app/src/entryverb.cpp
@@ -1,5 +1,5 @@
 /**
- * The verb that runs an entry instance on the platform.
+ * The entry subcommand, which runs an entry instance on the platform.
  */
 #include "almondridge/base/log.h"
 #include "almondridge/platform/instance.h"
--- a/libs/app/src/explainverb.cpp
+++ b/libs/app/src/explainverb.cpp
@@ -1,5 +1,5 @@
 /**
- * The verb that tells a request's story from logs.
+ * The explain subcommand, which reconstructs the history of a request from log files.
  */
 #include "almondridge/observe/requesthistory.h"
 #include "options.h"
@@ -12,7 +12,7 @@
 namespace almondridge::app {
 namespace {
 
-/** The log lines of a file; what is no log line is skipped. */
+/** Appends the log lines of a file to lines; lines that do not parse are skipped. */
 Result<void> addLines(const std::string &path, std::vector<observe::LogLine> &lines)
 {
     BOOST_LEAF_AUTO(text, readTextFile(path));
--- a/libs/app/src/instance.cpp
+++ b/libs/app/src/instance.cpp
@@ -10,7 +10,7 @@
 
 using observe::EventKind;
 
-/** Workers beyond the streams, for health checks, operators and refusals under full load. */
+/** Workers beyond maxStreams, for health checks, operators and rejections under full load. */
 constexpr int SpareWorkers = 32;
 constexpr int HeartbeatsUntilLost = 4;
 constexpr std::int64_t KeyHorizonMillis = 3'600'000;
@@ -19,8 +19,8 @@
 constexpr std::int64_t CatchUpMillis = 250;
 constexpr std::int64_t PlanMillis = 1'000;
 constexpr std::int64_t ListTimeoutMillis = 2'000;
-/** How long another domain's word on its room holds, in heartbeats. */
-constexpr int RoomHeartbeats = 4;
+/** Heartbeat intervals for which another failure domain's reported spare capacity stays valid. */
+constexpr int CapacityTtlHeartbeats = 4;
 constexpr std::size_t MaxRecordsPerAnswer = 1'000;
 constexpr std::int64_t DrainPollMillis = 100;
 
@@ -270,7 +270,7 @@
     const auto listed =
         capture([&] { return instanceList_->fetch(BootClock::now() + millis(ListTimeoutMillis)); });
     if (listed.index() == 1) {
-        // The list being out takes nobody away: what was known stays in force.
+        // While the instance list is unavailable, the last known members stay in use.
         return;
     }
     std::vector<peers::PeerAddress> seeds;
@@ -335,7 +335,8 @@
     if (member.domain_ == settings_.domain_) {
         ledger_.onRemoteTotals(member.instance_, digest.value("mix", nlohmann::json::object()));
         if (digest.contains("announcement")) {
-            // Mends an announcement that this instance missed, within one heartbeat.
+            // Heartbeats repeat the announcement, so that an instance which missed it catches up
+            // within one interval.
             const auto announcement =
                 capture([&] { return announcementFromJson(digest["announcement"]); });
             if (announcement.index() == 0
@@ -350,7 +351,7 @@
     for (const auto &[model, share] : spares.items()) {
         spare = std::max(spare, share.is_number() ? share.get<double>() : 0.0);
     }
-    const TimePoint validUntil = now + millis(settings_.heartbeatMillis_) * RoomHeartbeats;
+    const TimePoint validUntil = now + millis(settings_.heartbeatMillis_) * CapacityTtlHeartbeats;
     relay_->withRouter([&](routing::Router &router) {
         router.onDomainCapacity(member.domain_, spare, validUntil);
     });
@@ -431,7 +432,8 @@
     parts_->peers_->heartbeatNow();
     parts_->planTimer_.reset();
     parts_->reconciler_->stop();
-    // The balancer learns late that this instance is not ready; what it still sends is served.
+    // Load balancers notice late that this instance is not ready; requests that they still send
+    // are served.
     std::this_thread::sleep_for(millis(parts_->settings_.shutdownGraceMillis_));
     parts_->relay_->stopAccepting();
     while (!parts_->relay_->waitIdle(BootClock::now() + millis(DrainPollMillis))) { }
--- a/libs/app/src/instanceparts.h
+++ b/libs/app/src/instanceparts.h
@@ -1,5 +1,5 @@
 /**
- * The parts of an entry instance, in the order in which they are built; they go in reverse.
+ * The components of an entry instance, declared in construction order and destroyed in reverse.
  */
 #pragma once
 
@@ -27,7 +27,7 @@
 
 namespace almondridge::app {
 
-/** The relay's view of idempotency keys, kept in the control log. */
+/** Adapts the idempotency keys stored in the control log to the relay's interface. */
 class ControlKeyClaims final : public relay::KeyClaims
 {
 public:
@@ -54,12 +54,12 @@
     Result<void> buildServer();
     void startLoops();
 
-    /** Answers one caller or operator. */
+    /** Handles one HTTP request from a caller or an operator. */
     void serve(net::ServerExchange &exchange);
     bool ready() const;
-    /** Tells the router which endpoints may get work, from every source at once. */
+    /** Updates the reachability of every endpoint in the router from all sources. */
     void refreshReachability();
-    /** Follows a new fleet file. */
+    /** Waits for a newer fleet revision and applies it to the relay and the endpoint watch. */
     void followFleet();
     void followInstanceList();
     void catchUpFromPeers();
--- a/libs/app/src/jsonanswers.cpp
+++ b/libs/app/src/jsonanswers.cpp
@@ -5,9 +5,9 @@
 
 constexpr int RetryAfterSeconds = 1;
 
-std::string dumped(const nlohmann::json &json)
+std::string serialize(const nlohmann::json &json)
 {
-    // Bytes from outside may stand in messages; what is no UTF-8 must not make dump() throw.
+    // Messages may contain external input; dump() must not throw on invalid UTF-8.
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
@@ -15,7 +15,7 @@
 
 bool answerJson(net::ServerExchange &exchange, int status, const nlohmann::json &body)
 {
-    return exchange.respond(status, JsonType, dumped(body));
+    return exchange.respond(status, JsonType, serialize(body));
 }
 
 nlohmann::json errorJson(const Error &error, std::string_view outcome)
@@ -41,7 +41,7 @@
     if (status == 503 || status == 429) {
         headers.push_back({"Retry-After", std::to_string(RetryAfterSeconds)});
     }
-    return exchange.respond(status, JsonType, dumped(errorJson(error, outcome)), headers);
+    return exchange.respond(status, JsonType, serialize(errorJson(error, outcome)), headers);
 }
 
 } // namespace almondridge::app
--- a/libs/app/src/jsonanswers.h
+++ b/libs/app/src/jsonanswers.h
@@ -1,5 +1,5 @@
 /**
- * Answers in JSON, errors among them, in the shape that clients of model servers know.
+ * JSON responses, including errors in the format that clients of model servers expect.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 inline constexpr std::string_view JsonType = "application/json";
 
 bool answerJson(net::ServerExchange &exchange, int status, const nlohmann::json &body);
-/** {"error":{...}}; outcome says whether the call may have had an effect. */
+/** Returns {"error":{...}}; outcome says whether the call may have had an effect. */
 nlohmann::json errorJson(const Error &error, std::string_view outcome = "not-run");
 bool answerError(net::ServerExchange &exchange, int status, const Error &error,
                  std::string_view outcome = "not-run");
--- a/libs/app/src/localverbs.cpp
+++ b/libs/app/src/localverbs.cpp
@@ -1,5 +1,5 @@
 /**
- * The verbs that need no other process: serve and check.
+ * Subcommands that need no connection to a running instance: serve and check.
  */
 #include "almondridge/app/instance.h"
 #include "almondridge/base/log.h"
@@ -22,7 +22,7 @@
     {"settings", false, "FILE is a settings file rather than a fleet file"},
 }};
 
-/** Blocks the stop signals in every thread started from now on; sigwait() takes them. */
+/** Blocks SIGTERM and SIGINT in this thread and those it starts, for use with sigwait(). */
 sigset_t blockStopSignals()
 {
     sigset_t signals;
--- a/libs/app/src/mixledger.cpp
+++ b/libs/app/src/mixledger.cpp
@@ -3,7 +3,7 @@
 namespace almondridge::app {
 namespace {
 
-/** The growth of a running total; a total that went down was started anew. */
+/** Increase of a running total; a lower total means that the counter restarted from zero. */
 double growth(double before, double after)
 {
     return after >= before ? after - before : after;
--- a/libs/app/src/mixledger.h
+++ b/libs/app/src/mixledger.h
@@ -1,8 +1,8 @@
 /**
- * How many prompt and output tokens were asked for, over all entry instances of a domain.
+ * Prompt and output tokens requested per model, over all entry instances of a failure domain.
  *
- * Heartbeats carry running totals rather than differences: a lost heartbeat then loses nothing,
- * and a restarted instance is recognised by a total that went down.
+ * Heartbeats carry running totals rather than differences, so that a lost heartbeat loses no
+ * demand. A total that decreased means that the instance restarted.
  */
 #pragma once
 
@@ -20,13 +20,13 @@
 class MixLedger
 {
 public:
-    /** Adds what was asked of this instance. */
+    /** Adds demand received by this instance. */
     void addLocal(const std::vector<relay::ModelDemand> &samples);
-    /** This instance's totals, for its heartbeats. */
+    /** Running totals of this instance, as sent in its heartbeats. */
     nlohmann::json localTotals() const;
-    /** Takes over another instance's totals; malformed ones are ignored. */
+    /** Records the totals in another instance's heartbeat; malformed entries are ignored. */
     void onRemoteTotals(const InstanceId &instance, const nlohmann::json &totals);
-    /** What was asked since the last call, here and elsewhere in the domain. */
+    /** Returns and resets the demand of the whole domain since the previous call. */
     std::vector<planner::Demand> takeDemand();
 
 private:
--- a/libs/app/src/operatorclient.cpp
+++ b/libs/app/src/operatorclient.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::int64_t CallTimeoutMillis = 15'000;
-constexpr std::int64_t TryAgainMillis = 200;
+constexpr std::int64_t RetryIntervalMillis = 200;
 constexpr std::int64_t MillisPerSecond = 1'000;
 
 Result<OperatorAnswer> callOne(const net::Address &entry, const net::Request &request)
@@ -26,8 +26,8 @@
     return OperatorAnswer {response.status_, std::move(body)};
 }
 
-/** An answer after which another entry may know more. */
-bool worthAnotherTry(const OperatorAnswer &answer)
+/** Whether another entry instance, or a later attempt, may give a better answer. */
+bool isRetryable(const OperatorAnswer &answer)
 {
     return answer.status_ == 503;
 }
@@ -46,11 +46,11 @@
         return fail(ErrorKind::InvalidInput, "--entry is missing",
                     "name the addresses of entry instances, as in 127.0.0.1:8080");
     }
-    const std::string giveUp = options.value("give-up", "10");
-    const auto [end, error] =
-        std::from_chars(giveUp.data(), giveUp.data() + giveUp.size(), client.giveUpSeconds_);
-    if (error != std::errc() || end != giveUp.data() + giveUp.size()) {
-        return fail(ErrorKind::InvalidInput, "--give-up '" + giveUp + "' is no number",
+    const std::string retrySeconds = options.value("give-up", "10");
+    const auto [end, error] = std::from_chars(
+        retrySeconds.data(), retrySeconds.data() + retrySeconds.size(), client.retrySeconds_);
+    if (error != std::errc() || end != retrySeconds.data() + retrySeconds.size()) {
+        return fail(ErrorKind::InvalidInput, "--give-up '" + retrySeconds + "' is no number",
                     "write whole seconds");
     }
     const char *fromEnvironment = std::getenv("ALMONDRIDGE_KEY");
@@ -67,28 +67,28 @@
         request.body_ = body.dump();
     }
     Error last {ErrorKind::Unavailable, "no entry instance answered", "check --entry"};
-    bool maybeTaken = false;
+    bool maybeExecuted = false;
     std::optional<OperatorAnswer> refused;
-    const TimePoint giveUp = BootClock::now() + millis(giveUpSeconds_ * MillisPerSecond);
+    const TimePoint retryUntil = BootClock::now() + millis(retrySeconds_ * MillisPerSecond);
     do {
         for (const net::Address &entry : entries_) {
             auto answer = capture([&] { return callOne(entry, request); });
             if (answer.index() == 1) {
                 last = std::get<Error>(answer);
-                maybeTaken = maybeTaken || last.kind_ != ErrorKind::Unavailable;
+                maybeExecuted = maybeExecuted || last.kind_ != ErrorKind::Unavailable;
                 continue;
             }
             OperatorAnswer &given = std::get<0>(answer);
-            if (!worthAnotherTry(given)) {
+            if (!isRetryable(given)) {
                 return std::move(given);
             }
             const auto error = given.body_.value("error", nlohmann::json::object());
-            maybeTaken = maybeTaken || error.value("outcome", "") == "unknown";
+            maybeExecuted = maybeExecuted || error.value("outcome", "") == "unknown";
             refused = std::move(given);
         }
-        std::this_thread::sleep_for(millis(TryAgainMillis));
-    } while (BootClock::now() < giveUp);
-    if (maybeTaken) {
+        std::this_thread::sleep_for(millis(RetryIntervalMillis));
+    } while (BootClock::now() < retryUntil);
+    if (maybeExecuted) {
         return fail(ErrorKind::Interrupted, "no entry instance gave a definite answer",
                     "run the same command again with the same --apply-id, or ask status");
     }
--- a/libs/app/src/operatorclient.h
+++ b/libs/app/src/operatorclient.h
@@ -1,5 +1,5 @@
 /**
- * Calls of the command line to entry instances, through whichever of them answers.
+ * Client of the admin API. Sends each call to the first entry instance that answers.
  */
 #pragma once
 
@@ -11,7 +11,7 @@
 
 namespace almondridge::app {
 
-/** A JSON answer with its status. */
+/** HTTP status and JSON body of an answer. */
 struct OperatorAnswer
 {
     int status_ = 0;
@@ -21,13 +21,14 @@
 class OperatorClient
 {
 public:
-    /** Reads --entry (one or more addresses, separated by commas) and --key. */
+    /** Reads --entry (comma-separated addresses), --give-up (seconds) and --key. */
     static Result<OperatorClient> fromOptions(const Options &options);
 
     /**
-     * Tries the entries in turn, for some seconds, until one answers. Safe to repeat for every
-     * call: an apply is recognised by its apply_id. Interrupted when an entry may have taken the
-     * call and none answered; Unavailable when none could be reached.
+     * Tries the entry instances in turn until one answers with a status other than 503 or the
+     * --give-up time ends. Retrying is safe for every call: an apply is deduplicated by its
+     * apply_id. Fails with Interrupted if an entry may have executed the call but none gave a
+     * definite answer, and with Unavailable if none could be reached.
      */
     Result<OperatorAnswer> call(const std::string &method, const std::string &path,
                                 const nlohmann::json &body = nullptr) const;
@@ -35,8 +36,8 @@
 private:
     std::vector<net::Address> entries_;
     std::string key_;
-    /** How long refusals are tried again: an instance that has just started refuses for a while. */
-    std::int64_t giveUpSeconds_ = 10;
+    /** How long calls are retried: an instance that has just started answers 503 for a while. */
+    std::int64_t retrySeconds_ = 10;
 };
 
 } // namespace almondridge::app
--- a/libs/app/src/operatorverbs.cpp
+++ b/libs/app/src/operatorverbs.cpp
@@ -1,5 +1,5 @@
 /**
- * The verbs that talk to entry instances: review, apply, status and timeline.
+ * Subcommands that call the admin API of entry instances: review, apply, status and timeline.
  */
 #include "almondridge/base/time.h"
 #include "almondridge/observe/timeline.h"
@@ -68,7 +68,7 @@
 
 using Body = std::function<Result<ExitCode>(const Options &)>;
 
-/** Reads the options and runs body; errors end on stderr and in the exit code. */
+/** Parses the options and runs body. Prints its error to stderr and maps it to an exit code. */
 ExitCode runVerb(int argc, char **argv, std::string_view usage, std::span<const OptionSpec> specs,
                  const Body &body)
 {
@@ -80,7 +80,7 @@
     return tryOr([&] { return body(*options); }, [](const Error &error) { return report(error); });
 }
 
-Result<std::string> onlyFile(const Options &options)
+Result<std::string> readFleetFileArgument(const Options &options)
 {
     if (options.arguments().size() != 1) {
         return fail(ErrorKind::InvalidInput, "one fleet file is needed", "name it last");
@@ -88,7 +88,7 @@
     return readTextFile(options.arguments().front());
 }
 
-/** Turns an error answer of an entry into an Error. */
+/** Converts the error answer of an entry instance to an Error. */
 Error errorOf(const OperatorAnswer &answer)
 {
     const nlohmann::json error = answer.body_.value("error", nlohmann::json::object());
@@ -139,7 +139,7 @@
     return answer.body_.value("revision", Revision {0});
 }
 
-/** The live instances that do not follow revision yet, as far as any entry knows. */
+/** Live instances that did not answer or have not applied revision yet. */
 Result<std::vector<std::string>> instancesBehind(const OperatorClient &client, Revision revision)
 {
     BOOST_LEAF_AUTO(answer, client.call("GET", "/admin/status?all=1"));
@@ -186,7 +186,7 @@
 
 Result<ExitCode> review(const Options &options)
 {
-    BOOST_LEAF_AUTO(text, onlyFile(options));
+    BOOST_LEAF_AUTO(text, readFleetFileArgument(options));
     BOOST_LEAF_AUTO(client, OperatorClient::fromOptions(options));
     BOOST_LEAF_AUTO(answer, client.call("POST", "/admin/review", {{"fleet", text}}));
     if (answer.status_ != 200) {
@@ -203,7 +203,7 @@
 
 Result<ExitCode> apply(const Options &options)
 {
-    BOOST_LEAF_AUTO(text, onlyFile(options));
+    BOOST_LEAF_AUTO(text, readFleetFileArgument(options));
     BOOST_LEAF_AUTO(client, OperatorClient::fromOptions(options));
     BOOST_LEAF_AUTO(base, baseOf(client, options));
     const std::string applyId = options.value("apply-id", randomApplyId());
--- a/libs/app/src/options.h
+++ b/libs/app/src/options.h
@@ -1,5 +1,5 @@
 /**
- * Reading a verb's options with getopt_long from one table.
+ * Parses the options of a subcommand with getopt_long from a table of OptionSpec.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace almondridge::app {
 
-/** One long option of a verb. */
+/** One long option of a subcommand. */
 struct OptionSpec
 {
     const char *name_;
@@ -20,21 +20,21 @@
     std::string_view help_;
 };
 
-/** What stood on the command line. */
+/** Parsed options and positional arguments. */
 class Options
 {
 public:
     /**
-     * Reads argv after the verb. nullopt: the usage was printed, because it was asked for
-     * (helpAsked) or because an option is wrong.
+     * Parses argv, whose first element is the subcommand. Prints the usage and returns nullopt
+     * if --help was given (then helpAsked is true) or an option is invalid.
      */
     static std::optional<Options> read(int argc, char **argv, std::string_view usage,
                                        std::span<const OptionSpec> specs, bool &helpAsked);
 
     bool has(const std::string &name) const { return values_.contains(name); }
-    /** The option's value, or fallback. */
+    /** Value of the option, or fallback if it was not given. */
     std::string value(const std::string &name, const std::string &fallback = {}) const;
-    /** What is no option. */
+    /** Positional arguments. */
     const std::vector<std::string> &arguments() const noexcept { return arguments_; }
 
 private:
--- a/libs/app/src/peerlinks.cpp
+++ b/libs/app/src/peerlinks.cpp
@@ -12,19 +12,18 @@
 
 using MemberFilter = std::function<bool(const peers::Member &)>;
 
-std::map<InstanceId, nlohmann::json> askMembers(peers::PeerExchange &exchange,
-                                                std::string_view topic,
-                                                const nlohmann::json &message, TimePoint deadline,
-                                                const MemberFilter &filter)
+std::map<InstanceId, nlohmann::json>
+requestFromMembers(peers::PeerExchange &exchange, std::string_view topic,
+                   const nlohmann::json &message, TimePoint deadline, const MemberFilter &filter)
 {
     std::mutex mutex;
     std::map<InstanceId, nlohmann::json> answers;
-    std::vector<std::jthread> askers;
+    std::vector<std::jthread> threads;
     for (const peers::Member &member : exchange.members()) {
         if (!member.alive_ || !filter(member)) {
             continue;
         }
-        askers.emplace_back([&, instance = member.instance_] {
+        threads.emplace_back([&, instance = member.instance_] {
             auto answer = capture(
                 [&] { return exchange.request(instance, std::string(topic), message, deadline); });
             if (answer.index() == 1) {
@@ -38,7 +37,7 @@
             answers.emplace(instance, std::move(std::get<0>(answer)));
         });
     }
-    askers.clear();
+    threads.clear();
     return answers;
 }
 
@@ -144,16 +143,19 @@
         exchange = exchange_;
     }
     if (exchange != nullptr) {
-        askMembers(*exchange, AnnounceTopic, toJson(announcement), deadline,
-                   [this](const peers::Member &member) { return member.domain_ == domain_; });
+        requestFromMembers(
+            *exchange, AnnounceTopic, toJson(announcement), deadline,
+            [this](const peers::Member &member) { return member.domain_ == domain_; });
     }
 }
 
-std::map<InstanceId, nlohmann::json> askAll(peers::PeerExchange &exchange, std::string_view topic,
-                                            const nlohmann::json &message, TimePoint deadline)
+std::map<InstanceId, nlohmann::json> requestFromAll(peers::PeerExchange &exchange,
+                                                    std::string_view topic,
+                                                    const nlohmann::json &message,
+                                                    TimePoint deadline)
 {
-    return askMembers(exchange, topic, message, deadline,
-                      [](const peers::Member &) { return true; });
+    return requestFromMembers(exchange, topic, message, deadline,
+                              [](const peers::Member &) { return true; });
 }
 
 } // namespace almondridge::app
--- a/libs/app/src/peerlinks.h
+++ b/libs/app/src/peerlinks.h
@@ -1,5 +1,5 @@
 /**
- * What entry instances tell each other: log records, announcements, status, events.
+ * Messages between entry instances: log records, announcements, status and timeline events.
  */
 #pragma once
 
@@ -13,21 +13,21 @@
 
 namespace almondridge::app {
 
-/** Topics of peer requests. */
+/** Topics of peer requests, as sent on the wire. */
 inline constexpr std::string_view RecordsTopic = "records";
 inline constexpr std::string_view AnnounceTopic = "announce";
 inline constexpr std::string_view StatusTopic = "status";
 inline constexpr std::string_view TimelineTopic = "timeline";
 
-/** Log records as a peer message, and back. Malformed ones are left out. */
+/** Converts log records to and from a peer message; malformed records are skipped. */
 nlohmann::json recordsToJson(const std::vector<store::LogRecord> &records);
 std::vector<store::LogRecord> recordsFromJson(const nlohmann::json &json);
 
-/** Asks the peer that has folded furthest for log records. */
+/** Fetches log records from the live peer that has applied the most of the log. */
 class PeerRecordSource final : public control::RecordSource
 {
 public:
-    /** The exchange is built after the log that needs this source. */
+    /** Set late, as the exchange is built after the log that uses this source; nullptr detaches. */
     void setExchange(peers::PeerExchange *exchange);
     std::vector<store::LogRecord> recordsFrom(LogOffset from) override;
 
@@ -36,11 +36,11 @@
     peers::PeerExchange *exchange_ = nullptr;
 };
 
-/** Tells the domain's entries what the lease holder withholds. */
+/** Sends the lease holder's announcement to the entry instances of its failure domain. */
 class PeerAnnouncer final : public control::Announcer
 {
 public:
-    /** onChange is called when this instance's own table changed. */
+    /** Calls onChange after each change of this instance's own table. */
     PeerAnnouncer(AvailabilityTable &table, DomainId domain, std::function<void()> onChange);
     void setExchange(peers::PeerExchange *exchange);
     void announce(const EndpointId &engine, control::Availability availability, Fence fence,
@@ -49,7 +49,7 @@
                      TimePoint deadline) override;
 
 private:
-    /** Sends the whole announcement to the domain's live entries and waits for them. */
+    /** Sends the full announcement to the live entries of the domain; waits for the answers. */
     void send(const Announcement &announcement, TimePoint deadline);
 
     AvailabilityTable &table_;
@@ -59,8 +59,10 @@
     peers::PeerExchange *exchange_ = nullptr;
 };
 
-/** Asks every live member for topic, side by side, and gives the answers by instance. */
-std::map<InstanceId, nlohmann::json> askAll(peers::PeerExchange &exchange, std::string_view topic,
-                                            const nlohmann::json &message, TimePoint deadline);
+/** Sends a request to every live member in parallel; members without an answer are left out. */
+std::map<InstanceId, nlohmann::json> requestFromAll(peers::PeerExchange &exchange,
+                                                    std::string_view topic,
+                                                    const nlohmann::json &message,
+                                                    TimePoint deadline);
 
 } // namespace almondridge::app
--- a/libs/app/src/periodic.h
+++ b/libs/app/src/periodic.h
@@ -1,5 +1,5 @@
 /**
- * A thread that runs a function again and again until it is stopped.
+ * A thread that runs a function periodically until it is destroyed.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 class Periodic
 {
 public:
-    /** Runs function at once and then each interval after it returned. */
+    /** Runs function immediately and then again each time interval has passed since it returned. */
     Periodic(Duration interval, std::function<void()> function);
     ~Periodic();
     Periodic(const Periodic &) = delete;
--- a/libs/app/src/planloop.cpp
+++ b/libs/app/src/planloop.cpp
@@ -31,7 +31,7 @@
         planner_.setFleet(accepted.fleet_);
         fence_.reset();
     }
-    learnRates();
+    updateRates();
     for (const planner::Demand &demand : ledger_.takeDemand()) {
         planner_.onDemand(demand, now);
     }
@@ -41,7 +41,7 @@
         return;
     }
     if (fence_ != held) {
-        takeOverRoles(*held, *accepted.fleet_);
+        restoreOrderedRoles(*held, *accepted.fleet_);
     }
     const planner::Plan plan = planner_.plan(engineViews(*accepted.fleet_), now);
     for (const planner::RoleChange &change : plan.changes_) {
@@ -58,7 +58,7 @@
     reconciler_.setWantedRoles(wanted_);
 }
 
-void PlanLoop::learnRates()
+void PlanLoop::updateRates()
 {
     for (const auto &[id, watched] : watch_.endpoints()) {
         if (!watched.report_ || watched.endpoint_.kind_ != fleet::EndpointKind::Engine) {
@@ -75,10 +75,10 @@
     }
 }
 
-void PlanLoop::takeOverRoles(Fence fence, const fleet::Fleet &fleet)
+void PlanLoop::restoreOrderedRoles(Fence fence, const fleet::Fleet &fleet)
 {
-    // A new holder goes on from the roles that were ordered last. Starting from the file's roles
-    // would undo the mix's role changes at every takeover.
+    // A new lease holder continues from the roles ordered last. Starting from the roles in the
+    // fleet file would revert the planner's role changes on every change of the holder.
     fence_ = fence;
     wanted_.clear();
     log_.read([&](const control::Fold &fold) {
--- a/libs/app/src/planloop.h
+++ b/libs/app/src/planloop.h
@@ -1,6 +1,6 @@
 /**
- * Runs the role planner on what the whole failure domain was asked for, and hands the wanted
- * roles to the reconciler while this instance holds the domain's lease.
+ * Runs the role planner on the demand of the whole failure domain, and passes the wanted roles to
+ * the reconciler while this instance holds the domain's lease.
  */
 #pragma once
 
@@ -22,13 +22,13 @@
              control::Reconciler &reconciler, MixLedger &ledger, const EndpointWatch &watch,
              const AvailabilityTable &table, observe::Timeline &timeline);
 
-    /** One round: takes the demand in, and plans when the lease is held. */
+    /** Feeds new demand to the planner and, if this instance holds the lease, plans. */
     void round();
     std::int64_t roleChanges() const noexcept { return roleChanges_; }
 
 private:
-    void learnRates();
-    void takeOverRoles(Fence fence, const fleet::Fleet &fleet);
+    void updateRates();
+    void restoreOrderedRoles(Fence fence, const fleet::Fleet &fleet);
     std::vector<planner::EngineView> engineViews(const fleet::Fleet &fleet) const;
 
     const DomainId domain_;
@@ -40,7 +40,7 @@
     observe::Timeline &timeline_;
     planner::Planner planner_;
     Revision revision_ = 0;
-    std::optional<Fence> fence_; ///< The lease under which wanted_ was taken over.
+    std::optional<Fence> fence_; ///< Fence of the lease for which wanted_ was initialized.
     control::WantedRoles wanted_;
     std::map<EndpointId, TimePoint> lastChange_;
     std::map<std::pair<ModelId, fleet::EngineRole>, planner::RoleRates> rates_;
--- a/libs/app/src/textfile.h
+++ b/libs/app/src/textfile.h
@@ -1,5 +1,5 @@
 /**
- * Whole files as text.
+ * Reads and writes whole text files.
  */
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace almondridge::app {
 
-/** NotFound when the file cannot be read. */
+/** Returns the content of a file. Fails with NotFound if it cannot be opened. */
 Result<std::string> readTextFile(const std::string &path);
-/** Prints what is wrong with a file, and gives the exit code for it. */
+/** Prints the error in a file to stderr and returns the exit code for it. */
 ExitCode reportInvalid(const std::string &path, const Error &error);
-/** Unavailable when it cannot be written. */
+/** Replaces the content of a file. Fails with Unavailable if it cannot be written. */
 Result<void> writeTextFile(const std::string &path, const std::string &text);
 
 } // namespace almondridge::app
--- a/libs/app/src/verbs.h
+++ b/libs/app/src/verbs.h
@@ -1,5 +1,5 @@
 /**
- * The verbs of the command line. Each gets its own arguments and reads its own options.
+ * Subcommands. Each one parses its own options; argv[0] is the name of the subcommand.
  */
 #pragma once
 
--- a/libs/async/include/almondridge/async/connection.h
+++ b/libs/async/include/almondridge/async/connection.h
@@ -1,6 +1,6 @@
 /**
- * One TCP connection on an event loop. An idle connection holds no buffer: bytes are read into
- * one that all connections share, and only what is not used yet is kept.
+ * A TCP connection on an event loop. An idle connection holds no buffer: all connections read into
+ * one shared buffer, and a connection stores only the bytes that are not consumed yet.
  */
 #pragma once
 
@@ -16,16 +16,16 @@
 namespace almondridge::async {
 
 enum class CloseCause {
-    EndOfStream,   ///< The other side closed in order.
-    Reset,         ///< Reset, or silent for longer than the kernel was told to bear.
-    ConnectFailed, ///< Never established: nothing was sent.
+    EndOfStream,   ///< The peer closed the connection in order.
+    Reset,         ///< Reset by the peer, or TCP timeout (see TcpTimeouts).
+    ConnectFailed, ///< Never established; nothing was sent.
 };
 
-/** How long the kernel bears a silent peer before it breaks the connection. */
-struct SilenceLimits
+/** TCP timeouts after which the kernel closes the connection to an unresponsive peer. */
+struct TcpTimeouts
 {
-    int unackedMillis_ = 3'000; ///< Bytes sent and not acknowledged.
-    int probeAfterSeconds_ = 2; ///< Idle time before a keep-alive probe; then one each second.
+    int unackedMillis_ = 3'000; ///< Time that sent bytes may stay unacknowledged.
+    int probeAfterSeconds_ = 2; ///< Idle time before the first probe; then one per second.
     int probes_ = 2;
 };
 
@@ -35,25 +35,25 @@
     using Socket = boost::asio::ip::tcp::socket;
 
     static std::shared_ptr<Connection> adopt(EventLoop &loop, Socket socket,
-                                             const SilenceLimits &limits);
-    /** onClosed with ConnectFailed follows when it is not established until the deadline. */
+                                             const TcpTimeouts &timeouts);
+    /** Calls onClosed with ConnectFailed if the connection is not established by the deadline. */
     static std::shared_ptr<Connection> connect(EventLoop &loop, const net::Address &address,
-                                               TimePoint deadline, const SilenceLimits &limits);
+                                               TimePoint deadline, const TcpTimeouts &timeouts);
 
     Connection(EventLoop &loop, Socket socket);
 
     /** Called when bytes were added to input(). */
     void onInput(std::function<void()> handler) { onInput_ = std::move(handler); }
-    /** Called once a connection made by connect() stands. */
+    /** Called once when a connection made by connect() is established. */
     void onEstablished(std::function<void()> handler) { onEstablished_ = std::move(handler); }
-    /** Called once, and not after close(). */
+    /** Called at most once, and never after close(). */
     void onClosed(std::function<void(CloseCause)> handler) { onClosed_ = std::move(handler); }
-    /** Called whenever all bytes written so far were handed to the kernel. */
+    /** Called each time that the kernel has accepted all bytes written so far. */
     void onWritten(std::function<void()> handler) { onWritten_ = std::move(handler); }
 
-    /** Received and not used yet. */
+    /** Bytes received and not consumed yet; the caller erases what it consumes. */
     std::string &input() noexcept { return input_; }
-    /** Bytes that the kernel did not take yet. */
+    /** Number of written bytes that the kernel has not accepted yet. */
     std::size_t unwritten() const noexcept { return output_.size(); }
     bool isOpen() const noexcept { return open_; }
 
@@ -63,8 +63,8 @@
 
     void write(std::string_view bytes);
     /**
-     * Closes in order once everything is written, and goes on reading for a moment: closing with
-     * unread bytes resets the connection, and the other side could lose the answer.
+     * Closes in order once everything is written, then discards input for a short time. Closing
+     * with unread bytes would reset the connection, and the peer could lose the answer.
      */
     void closeAfterWriting();
     void close();
@@ -93,7 +93,7 @@
     bool paused_ = false;
     bool writing_ = false;
     bool closing_ = false;   ///< closeAfterWriting() was called.
-    bool lingering_ = false; ///< Our side is closed; what still arrives is dropped.
+    bool lingering_ = false; ///< The send side is shut down; received bytes are discarded.
 };
 
 } // namespace almondridge::async
--- a/libs/async/include/almondridge/async/eventloop.h
+++ b/libs/async/include/almondridge/async/eventloop.h
@@ -1,6 +1,6 @@
 /**
- * The one thread on which all sockets and timers of an instance run, and timers that are safe to
- * drop. Nothing here locks: every call is made on the loop's thread.
+ * Single-threaded event loop for all sockets and timers of an instance, and timers that may be
+ * destroyed at any time. Not thread-safe: all calls must be made on the thread of the loop.
  */
 #pragma once
 
@@ -21,14 +21,14 @@
     /** Runs until stop(). */
     void run();
     void stop();
-    /** Runs work later, on the loop's thread and outside of the caller's stack. */
+    /** Queues work to run on the thread of the loop after the current handler has returned. */
     void post(std::function<void()> work);
 
 private:
     boost::asio::io_context context_;
 };
 
-/** Calls its function once at a point in time, unless stopped or destroyed before. */
+/** One-shot timer. Its function is not called after stop() or destruction. */
 class Timer
 {
 public:
--- a/libs/async/include/almondridge/async/httpclient.h
+++ b/libs/async/include/almondridge/async/httpclient.h
@@ -1,8 +1,8 @@
 /**
- * An HTTP/1.1 client on an event loop, with a pool of kept connections for each peer.
+ * An HTTP/1.1 client on an event loop, with a pool of persistent connections for each peer.
  *
- * A failed exchange says whether the request may have reached the peer: after NotSent it was not
- * and never will be sent; after all others it may run.
+ * The failure of an exchange says whether the peer may have received the request: after NotSent it
+ * was not sent and never will be; after any other failure the peer may execute it.
  */
 #pragma once
 
@@ -22,10 +22,10 @@
 using ExchangeId = std::uint64_t;
 
 enum class ExchangeFailure {
-    NotSent,    ///< No connection: not a byte of the request was sent.
-    Unanswered, ///< The connection broke, or was silent for too long, before an answer's head.
-    Garbled,    ///< What came is no HTTP answer.
-    Truncated,  ///< The connection broke within the answer.
+    NotSent,    ///< No connection was established; no byte of the request was sent.
+    Unanswered, ///< The connection broke or timed out before the response head was complete.
+    Garbled,    ///< The received bytes are not a valid HTTP response.
+    Truncated,  ///< The connection broke within the response.
 };
 
 inline constexpr std::array<EnumName<ExchangeFailure>, 4> ExchangeFailureNames {{
@@ -37,71 +37,71 @@
 
 struct ExchangeEvents
 {
-    /** The answer's head, whole; the body follows. */
+    /** Called with the complete response head, before any part of the body. */
     std::function<void(ResponseHead &)> onHead_;
     std::function<void(std::string)> onBody_;
     std::function<void()> onEnd_;
     std::function<void(ExchangeFailure)> onFailed_;
 };
 
-/** What came of an exchange whose answer is taken whole. */
+/** Result of an exchange whose response is buffered completely. */
 struct ExchangeResult
 {
-    std::optional<ExchangeFailure> failure_; ///< None: the answer is whole.
+    std::optional<ExchangeFailure> failure_; ///< Unset if the response is complete.
     int status_ = 0;
     std::string body_;
 };
 
-/** Events that gather the answer and call done once, at the end or on failure. */
+/** Handlers that buffer the response and call done once, at its end or on failure. */
 ExchangeEvents gatherAnswer(std::function<void(const ExchangeResult &)> done);
 
 struct ExchangeRequest
 {
-    std::string peer_; ///< Connections are only shared between requests with the same name here.
+    std::string peer_; ///< Pool key: only requests with the same value share connections.
     net::Address address_;
     std::string text_; ///< Head and body.
-    /** When set, an answer that names another request is that one's late copy and is skipped. */
+    /** If set, a response with another request id is a late duplicate and is skipped. */
     std::string requestId_ {};
-    bool fresh_ = false;    ///< Not on a kept connection.
+    bool fresh_ = false;    ///< Always use a new connection.
     bool bodyless_ = false; ///< A HEAD request.
     TimePoint connectBy_ {};
 };
 
-/** Counts since the start. */
+/** Totals since the client was created. */
 struct ClientCounters
 {
     std::uint64_t connects_ = 0;
     std::uint64_t reuses_ = 0;
     std::uint64_t skippedAnswers_ = 0;
-    std::uint64_t dirtyConnections_ = 0; ///< Closed for bytes that belong to no request.
+    std::uint64_t dirtyConnections_ = 0; ///< Closed because of bytes that belong to no request.
 };
 
 class HttpClient
 {
 public:
-    explicit HttpClient(EventLoop &loop, SilenceLimits silence = {});
+    explicit HttpClient(EventLoop &loop, TcpTimeouts tcpTimeouts = {});
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
 
-    /** No event comes before this returns. */
+    /** Starts an exchange. No event is raised before this function returns. */
     ExchangeId start(ExchangeRequest request, ExchangeEvents events);
     /**
-     * Opens a connection that is kept for the next exchange with peer. done tells whether it was
-     * established until connectBy.
+     * Opens a connection and adds it to the pool for the next exchange with peer. Calls done with
+     * whether it was established by connectBy.
      */
     void open(const std::string &peer, const net::Address &address, TimePoint connectBy,
               const std::function<void(bool)> &done);
-    /** Closes the exchange's connection, which tells the peer to stop. No event follows. */
+    /** Closes the connection of the exchange, so that the peer stops. No event follows. */
     void cancel(ExchangeId id);
-    /** Stops reading the answer until resume(). */
+    /** Stops reading the response until resume(). */
     void pause(ExchangeId id);
     void resume(ExchangeId id);
-    /** Connections to peer, in use or kept. */
+    /** Number of connections to peer, active and pooled. */
     std::size_t connections(const std::string &peer) const;
-    /** Closes the kept connections to a peer that is gone or not trusted. */
+    /** Closes the pooled connections to a peer that is gone or not trusted. */
     void dropKept(const std::string &peer);
-    /** Kept connections over all peers; the oldest one is closed beyond it. */
+    /** Limits the pooled connections over all peers; beyond it, the oldest one is closed. */
     void setMaxKept(std::size_t count) { maxKept_ = count; }
     const ClientCounters &counters() const noexcept { return counters_; }
 
@@ -114,7 +114,7 @@
     void attach(Exchange &exchange);
     void onInput(ExchangeId id);
     void onClosed(ExchangeId id, CloseCause cause);
-    bool skipForeign(Exchange &exchange);
+    bool skipMismatchedResponse(Exchange &exchange);
     void finish(ExchangeId id);
     void failExchange(ExchangeId id, ExchangeFailure failure);
     void keep(const std::string &peer, std::shared_ptr<Connection> connection, TimePoint until);
@@ -122,7 +122,7 @@
     void countDown(const std::string &peer);
 
     EventLoop &loop_;
-    SilenceLimits silence_;
+    TcpTimeouts tcpTimeouts_;
     std::unordered_map<ExchangeId, std::shared_ptr<Exchange>> exchanges_;
     KeptList kept_; ///< Oldest first.
     std::unordered_map<ExchangeId, std::shared_ptr<Connection>> opening_;
--- a/libs/async/include/almondridge/async/httpserver.h
+++ b/libs/async/include/almondridge/async/httpserver.h
@@ -1,7 +1,7 @@
 /**
- * An HTTP/1.1 server on an event loop. Each connection has at most one call in work; further
- * requests on it wait in its buffer. A call is addressed by its id and forgotten once it is
- * answered or its caller is gone: later calls for that id do nothing.
+ * An HTTP/1.1 server on an event loop. Each connection processes at most one call at a time;
+ * pipelined requests wait in its buffer. A call is addressed by its id, which becomes invalid once
+ * the call is answered or the caller disconnects; functions ignore an invalid id.
  */
 #pragma once
 
@@ -24,13 +24,13 @@
     friend auto operator<=>(const CallId &, const CallId &) = default;
 };
 
-/** A request that was read whole. */
+/** A request that was received completely. */
 struct ServerCall
 {
     CallId id_;
     RequestHead head_;
     std::string body_;
-    TimePoint startedAt_ {}; ///< When its first byte was read.
+    TimePoint startedAt_ {}; ///< When the first byte of the request was read.
 };
 
 struct ServerLimits
@@ -40,12 +40,12 @@
     std::int64_t idleTimeoutMillis_ = 15'000;  ///< Between two requests of a connection.
 };
 
-/** What the owner of the server is told. */
+/** Callbacks of the server. */
 struct ServerEvents
 {
     std::function<void(ServerCall)> onCall_;
     std::function<void(const CallId &)> onCallerGone_;
-    /** Bytes of a streamed answer left for the caller. */
+    /** The kernel has accepted all bytes written so far of a streamed answer. */
     std::function<void(const CallId &)> onWritten_;
 };
 
@@ -57,25 +57,25 @@
     HttpServer(const HttpServer &) = delete;
     HttpServer &operator=(const HttpServer &) = delete;
 
-    /** Unavailable: the address is taken or not this machine's. */
+    /** Fails with Unavailable if the address is in use or not local to this machine. */
     Result<void> listen(const net::Address &address);
     std::uint16_t port() const;
     void stopListening();
-    /** Holds for requests that begin later. */
+    /** Applies to requests that begin after this call. */
     void setLimits(const ServerLimits &limits) { limits_ = limits; }
 
     void respond(const CallId &id, const net::Response &response);
-    /** Without a length in head, the body follows in chunks. */
+    /** Starts a streamed answer. Without a Content-Length in head, its body is sent in chunks. */
     void beginStream(const CallId &id, const ResponseHead &head);
     void streamBytes(const CallId &id, std::string_view bytes);
     void endStream(const CallId &id);
-    /** Closes the connection, so that what was sent cannot pass for a whole answer. */
+    /** Closes the connection, so that the caller does not take a partial answer for complete. */
     void abort(const CallId &id);
     std::size_t unwritten(const CallId &id) const;
 
-    /** From now on answers ask callers to go elsewhere, and close their connection. */
+    /** From now on, answers carry "Connection: close" and the connection is closed after them. */
     void closeAfterAnswers();
-    /** Closes connections without a call. */
+    /** Closes all connections that have no active call. */
     void closeIdle();
     std::size_t openCalls() const noexcept { return openCalls_; }
     std::size_t connections() const noexcept { return connections_.size(); }
@@ -110,7 +110,7 @@
     bool closing_ = false;
 };
 
-/** The usual text for a status code. */
+/** The standard reason phrase of a status code. */
 std::string_view reasonOf(int status) noexcept;
 
 } // namespace almondridge::async
--- a/libs/async/include/almondridge/async/parser.h
+++ b/libs/async/include/almondridge/async/parser.h
@@ -1,7 +1,6 @@
 /**
- * Incremental HTTP/1.1 parsing on Boost.Beast: bytes go in as they arrive, heads and pieces of
- * bodies come out. Framing conflicts (two lengths, a length beside chunks) are errors, so that no
- * request can be hidden in the body of another one.
+ * Incremental HTTP/1.1 parsers based on Boost.Beast. Conflicting framing (two lengths, or a length
+ * together with chunked encoding) is an error, which prevents request smuggling.
  */
 #pragma once
 
@@ -43,7 +42,7 @@
     std::uint64_t bodyBytes_ = 4'194'304;
 };
 
-/** Reads one request. */
+/** Parses one request. */
 class RequestParser
 {
 public:
@@ -52,7 +51,7 @@
     RequestParser &operator=(RequestParser &&) noexcept;
     ~RequestParser();
 
-    /** Takes bytes off the front of input, at most to the end of this request. */
+    /** Consumes bytes from the front of input, at most up to the end of this request. */
     ParseStatus feed(std::string &input);
     bool headDone() const noexcept;
     bool keepAlive() const;
@@ -64,24 +63,24 @@
     std::unique_ptr<State> state_;
 };
 
-/** Reads one response. */
+/** Parses one response. */
 class ResponseParser
 {
 public:
-    /** bodyless: the answer to a HEAD request, which has a length and no body. */
+    /** bodyless: this is the response to a HEAD request, which has a length but no body. */
     explicit ResponseParser(bool bodyless);
     ResponseParser(ResponseParser &&) noexcept;
     ResponseParser &operator=(ResponseParser &&) noexcept;
     ~ResponseParser();
 
-    /** Takes bytes off the front of input, at most to the end of this response. */
+    /** Consumes bytes from the front of input, at most up to the end of this response. */
     ParseStatus feed(std::string &input);
-    /** The other side closed in order: ends a body without a length, breaks any other one. */
+    /** The peer closed the connection: completes a body without a length; else Malformed. */
     ParseStatus feedEnd();
     bool headDone() const noexcept;
     bool keepAlive() const;
     ResponseHead &head() noexcept;
-    /** Body bytes that were not taken yet. */
+    /** Returns the body bytes received since the previous call. */
     std::string takeBody();
 
 private:
--- a/libs/async/src/connection.cpp
+++ b/libs/async/src/connection.cpp
@@ -9,9 +9,9 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-/** What one read takes; shared by all connections, as there is one thread. */
+/** Size of the read buffer, which all connections share because there is one thread. */
 constexpr std::size_t ReadBytes = 65'536;
-/** Until a peer that goes on sending after our last answer is cut off. */
+/** Time for which input is discarded after the last answer before the connection is closed. */
 constexpr Duration LingerTime = millis(1'000);
 
 std::array<char, ReadBytes> &sharedReadBuffer()
@@ -25,17 +25,17 @@
 using ProbeInterval = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPINTVL>;
 using ProbeCount = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_KEEPCNT>;
 
-/** Failures are ignored: the connection then only notices a silent peer later. */
-void applyLimits(Connection::Socket &socket, const SilenceLimits &limits)
+/** Failures are ignored: they only delay the detection of an unresponsive peer. */
+void applyTimeouts(Connection::Socket &socket, const TcpTimeouts &timeouts)
 {
     error_code ignored;
     socket.non_blocking(true, ignored);
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
-    socket.set_option(UserTimeout(limits.unackedMillis_), ignored);
+    socket.set_option(UserTimeout(timeouts.unackedMillis_), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
-    socket.set_option(ProbeAfter(limits.probeAfterSeconds_), ignored);
+    socket.set_option(ProbeAfter(timeouts.probeAfterSeconds_), ignored);
     socket.set_option(ProbeInterval(1), ignored);
-    socket.set_option(ProbeCount(limits.probes_), ignored);
+    socket.set_option(ProbeCount(timeouts.probes_), ignored);
 }
 
 } // namespace
@@ -47,15 +47,15 @@
 { }
 
 std::shared_ptr<Connection> Connection::adopt(EventLoop &loop, Socket socket,
-                                              const SilenceLimits &limits)
+                                              const TcpTimeouts &timeouts)
 {
     auto connection = std::make_shared<Connection>(loop, std::move(socket));
-    applyLimits(connection->socket_, limits);
+    applyTimeouts(connection->socket_, timeouts);
     return connection;
 }
 
 std::shared_ptr<Connection> Connection::connect(EventLoop &loop, const net::Address &address,
-                                                TimePoint deadline, const SilenceLimits &limits)
+                                                TimePoint deadline, const TcpTimeouts &timeouts)
 {
     auto connection = std::make_shared<Connection>(loop, Socket(loop.context()));
     connection->established_ = false;
@@ -63,7 +63,7 @@
     const auto ip = asio::ip::make_address_v4(address.ip_, failure);
     connection->socket_.open(asio::ip::tcp::v4(), failure);
     if (!failure) {
-        applyLimits(connection->socket_, limits);
+        applyTimeouts(connection->socket_, timeouts);
     }
     std::weak_ptr<Connection> weak = connection;
     connection->deadline_.startAt(deadline, [weak] {
@@ -141,7 +141,7 @@
     }
     if (!lingering_) {
         input_.append(sharedReadBuffer().data(), got);
-        // A copy: what it calls may set another handler, and so destroy this one while it runs.
+        // Copied, because the handler may replace onInput_ and so destroy itself while it runs.
         if (const auto handler = onInput_) {
             handler();
         }
@@ -176,7 +176,7 @@
             return;
         }
         if (failure) {
-            // Reported from the loop, not from within the caller's write().
+            // Reported asynchronously, so that no handler runs inside the caller's write().
             loop_.post([weak = weak_from_this()] {
                 if (const auto self = weak.lock()) {
                     self->fail(CloseCause::Reset);
@@ -247,7 +247,7 @@
     deadline_.stop();
     error_code ignored;
     socket_.close(ignored);
-    // The handlers stay: one of them may be what called close().
+    // The handlers are kept, as close() may have been called from one of them.
 }
 
 void Connection::fail(CloseCause cause)
--- a/libs/async/src/eventloop.cpp
+++ b/libs/async/src/eventloop.cpp
@@ -33,7 +33,7 @@
     { }
 
     boost::asio::steady_timer timer_;
-    std::uint64_t starts_ = 0; ///< Tells an expiry apart that was queued before a restart.
+    std::uint64_t starts_ = 0; ///< Detects expiries that were queued before a restart.
 };
 
 Timer::Timer(EventLoop &loop)
--- a/libs/async/src/httpclient.cpp
+++ b/libs/async/src/httpclient.cpp
@@ -6,16 +6,16 @@
 namespace almondridge::async {
 namespace {
 
-/** A connection without a stated idle timeout is kept for this long. */
-constexpr Duration KeptByDefault = millis(2'000);
+/** Idle timeout of a pooled connection whose peer sent no Keep-Alive timeout. */
+constexpr Duration DefaultIdleTimeout = millis(2'000);
 /**
- * Taken off a stated idle timeout: the peer's clock started earlier than ours, and a request must
- * not cross its close. That would look like a request that may have run.
+ * Subtracted from the Keep-Alive timeout of the peer, which starts to count earlier than this
+ * side. A request that crosses the peer's close would have to be treated as possibly executed.
  */
-constexpr Duration KeptMargin = millis(700);
+constexpr Duration IdleTimeoutMargin = millis(700);
 
-/** How long the peer says it keeps the connection; 0 when it does not say. */
-int statedIdleSeconds(std::string_view keepAlive)
+/** The timeout parameter of a Keep-Alive header, in seconds; 0 if there is none. */
+int keepAliveTimeoutSeconds(std::string_view keepAlive)
 {
     constexpr std::string_view Name = "timeout=";
     const std::size_t at = keepAlive.find(Name);
@@ -29,8 +29,9 @@
 
 TimePoint keepUntil(const net::Headers &headers, TimePoint now)
 {
-    const int seconds = statedIdleSeconds(net::headerValue(headers, "Keep-Alive"));
-    return seconds > 0 ? now + millis(1'000LL * seconds) - KeptMargin : now + KeptByDefault;
+    const int seconds = keepAliveTimeoutSeconds(net::headerValue(headers, "Keep-Alive"));
+    return seconds > 0 ? now + millis(1'000LL * seconds) - IdleTimeoutMargin
+                       : now + DefaultIdleTimeout;
 }
 
 } // namespace
@@ -76,9 +77,9 @@
     TimePoint until_;
 };
 
-HttpClient::HttpClient(EventLoop &loop, SilenceLimits silence)
+HttpClient::HttpClient(EventLoop &loop, TcpTimeouts tcpTimeouts)
     : loop_(loop)
-    , silence_(silence)
+    , tcpTimeouts_(tcpTimeouts)
 { }
 
 HttpClient::~HttpClient() = default;
@@ -97,7 +98,7 @@
         ++counters_.connects_;
         ++connections_[exchange->request_.peer_];
         exchange->connection_ = Connection::connect(loop_, exchange->request_.address_,
-                                                    exchange->request_.connectBy_, silence_);
+                                                    exchange->request_.connectBy_, tcpTimeouts_);
     }
     attach(*exchange);
     exchange->connection_->write(exchange->request_.text_);
@@ -111,11 +112,11 @@
     const ExchangeId id = nextId_++;
     ++counters_.connects_;
     ++connections_[peer];
-    const auto connection = Connection::connect(loop_, address, connectBy, silence_);
+    const auto connection = Connection::connect(loop_, address, connectBy, tcpTimeouts_);
     opening_[id] = connection;
     connection->onEstablished([this, id, peer, done] {
         const auto opened = opening_.extract(id).mapped();
-        keep(peer, opened, BootClock::now() + KeptByDefault);
+        keep(peer, opened, BootClock::now() + DefaultIdleTimeout);
         done(true);
     });
     connection->onClosed([this, id, peer, done](CloseCause) {
@@ -135,7 +136,7 @@
 std::shared_ptr<Connection> HttpClient::takeKept(const std::string &peer)
 {
     const TimePoint now = BootClock::now();
-    // The newest first: the older ones may then lapse, and few connections stay open.
+    // Newest first, so that older connections reach their idle timeout and few stay open.
     for (auto kept = kept_.end(); kept != kept_.begin();) {
         --kept;
         if (kept->until_ <= now || !kept->connection_->isOpen()) {
@@ -163,8 +164,8 @@
             dropKeptConnection(found);
         }
     };
-    // Bytes on an idle connection belong to no request: whatever comes next could be taken for
-    // the answer to the request after it.
+    // Bytes on an idle connection belong to no request and could be taken for the response to the
+    // next one.
     connection->onInput([this, drop] {
         ++counters_.dirtyConnections_;
         drop();
@@ -208,9 +209,8 @@
     }
 }
 
-/** Whether the head just read is of an answer to another request, which is then read and dropped.
- */
-bool HttpClient::skipForeign(Exchange &exchange)
+/** Returns true if the response head has another request id; that response is then discarded. */
+bool HttpClient::skipMismatchedResponse(Exchange &exchange)
 {
     const std::string_view named =
         net::headerValue(exchange.parser_.head().headers_, "X-Request-Id");
@@ -237,7 +237,7 @@
             return;
         }
         if (exchange->parser_.headDone() && !exchange->headTold_ && !exchange->skipping_) {
-            exchange->skipping_ = skipForeign(*exchange);
+            exchange->skipping_ = skipMismatchedResponse(*exchange);
             if (!exchange->skipping_) {
                 exchange->headTold_ = true;
                 exchange->keepUntil_ =
--- a/libs/async/src/httpserver.cpp
+++ b/libs/async/src/httpserver.cpp
@@ -10,14 +10,14 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-/** Connections that may wait to be accepted: a whole failure domain's callers may come at once. */
+/** Accept queue length; all callers of a failure domain may connect at the same time. */
 constexpr int AcceptBacklog = 1'024;
-/** Until the next try when the process has no descriptor left for another connection. */
+/** Delay before accepting again when the process has run out of file descriptors. */
 constexpr Duration AcceptPause = millis(50);
-/** What a caller may send ahead of its answer before its connection is no longer read. */
+/** Limit of buffered pipelined input; beyond it, reading from the connection is paused. */
 constexpr std::size_t ReadAheadBytes = 65'536;
-/** Callers are told half of a second less than we wait, so that their request crosses no close. */
-constexpr SilenceLimits CallerSilence {10'000, 10, 3};
+/** TCP timeouts for connections of callers. */
+constexpr TcpTimeouts CallerTcpTimeouts {10'000, 10, 3};
 
 struct Rejection
 {
@@ -63,11 +63,11 @@
     Timer deadline_;
     std::unique_ptr<RequestParser> parser_ {}; ///< While a request is being read.
     TimePoint startedAt_ {};
-    std::uint64_t call_ = 0; ///< The call in work; 0: none.
+    std::uint64_t call_ = 0; ///< The active call; 0 if there is none.
     bool keepAlive_ = true;
     bool http10_ = false;
     bool chunked_ = false;
-    bool continued_ = false; ///< The caller was told to send its body.
+    bool continued_ = false; ///< "100 Continue" was sent.
 };
 
 HttpServer::HttpServer(EventLoop &loop, ServerEvents events)
@@ -130,7 +130,7 @@
 void HttpServer::adopt(Connection::Socket socket)
 {
     const std::uint64_t number = nextConnection_++;
-    auto connection = Connection::adopt(loop_, std::move(socket), CallerSilence);
+    auto connection = Connection::adopt(loop_, std::move(socket), CallerTcpTimeouts);
     connection->onInput([this, number] { onInput(number); });
     connection->onClosed([this, number](CloseCause) { onPeerClosed(number); });
     connection->onWritten([this, number] {
@@ -358,7 +358,7 @@
     startIdle(peer);
     peer.connection_->resumeReading();
     if (!peer.connection_->input().empty()) {
-        // The next request may be here already. From the loop: this may be within onCall_.
+        // The next request may be buffered already. Posted, as this may run inside onCall_.
         loop_.post([this, number = peer.number_] { onInput(number); });
     }
 }
--- a/libs/async/src/parser.cpp
+++ b/libs/async/src/parser.cpp
@@ -12,7 +12,7 @@
 
 constexpr unsigned Http10 = 10;
 
-/** Collects what Beast's parser finds. Trailers are read and dropped. */
+/** Collects the parts of a message from Beast's parser. Trailers are discarded. */
 template <bool isRequest>
 class Collector final : public http::basic_parser<isRequest>
 {
--- a/libs/async/tests/httpclienttest.cpp
+++ b/libs/async/tests/httpclienttest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** One exchange and what came of it. */
+/** The recorded events of one exchange. */
 struct Outcome
 {
     ResponseHead head_;
@@ -56,7 +56,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(EventClient, ClientFixture)
 
-BOOST_AUTO_TEST_CASE(aConnectionIsKeptAndUsedAgain)
+BOOST_AUTO_TEST_CASE(anIdleConnectionIsReused)
 {
     RawServer server(loop_, [](const RawServer::Peer &peer, const std::string &) {
         peer->write(responseText(200, "Keep-Alive: timeout=5\r\n", "a"));
@@ -67,10 +67,10 @@
 }
 
 /**
- * A server says that it closes idle connections after one second. A request that it has not read
- * when it closes looks like one that may have run, so a connection is not used close to that time.
+ * The server announces that it closes idle connections after one second. A request that crosses
+ * this close may have been executed, so the connection must not be reused close to that time.
  */
-BOOST_AUTO_TEST_CASE(aConnectionIsNotUsedNearTheEndOfItsStatedTime)
+BOOST_AUTO_TEST_CASE(aConnectionIsNotReusedNearItsKeepAliveTimeout)
 {
     RawServer server(loop_, [](const RawServer::Peer &peer, const std::string &) {
         peer->write(responseText(200, "Keep-Alive: timeout=1\r\n", "a"));
@@ -82,8 +82,8 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-/** Bytes after a whole answer belong to no request: the next caller must not get them. */
-BOOST_AUTO_TEST_CASE(surplusBytesEndTheConnectionBeforeTheNextRequest)
+/** Bytes after a complete response belong to no request; the next caller must not get them. */
+BOOST_AUTO_TEST_CASE(surplusBytesCloseTheConnectionBeforeTheNextRequest)
 {
     int answers = 0;
     RawServer server(loop_, [&](const RawServer::Peer &peer, const std::string &) {
@@ -95,8 +95,8 @@
     BOOST_TEST(server.connections() == 2);
 }
 
-/** The same bytes, but they come while the connection is idle. */
-BOOST_AUTO_TEST_CASE(lateBytesOnAKeptConnectionEndIt)
+/** Surplus bytes that arrive while the connection is idle must not reach the next caller either. */
+BOOST_AUTO_TEST_CASE(lateBytesOnAnIdleConnectionCloseIt)
 {
     RawServer::Peer kept;
     RawServer server(loop_, [&](const RawServer::Peer &peer, const std::string &) {
@@ -111,8 +111,8 @@
 }
 
 /**
- * A server answers a request a second time where the next answer is expected. The caller of the
- * next request would get someone else's answer; the id in the head tells them apart.
+ * A server sends a duplicate response where the next one is expected. Without the check of the
+ * request id in the head, the next caller would get the response to another request.
  */
 BOOST_AUTO_TEST_CASE(anAnswerToAnotherRequestIsSkipped)
 {
@@ -124,7 +124,7 @@
     BOOST_TEST(client_.counters().skippedAnswers_ == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(aRefusedConnectionMeansThatNothingWasSent)
+BOOST_AUTO_TEST_CASE(aRefusedConnectionFailsWithNotSent)
 {
     net::Address free;
     {
@@ -150,7 +150,7 @@
     BOOST_TEST(client_.connections(peer) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(anOpeningThatIsRefusedLeavesNothingBehind)
+BOOST_AUTO_TEST_CASE(aRefusedOpenLeavesNoConnectionInThePool)
 {
     net::Address free;
     {
@@ -165,7 +165,7 @@
     BOOST_TEST(client_.connections("gone") == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(brokenAnswersAreToldApart)
+BOOST_AUTO_TEST_CASE(brokenResponsesGiveDistinctFailures)
 {
     const std::string cut = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab";
     struct Case
@@ -195,7 +195,7 @@
     BOOST_TEST(client_.connections(net::toString(server.address())) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(interimAnswersAreSkipped)
+BOOST_AUTO_TEST_CASE(interimResponsesAreSkipped)
 {
     RawServer server(loop_, [](const RawServer::Peer &peer, const std::string &) {
         peer->write("HTTP/1.1 102 Processing\r\n\r\n" + responseText(200, "", "own"));
--- a/libs/async/tests/httpservertest.cpp
+++ b/libs/async/tests/httpservertest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Answers with the target and the body, unless the test holds answers back. */
+/** A server that answers with the target and the body, unless the test delays its answers. */
 struct EchoServer
 {
     explicit EchoServer(ServerLimits limits = {})
@@ -42,7 +42,7 @@
 
 BOOST_AUTO_TEST_SUITE(EventServer)
 
-BOOST_AUTO_TEST_CASE(requestsSentAheadAreAnsweredInOrder)
+BOOST_AUTO_TEST_CASE(pipelinedRequestsAreAnsweredInOrder)
 {
     EchoServer echo;
     RawClient caller(echo.loop_, echo.server_.port());
@@ -54,11 +54,11 @@
 }
 
 /**
- * 300 callers open a connection and send half of a request. With a worker for each connection
- * all workers waited for them, and a sound request was answered ten seconds later. Here it is
- * answered while all of them still wait for the rest of theirs.
+ * 300 callers open a connection and send half of a request. With one worker per connection, they
+ * occupied all workers and a complete request was answered only after ten seconds. It must be
+ * answered while the 300 requests are still incomplete.
  */
-BOOST_AUTO_TEST_CASE(callersThatSendSlowlyDelayNobody)
+BOOST_AUTO_TEST_CASE(slowCallersDoNotDelayOtherCallers)
 {
     EchoServer echo;
     std::list<RawClient> slow;
@@ -104,7 +104,7 @@
     BOOST_TEST(echo.calls_ == 0);
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatWaitsForPermissionToSendItsBodyGetsIt)
+BOOST_AUTO_TEST_CASE(expectContinueIsAnsweredBeforeTheBody)
 {
     EchoServer echo;
     RawClient caller(echo.loop_, echo.server_.port());
@@ -114,7 +114,7 @@
     runUntil(echo.loop_, [&] { return caller.has("/bok"); });
 }
 
-BOOST_AUTO_TEST_CASE(aCallerThatLeavesIsTold)
+BOOST_AUTO_TEST_CASE(aDisconnectedCallerIsReported)
 {
     EchoServer echo;
     echo.hold_ = true;
@@ -127,8 +127,8 @@
     echo.server_.respond(echo.held_.front(), {200, {}, "late"});
 }
 
-/** A stream that its endpoint broke off must not look whole to the caller. */
-BOOST_AUTO_TEST_CASE(anAbortedStreamHasNoEnd)
+/** A stream that its endpoint aborted must not look complete to the caller. */
+BOOST_AUTO_TEST_CASE(anAbortedStreamHasNoFinalChunk)
 {
     EchoServer echo;
     echo.hold_ = true;
--- a/libs/async/tests/loopsupport.h
+++ b/libs/async/tests/loopsupport.h
@@ -1,6 +1,6 @@
 /**
- * What tests on an event loop share: running it until something happened, and two ends of a
- * connection that send exactly the bytes that a test wants.
+ * Support for tests on an event loop: runs it until a condition holds, and provides a raw server
+ * and a raw client that send exactly the given bytes.
  */
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace almondridge::async::testing {
 
-/** Runs the loop until condition holds; fails the test when it never does. */
+/** Runs the loop until condition holds; fails the test if it does not within the time limit. */
 inline void runUntil(EventLoop &loop, const std::function<bool()> &condition)
 {
     const TimePoint giveUp = BootClock::now() + millis(20'000);
@@ -26,12 +26,12 @@
     BOOST_REQUIRE(condition());
 }
 
-/** A server that does with each request whatever the test says. */
+/** A server that passes each request to a function of the test. */
 class RawServer
 {
 public:
     using Peer = std::shared_ptr<Connection>;
-    /** Called with one whole request (head and a body with a length). */
+    /** Called with each complete request (head, and body if it has a Content-Length). */
     using Script = std::function<void(const Peer &peer, const std::string &request)>;
 
     RawServer(EventLoop &loop, Script script)
@@ -42,7 +42,7 @@
         accept();
     }
 
-    /** Closes all connections; new ones are refused. */
+    /** Closes all connections and refuses new ones. */
     void crash()
     {
         acceptor_.close();
@@ -107,7 +107,7 @@
     int closedByClient_ = 0;
 };
 
-/** A caller that writes what the test says and keeps what it gets. */
+/** A client that sends given bytes and stores all received bytes. */
 class RawClient
 {
 public:
@@ -139,7 +139,7 @@
     CloseCause cause_ = CloseCause::EndOfStream;
 };
 
-/** A response with a length. */
+/** A response with a Content-Length. */
 inline std::string responseText(int status, const std::string &headers, const std::string &body)
 {
     return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers
--- a/libs/async/tests/parsertest.cpp
+++ b/libs/async/tests/parsertest.cpp
@@ -22,11 +22,11 @@
 BOOST_AUTO_TEST_SUITE(Parser)
 
 /**
- * A caller hides a second request in the body of the first: two readers that disagree on where
- * the body ends would serve it under the first caller's name. Whatever leaves the end of a body
- * open to opinion must be refused.
+ * Request smuggling: a second request is hidden in the body of the first, and a server that
+ * disagrees with a proxy on where the body ends would run it as the first caller's. Ambiguous
+ * framing must be rejected.
  */
-BOOST_AUTO_TEST_CASE(framingThatTwoReadersCouldReadDifferentlyIsMalformed)
+BOOST_AUTO_TEST_CASE(ambiguousFramingIsMalformed)
 {
     const std::string head = "POST / HTTP/1.1\r\nHost: a\r\n";
     for (const char *fields : {
@@ -42,7 +42,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aBodyInChunksIsPutTogether)
+BOOST_AUTO_TEST_CASE(aChunkedBodyIsReassembled)
 {
     std::string body;
     const ParseStatus status = parse("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -52,7 +52,7 @@
     BOOST_TEST(body == "abcde");
 }
 
-BOOST_AUTO_TEST_CASE(limitsOfHeadAndBodyAreToldApart)
+BOOST_AUTO_TEST_CASE(headAndBodyLimitsGiveDistinctStatuses)
 {
     BOOST_TEST((parse("GET / HTTP/1.1\r\nA: " + std::string(300, 'x') + "\r\n\r\n")
                 == ParseStatus::HeadTooLarge));
