--- a/libs/net/include/almondridge/net/http.h
+++ b/libs/net/include/almondridge/net/http.h
@@ -1,5 +1,5 @@
 /**
- * The words of HTTP that client and server share.
+ * HTTP types shared by client and server.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace almondridge::net {
 
-/** An IP number and a port. Names are never looked up. */
+/** An IPv4 address and a port. Host names are not supported. */
 struct Address
 {
     std::string ip_;
@@ -21,7 +21,7 @@
     friend bool operator==(const Address &, const Address &) = default;
 };
 
-/** Reads "127.0.0.1:8080". InvalidInput when it is not an IPv4 number and a port. */
+/** Parses "127.0.0.1:8080". Fails with InvalidInput unless it is an IPv4 address and a port. */
 Result<Address> parseAddress(std::string_view text);
 
 /** "ip:port". */
@@ -35,22 +35,22 @@
 
 using Headers = std::vector<Header>;
 
-/** Whether two names are equal but for the case of their letters, as names of headers are. */
+/** Compares two strings case-insensitively, as header names are compared. */
 bool equalWithoutCase(std::string_view left, std::string_view right) noexcept;
 
-/** The value of the first header called name, compared without case; empty when there is none. */
+/** Value of the first header with this case-insensitive name; empty if there is none. */
 std::string_view headerValue(const Headers &headers, std::string_view name) noexcept;
 
-/** A request on its way out. Content-Length and Host are added when it is sent. */
+/** An outgoing request. Content-Length and Host are added when it is sent. */
 struct Request
 {
     std::string method_ = "GET";
-    std::string path_ = "/"; ///< With the query, percent-encoded.
+    std::string path_ = "/"; ///< Path and query, percent-encoded.
     Headers headers_ {};
     std::string body_ {};
 };
 
-/** A whole answer. */
+/** A complete response. */
 struct Response
 {
     int status_ = 0;
--- a/libs/net/include/almondridge/net/httpcall.h
+++ b/libs/net/include/almondridge/net/httpcall.h
@@ -1,7 +1,7 @@
 /**
- * One request, one whole answer, one fresh connection, through CivetWeb's client.
- * For the platform and the command line. Calls whose socket must be watched, cut or guarded
- * use HttpExchange.
+ * A blocking HTTP call on a new connection, made with CivetWeb's client, for the platform and the
+ * command line. Calls whose socket must be polled, shut down or handed to the lease guard use
+ * HttpExchange.
  */
 #pragma once
 
@@ -11,8 +11,8 @@
 namespace almondridge::net {
 
 /**
- * Sends request and waits for the whole answer until deadline.
- * Unavailable: nothing reached the other side. Interrupted: the effect is unknown.
+ * Sends request and waits for the complete response until deadline.
+ * Unavailable: nothing reached the peer. Interrupted: the effect is unknown.
  */
 Result<Response> httpCall(const Address &address, const Request &request, TimePoint deadline);
 
--- a/libs/net/include/almondridge/net/httpexchange.h
+++ b/libs/net/include/almondridge/net/httpexchange.h
@@ -1,9 +1,9 @@
 /**
- * One HTTP/1.1 exchange on a socket of its own: Boost.Beast parses, this class owns the socket.
+ * One HTTP/1.1 exchange on its own socket, parsed with Boost.Beast.
  *
- * CivetWeb's client hides its socket, so an exchange with it can neither be cut from outside,
- * nor given a deadline between two tokens, nor be closed by the lease guard. Endpoints and
- * orders need all three.
+ * CivetWeb's client hides its socket, so that its exchanges can't be shut down from another thread,
+ * have a deadline between two tokens, or be closed by the lease guard. Requests and orders to
+ * endpoints need all three.
  */
 #pragma once
 
@@ -15,19 +15,19 @@
 
 namespace almondridge::net {
 
-/** Status line and headers of an answer. */
+/** Status and headers of a response. */
 struct ResponseHead
 {
     int status_ = 0;
     Headers headers_ {};
 };
 
-/** What ended a wait for bytes. */
+/** Why a wait for bytes ended. */
 enum class ReadStatus {
     Data,         ///< size_ bytes were read.
-    End,          ///< The answer is whole.
-    Timeout,      ///< The deadline passed first; the exchange can still be read.
-    WatchedReady, ///< The watched descriptor became readable or hung up.
+    End,          ///< The response is complete.
+    Timeout,      ///< The deadline passed; reading may continue.
+    WatchedReady, ///< The watched descriptor is readable or hung up.
 };
 
 struct ReadResult
@@ -37,8 +37,8 @@
 };
 
 /**
- * An exchange on one fresh connection, which is closed with it. One thread uses it; only
- * shutdown() may be called from another.
+ * An exchange on a new connection, which the destructor closes. Not thread-safe, except for
+ * shutdown().
  */
 class HttpExchange
 {
@@ -53,37 +53,37 @@
     ~HttpExchange();
 
     /**
-     * Writes the whole request. Unavailable: not a byte of it left this process. Interrupted:
+     * Writes the complete request. Unavailable: no byte of it left this process. Interrupted:
      * some did.
      */
     Result<void> send(const Request &request, TimePoint deadline);
 
     /**
-     * Waits until something can be read, the end of the connection included. Data, Timeout or
-     * WatchedReady; takes nothing.
+     * Waits until bytes or the end of the connection can be read, without reading them. Returns
+     * Data, Timeout or WatchedReady.
      */
     ReadStatus waitForInput(TimePoint deadline, int watchedDescriptor = -1);
 
-    /** Waits for status line and headers. Interrupted when the connection ends or times out. */
+    /** Waits for status and headers. Interrupted: the connection ended or timed out. */
     Result<ResponseHead> readHead(TimePoint deadline);
 
     /**
-     * Waits for bytes of the body. Interrupted when the connection ends before the answer does.
-     * A watchedDescriptor other than -1 is polled along, as the socket of a caller who may leave.
+     * Waits for bytes of the body. Interrupted: the connection ended before the response did.
+     * A watchedDescriptor other than -1, such as the socket of a caller, is polled as well.
      */
     Result<ReadResult> readSome(std::span<char> buffer, TimePoint deadline,
                                 int watchedDescriptor = -1);
 
-    /** The rest of the body, at most limit bytes. */
+    /** Reads the rest of the body, at most limit bytes. */
     Result<std::string> readRest(TimePoint deadline, std::size_t limit);
 
     /** Whether any byte of the request may have left this process. */
     bool anythingSent() const noexcept;
 
-    /** Cuts the connection in both directions. Safe from any thread. */
+    /** Shuts down the connection in both directions. Thread-safe. */
     void shutdown() noexcept;
 
-    /** The socket, for options and for the lease guard. Still owned by the exchange. */
+    /** The socket, for options and the lease guard. Owned by the exchange. */
     int socketDescriptor() const noexcept;
 
 private:
--- a/libs/net/include/almondridge/net/httpserver.h
+++ b/libs/net/include/almondridge/net/httpserver.h
@@ -1,5 +1,5 @@
 /**
- * An HTTP/1.1 server on CivetWeb: one worker thread for each open connection.
+ * An HTTP/1.1 server based on CivetWeb, with one worker thread per open connection.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 namespace almondridge::net {
 
-/** One request being answered. Lives on the worker's stack. */
+/** A request that is being answered. Allocated on the stack of the worker. */
 class ServerExchange
 {
 public:
@@ -28,37 +28,37 @@
     std::string queryValue(std::string_view name) const;
     /** The header's value; empty when there is none. */
     std::string_view header(std::string_view name) const noexcept;
-    /** All headers, for passing on. */
+    /** All headers, for forwarding. */
     Headers headers() const;
 
     /**
-     * Reads the whole body. Overloaded: longer than limit bytes. TimedOut: the sender was too
-     * slow. Interrupted: the sender stopped before its end.
+     * Reads the complete body. Overloaded: longer than limit bytes. TimedOut: not received by
+     * deadline. Interrupted: the connection ended before the body did.
      */
     Result<std::string> readBody(std::size_t limit, TimePoint deadline);
 
-    /** Sends a whole answer. False when the caller is gone. */
+    /** Sends a complete response. Returns false if the caller has disconnected. */
     bool respond(int status, std::string_view contentType, std::string_view body,
                  const Headers &extra = {});
 
-    /** Starts an answer of unknown length (chunked). False when the caller is gone. */
+    /** Starts a chunked response. Returns false if the caller has disconnected. */
     bool beginStream(int status, std::string_view contentType, const Headers &extra = {});
-    /** One chunk. False when the caller is gone. */
+    /** Sends one chunk. Returns false if the caller has disconnected. */
     bool writeChunk(std::string_view bytes);
-    /** The last, empty chunk. False when the caller is gone. */
+    /** Sends the final, empty chunk. Returns false if the caller has disconnected. */
     bool endStream();
-    /** Closes the connection after this answer instead of waiting for another request. */
+    /** Closes the connection after this response instead of waiting for another request. */
     void closeAfterAnswer() noexcept;
 
     /**
-     * The caller's socket for polling, or -1 when it could not be found. CivetWeb does not tell
-     * it; it is found by comparing the addresses of this process's sockets.
+     * The caller's socket for polling, or -1 if it was not found. CivetWeb does not expose it, so
+     * it is found by comparing the addresses of this process's sockets.
      */
     int callerSocket() const noexcept;
-    /** Whether the caller's socket is closed or reset, seen without taking bytes from it. */
+    /** Whether the caller closed or reset its connection; checked without consuming input. */
     bool callerGone() const noexcept;
 
-    /** Whether an answer was begun. */
+    /** Whether a response was started. */
     bool answered() const noexcept { return answered_; }
     /** "ip:port" of the caller, for logs. */
     std::string callerAddress() const;
@@ -83,9 +83,9 @@
     HttpServer &operator=(HttpServer &&) noexcept;
     ~HttpServer();
 
-    /** The port that is listened on, also when 0 was asked for. */
+    /** The listening port; the assigned one if port 0 was requested. */
     std::uint16_t port() const noexcept;
-    /** Stops listening and waits for the workers. */
+    /** Stops listening and joins the workers. */
     void stop();
 
 private:
@@ -102,13 +102,13 @@
     Builder &listen(Address address);
     /** Worker threads; one connection occupies one. */
     Builder &workers(int count);
-    /** Connections accepted and waiting for a worker. */
+    /** Maximum number of accepted connections that wait for a worker. */
     Builder &queue(int connections);
-    /** How long a caller may take over one read or write, in milliseconds. */
+    /** Timeout of a single read or write on the connection of a caller, in milliseconds. */
     Builder &callerTimeout(std::int64_t milliseconds);
-    /** Called on a worker for each request; answers 500 when it answered nothing. */
+    /** Called on a worker for each request; if it sends no response, the server answers 500. */
     Builder &handler(ServerHandler handler);
-    /** Unavailable when the port is taken. */
+    /** Fails with Unavailable if the port is in use. */
     Result<HttpServer> start();
 
 private:
--- a/libs/net/src/companionthread.h
+++ b/libs/net/src/companionthread.h
@@ -1,10 +1,9 @@
 /**
- * A thread that runs one function at a time for the thread that owns it.
+ * A thread with a stack of default size that runs functions for the thread that owns it.
  *
- * CivetWeb gives its workers stacks of 100 KiB, of which 77 KiB are left to a handler. Handlers
- * that parse JSON and keep read buffers overrun that, which shows as a crash in whatever writes to
- * the stack next. A companion has the system's usual stack, of which only the touched pages take
- * memory.
+ * CivetWeb's workers have stacks of 100 KiB, of which a handler can use 77 KiB. Handlers that parse
+ * JSON and have read buffers on the stack overflow it and crash. A companion thread has the
+ * system's default stack size, of which only the touched pages use memory.
  */
 #pragma once
 
@@ -23,7 +22,7 @@
     CompanionThread(const CompanionThread &) = delete;
     CompanionThread &operator=(const CompanionThread &) = delete;
 
-    /** Runs function on the companion and returns when it has ended. It must not throw. */
+    /** Runs function on the companion thread and waits for it to return. It must not throw. */
     void run(const std::function<void()> &function);
 
 private:
--- a/libs/net/src/httpexchange.cpp
+++ b/libs/net/src/httpexchange.cpp
@@ -24,7 +24,7 @@
 
 constexpr std::size_t MaxHeadBytes = 32'768;
 constexpr std::size_t ReceiveBytes = 16'384;
-/** What one poll() is asked to wait at most: a far deadline must not overflow its int. */
+/** Maximum timeout of one poll(), so that a far deadline does not overflow its int. */
 constexpr std::int64_t LongestWait = 86'400'000;
 
 boost::leaf::error_id interrupted(const Address &address, const std::string &what)
@@ -35,13 +35,13 @@
 
 enum class PollStatus { Ready, Timeout, WatchedReady };
 
-/** poll() on one socket, and on a watched one for input or hang-up, until deadline. */
+/** Polls a socket for events, and a watched one for input or hang-up, until deadline. */
 PollStatus pollUntil(int socket, short events, int watched, TimePoint deadline)
 {
     std::array<pollfd, 2> entries {{{socket, events, 0}, {watched, POLLIN | POLLRDHUP, 0}}};
     const nfds_t count = watched >= 0 ? 2 : 1;
     for (;;) {
-        // One millisecond more than what is left: poll() must not wake before the deadline.
+        // One millisecond more than the remaining time, so that poll() returns after the deadline.
         const std::int64_t left = std::min(millisUntil(deadline, BootClock::now()), LongestWait);
         const int wait = deadline <= BootClock::now() ? 0 : static_cast<int>(left) + 1;
         const int ready = ::poll(entries.data(), count, wait);
@@ -86,7 +86,7 @@
     State(const State &) = delete;
     State &operator=(const State &) = delete;
 
-    /** Takes what the kernel has; false when the other side closed. */
+    /** Reads the available bytes; returns false if the peer closed the connection. */
     Result<bool> receive()
     {
         std::array<char, ReceiveBytes> bytes;
@@ -162,8 +162,8 @@
 Result<void> HttpExchange::send(const Request &request, TimePoint deadline)
 {
     const std::string text = requestText(state_->address_, request);
-    // The answer to HEAD has the length of a body that never comes: without this the exchange
-    // waits for it until the deadline.
+    // A response to HEAD has a Content-Length but no body. Without this, the exchange would wait
+    // for the body until the deadline.
     state_->parser_.skip(request.method_ == "HEAD");
     std::size_t sent = 0;
     while (sent < text.size()) {
--- a/libs/net/src/httpserver.cpp
+++ b/libs/net/src/httpserver.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr std::size_t ReadBytes = 16'384;
-/** Tells CivetWeb that a handler answered; any other positive number would do. */
+/** Tells CivetWeb that the request was handled; any positive number has this meaning. */
 constexpr int HandledStatus = 200;
 constexpr auto WakeInterval = std::chrono::milliseconds(5);
 
@@ -196,7 +196,7 @@
 
 bool ServerExchange::writeChunk(std::string_view bytes)
 {
-    // In one write: mg_send_chunk() makes three, which without Nagle's delay are three packets.
+    // A single write: mg_send_chunk() makes three, which are three packets with TCP_NODELAY.
     std::array<char, 16> size {};
     const auto [end, error] =
         std::to_chars(size.data(), size.data() + size.size(), bytes.size(), 16);
@@ -255,8 +255,8 @@
         if (context_ == nullptr) {
             return;
         }
-        // CivetWeb's accepting thread looks at its stop flag only after a connection or two
-        // seconds; without these connections every stop takes as long.
+        // CivetWeb's accept thread checks its stop flag only after a connection or a timeout of two
+        // seconds. Connecting to it avoids that delay.
         std::atomic<bool> stopped = false;
         std::thread waker([&] { wakeUntil(stopped); });
         mg_stop(context_);
@@ -277,10 +277,10 @@
     }
 
     /**
-     * Takes every request, also an upgrade to WebSocket, before CivetWeb looks at it. A request
-     * handler would not do: it is set after the server has begun to listen and is not asked about
-     * upgrades, and for what no handler takes CivetWeb sends an error page of its own, which
-     * overruns the worker's stack. It shows as a crash that any caller can cause.
+     * Handles every request, including WebSocket upgrades, before CivetWeb does. A CivetWeb request
+     * handler is not sufficient: it is set after the server has started to listen and is not called
+     * for upgrades. For unhandled requests CivetWeb sends its own error page, which overflows the
+     * stack of the worker, so that any caller could crash the process.
      */
     static int begin(mg_connection *connection)
     {
@@ -290,7 +290,7 @@
         return HandledStatus;
     }
 
-    /** CivetWeb's own refusals, as of a malformed request, in place of its error pages. */
+    /** Replaces CivetWeb's error pages, for example the one for a malformed request. */
     static int refuse(mg_connection *connection, int status, const char * /*message*/)
     {
         constexpr std::string_view Body =
@@ -381,8 +381,8 @@
     const std::string workers = std::to_string(workers_);
     const std::string queue = std::to_string(queue_);
     const std::string timeout = std::to_string(callerTimeout_);
-    // The defaults, a backlog of 200 and a queue of 20, drop connections in a burst, which shows
-    // as a second's delay until the caller's SYN is sent again.
+    // The defaults, a backlog of 200 and a queue of 20, drop connections in a burst, which delays
+    // these callers by one second until their SYN is retransmitted.
     const std::array<const char *, 21> options {"listening_ports",
                                                 listen.c_str(),
                                                 "num_threads",
--- a/libs/net/tests/httptest.cpp
+++ b/libs/net/tests/httptest.cpp
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(Http)
 
-BOOST_AUTO_TEST_CASE(anAddressNeedsAnIpNumberAndAPort)
+BOOST_AUTO_TEST_CASE(anAddressNeedsAnIpv4AddressAndAPort)
 {
     BOOST_TEST(toString(parseAddress("127.0.0.1:80").value()) == "127.0.0.1:80");
     for (const char *text : {"localhost:80", "127.0.0.1", "127.0.0.1:x", "127.0.0.1:99999", ""}) {
@@ -35,7 +35,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(aCallBringsBodyAndHeadersBothWays)
+BOOST_AUTO_TEST_CASE(aCallTransfersBodyAndHeadersBothWays)
 {
     HttpServer server = startServer([](ServerExchange &exchange) {
         const std::string body = exchange.readBody(100, soon()).value();
@@ -67,10 +67,9 @@
     BOOST_TEST(body.substr(body.size() - 10) == "data: 99\n\n");
 }
 
-// A user's check of a page would hang until its deadline.
-// The endpoint answers HEAD with the length that GET would have, and nothing after the head.
-// Cause: waiting for a body that HEAD never has.
-BOOST_AUTO_TEST_CASE(anAnswerToHeadIsWholeWithItsHead)
+// A response to HEAD has the Content-Length of the GET response but no body. A client that waits
+// for the body hangs until its deadline.
+BOOST_AUTO_TEST_CASE(aHeadResponseIsCompleteAfterItsHeaders)
 {
     HttpServer server =
         startServer([](ServerExchange &exchange) { exchange.respond(200, "text/plain", "body"); });
@@ -96,10 +95,9 @@
                 == ReadStatus::WatchedReady));
 }
 
-// A user would see an answer that stops in the middle and looks whole.
-// The engine dies in the middle of a chunked answer; its kernel closes the connection.
-// Cause: taking the end of the connection for the end of the answer.
-BOOST_AUTO_TEST_CASE(aStreamThatEndsEarlyIsInterruptedNotWhole)
+// An engine crashes within a chunked response and its kernel closes the connection. If that were
+// taken for the end of the response, a truncated response would look complete.
+BOOST_AUTO_TEST_CASE(aTruncatedStreamIsInterrupted)
 {
     HttpServer server = startServer([](ServerExchange &exchange) {
         exchange.closeAfterAnswer();
@@ -113,7 +111,7 @@
     BOOST_TEST((std::get<Error>(captured).kind_ == ErrorKind::Interrupted));
 }
 
-BOOST_AUTO_TEST_CASE(aRefusedConnectionSaysThatNothingWasSent)
+BOOST_AUTO_TEST_CASE(aRefusedConnectionReportsThatNothingWasSent)
 {
     const auto captured = capture([] { return HttpExchange::connect({"127.0.0.1", 1}, soon()); });
     BOOST_TEST((std::get<Error>(captured).kind_ == ErrorKind::Unavailable));
@@ -121,10 +119,9 @@
     BOOST_TEST((std::get<Error>(called).kind_ == ErrorKind::Unavailable));
 }
 
-// A user closes the page; without this an engine would go on for nobody until the answer's end.
-// The caller hangs up while the worker waits for the endpoint's next token.
-// Cause: CivetWeb tells of a lost caller only when something is written.
-BOOST_AUTO_TEST_CASE(aCallerThatHangsUpIsSeenWithoutWriting)
+// A caller disconnects while the worker waits for the endpoint's next token. CivetWeb reports this
+// only on a write, so the engine would go on generating an unwanted response.
+BOOST_AUTO_TEST_CASE(aDisconnectedCallerIsDetectedWithoutWriting)
 {
     std::atomic<bool> seen = false;
     HttpServer server = startServer([&](ServerExchange &exchange) {
@@ -148,10 +145,9 @@
     BOOST_TEST(seen.load());
 }
 
-// Any caller, without a key, could end an entry instance with one request.
-// The caller asks for an upgrade to WebSocket, or sends what is no HTTP at all.
-// Cause: CivetWeb answers these with an error page of its own, which overruns its worker's stack.
-BOOST_AUTO_TEST_CASE(requestsThatCivetWebWouldRefuseItselfDoNoHarm)
+// CivetWeb answers a WebSocket upgrade or malformed HTTP with its own error page, which overflows
+// the worker's stack. Any caller, without a key, could crash an entry instance with one request.
+BOOST_AUTO_TEST_CASE(requestsRejectedByCivetWebDoNotCrash)
 {
     HttpServer server =
         startServer([](ServerExchange &exchange) { exchange.respond(404, "text/plain", ""); });
@@ -171,10 +167,9 @@
     BOOST_TEST(httpCall(address, {}, soon()).value().status_ == 404);
 }
 
-// An operator would see every entry instance die on the first apply.
-// A handler reads a body and parses it, with buffers on its stack, on a CivetWeb worker.
-// Cause: these workers have 100 KiB of stack, which a few buffers overrun.
-BOOST_AUTO_TEST_CASE(aHandlerMayUseAsMuchStackAsAnyThread)
+// CivetWeb workers have stacks of 100 KiB, which a handler that reads and parses a body overflows
+// with a few buffers. Every entry instance would crash on the first apply.
+BOOST_AUTO_TEST_CASE(handlersHaveTheDefaultStackSize)
 {
     HttpServer server = startServer([](ServerExchange &exchange) {
         std::array<char, 1 << 20> large;
@@ -184,7 +179,7 @@
     BOOST_TEST(httpCall({"127.0.0.1", server.port()}, {}, soon()).value().body_.size() == 1U << 20);
 }
 
-BOOST_AUTO_TEST_CASE(aBodyOverTheLimitIsRefusedBeforeItIsRead)
+BOOST_AUTO_TEST_CASE(aBodyOverTheLimitIsRejectedBeforeItIsRead)
 {
     HttpServer server = startServer([](ServerExchange &exchange) {
         const auto body = capture([&] { return exchange.readBody(10, soon()); });
