--- a/libs/app/src/adminapi.cpp
+++ b/libs/app/src/adminapi.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t MaxFleetBytes = 16 << 20;
 constexpr std::int64_t ReadTimeoutMillis = 10'000;
 constexpr std::int64_t ApplyTimeoutMillis = 10'000;
-constexpr std::int64_t AskAllTimeoutMillis = 2'000;
+constexpr std::int64_t RequestAllTimeoutMillis = 2'000;
 
 nlohmann::json changesJson(const std::vector<fleet::FleetChange> &changes)
 {
@@ -193,10 +193,10 @@
         answerError(exchange, 422, std::get<Error>(parsed));
         return;
     }
-    const bool whole = body.contains("base") && body["base"].is_number_unsigned()
-                       && body.contains("apply_id") && body["apply_id"].is_string()
-                       && !body["apply_id"].get<std::string>().empty();
-    if (!whole) {
+    const bool complete = body.contains("base") && body["base"].is_number_unsigned()
+                          && body.contains("apply_id") && body["apply_id"].is_string()
+                          && !body["apply_id"].get<std::string>().empty();
+    if (!complete) {
         answerError(exchange, 400,
                     {ErrorKind::InvalidInput, "base or apply_id is missing",
                      "send the reviewed base revision and an apply_id of your own"});
@@ -240,7 +240,7 @@
     nlohmann::json answer = status_();
     if (exchange.queryValue("all") == "1") {
         nlohmann::json others = nlohmann::json::array();
-        const TimePoint deadline = BootClock::now() + millis(AskAllTimeoutMillis);
+        const TimePoint deadline = BootClock::now() + millis(RequestAllTimeoutMillis);
         for (auto &[instance, status] :
              requestFromAll(peers_, StatusTopic, nlohmann::json::object(), deadline)) {
             others.push_back(std::move(status));
@@ -254,7 +254,7 @@
 {
     std::vector<std::vector<observe::Event>> perInstance {timeline_.events()};
     if (exchange.queryValue("all") == "1") {
-        const TimePoint deadline = BootClock::now() + millis(AskAllTimeoutMillis);
+        const TimePoint deadline = BootClock::now() + millis(RequestAllTimeoutMillis);
         for (const auto &[instance, answer] :
              requestFromAll(peers_, TimelineTopic, nlohmann::json::object(), deadline)) {
             perInstance.push_back(observe::eventsFromJson(answer.value("events", "[]")));
--- a/libs/app/src/operatorverbs.cpp
+++ b/libs/app/src/operatorverbs.cpp
@@ -145,20 +145,20 @@
     BOOST_LEAF_AUTO(answer, client.call("GET", "/admin/status?all=1"));
     std::vector<std::string> behind;
     std::vector<std::string> answered;
-    const auto look = [&](const nlohmann::json &status) {
+    const auto addStatus = [&](const nlohmann::json &status) {
         answered.push_back(status.value("instance", ""));
         if (status.value("revision_followed", Revision {0}) < revision) {
             behind.push_back(status.value("instance", ""));
         }
     };
-    look(answer.body_);
+    addStatus(answer.body_);
     for (const nlohmann::json &other : answer.body_.value("others", nlohmann::json::array())) {
-        look(other);
+        addStatus(other);
     }
     for (const nlohmann::json &member : answer.body_.value("members", nlohmann::json::array())) {
         const std::string name = member.value("instance", "");
-        const bool silent = std::find(answered.begin(), answered.end(), name) == answered.end();
-        if (member.value("alive", false) && silent) {
+        const bool unanswered = std::find(answered.begin(), answered.end(), name) == answered.end();
+        if (member.value("alive", false) && unanswered) {
             behind.push_back(name);
         }
     }
--- a/libs/app/src/peerlinks.cpp
+++ b/libs/app/src/peerlinks.cpp
@@ -60,9 +60,9 @@
         return records;
     }
     for (const nlohmann::json &entry : *list) {
-        const bool whole = entry.is_array() && entry.size() == 2 && entry[0].is_number_unsigned()
-                           && entry[1].is_string();
-        if (whole) {
+        const bool complete = entry.is_array() && entry.size() == 2 && entry[0].is_number_unsigned()
+                              && entry[1].is_string();
+        if (complete) {
             records.push_back({entry[0].get<LogOffset>(), entry[1].get<std::string>()});
         }
     }
--- a/libs/async/include/almondridge/async/httpclient.h
+++ b/libs/async/include/almondridge/async/httpclient.h
@@ -114,12 +114,12 @@
     void attach(Exchange &exchange);
     void onInput(ExchangeId id);
     void onClosed(ExchangeId id, CloseCause cause);
-    bool skipMismatchedResponse(Exchange &exchange);
+    bool mustSkipResponse(Exchange &exchange);
     void finish(ExchangeId id);
     void failExchange(ExchangeId id, ExchangeFailure failure);
     void keep(const std::string &peer, std::shared_ptr<Connection> connection, TimePoint until);
     void dropKeptConnection(KeptList::iterator kept);
-    void countDown(const std::string &peer);
+    void decrementConnections(const std::string &peer);
 
     EventLoop &loop_;
     TcpTimeouts tcpTimeouts_;
--- a/libs/async/src/httpclient.cpp
+++ b/libs/async/src/httpclient.cpp
@@ -65,7 +65,7 @@
     ResponseParser parser_;
     std::shared_ptr<Connection> connection_ {};
     TimePoint keepUntil_ {};
-    bool headTold_ = false;
+    bool headReported_ = false;
     bool skipping_ = false;
     bool paused_ = false;
 };
@@ -121,7 +121,7 @@
     });
     connection->onClosed([this, id, peer, done](CloseCause) {
         opening_.erase(id);
-        countDown(peer);
+        decrementConnections(peer);
         done(false);
     });
 }
@@ -140,8 +140,8 @@
     for (auto kept = kept_.end(); kept != kept_.begin();) {
         --kept;
         if (kept->until_ <= now || !kept->connection_->isOpen()) {
-            const auto lapsed = kept++;
-            dropKeptConnection(lapsed);
+            const auto expired = kept++;
+            dropKeptConnection(expired);
             continue;
         }
         if (kept->peer_ == peer) {
@@ -180,12 +180,12 @@
 void HttpClient::dropKeptConnection(KeptList::iterator kept)
 {
     const std::shared_ptr<Connection> connection = kept->connection_;
-    countDown(kept->peer_);
+    decrementConnections(kept->peer_);
     kept_.erase(kept);
     connection->close();
 }
 
-void HttpClient::countDown(const std::string &peer)
+void HttpClient::decrementConnections(const std::string &peer)
 {
     const auto found = connections_.find(peer);
     if (found != connections_.end() && --found->second == 0) {
@@ -209,8 +209,8 @@
     }
 }
 
-/** Returns true if the response head has another request id; that response is then discarded. */
-bool HttpClient::skipMismatchedResponse(Exchange &exchange)
+/** Whether to discard the response: it is interim (1xx) or has the id of another request. */
+bool HttpClient::mustSkipResponse(Exchange &exchange)
 {
     const std::string_view named =
         net::headerValue(exchange.parser_.head().headers_, "X-Request-Id");
@@ -232,14 +232,14 @@
     for (;;) {
         const ParseStatus status = exchange->parser_.feed(exchange->connection_->input());
         if (status != ParseStatus::Done && status != ParseStatus::NeedMore) {
-            failExchange(id, exchange->headTold_ ? ExchangeFailure::Truncated
-                                                 : ExchangeFailure::Garbled);
+            failExchange(id, exchange->headReported_ ? ExchangeFailure::Truncated
+                                                     : ExchangeFailure::Garbled);
             return;
         }
-        if (exchange->parser_.headDone() && !exchange->headTold_ && !exchange->skipping_) {
-            exchange->skipping_ = skipMismatchedResponse(*exchange);
+        if (exchange->parser_.headDone() && !exchange->headReported_ && !exchange->skipping_) {
+            exchange->skipping_ = mustSkipResponse(*exchange);
             if (!exchange->skipping_) {
-                exchange->headTold_ = true;
+                exchange->headReported_ = true;
                 exchange->keepUntil_ =
                     keepUntil(exchange->parser_.head().headers_, BootClock::now());
                 exchange->events_.onHead_(exchange->parser_.head());
@@ -282,7 +282,7 @@
         keep(peer, exchange->connection_, exchange->keepUntil_);
     } else {
         exchange->connection_->close();
-        countDown(peer);
+        decrementConnections(peer);
     }
     exchange->events_.onEnd_();
 }
@@ -298,7 +298,7 @@
         failExchange(id, ExchangeFailure::NotSent);
         return;
     }
-    if (!exchange->headTold_) {
+    if (!exchange->headReported_) {
         failExchange(id, ExchangeFailure::Unanswered);
         return;
     }
@@ -325,7 +325,7 @@
     const std::shared_ptr<Exchange> exchange = found->second;
     exchanges_.erase(found);
     exchange->connection_->close();
-    countDown(exchange->request_.peer_);
+    decrementConnections(exchange->request_.peer_);
 }
 
 void HttpClient::pause(ExchangeId id)
--- a/libs/async/src/httpserver.cpp
+++ b/libs/async/src/httpserver.cpp
@@ -67,7 +67,7 @@
     bool keepAlive_ = true;
     bool http10_ = false;
     bool chunked_ = false;
-    bool continued_ = false; ///< "100 Continue" was sent.
+    bool expectHandled_ = false; ///< The Expect header of the request was handled.
 };
 
 HttpServer::HttpServer(EventLoop &loop, ServerEvents events)
@@ -165,7 +165,7 @@
     if (peer.parser_ == nullptr) {
         peer.parser_ = std::make_unique<RequestParser>(limits_.message_);
         peer.startedAt_ = BootClock::now();
-        peer.continued_ = false;
+        peer.expectHandled_ = false;
         peer.deadline_.startAt(peer.startedAt_ + millis(limits_.headerTimeoutMillis_),
                                [this, number = peer.number_] { onDeadline(number); });
     }
@@ -178,8 +178,8 @@
         rejectMessage(peer, status);
         return;
     }
-    if (peer.parser_->headDone() && !peer.continued_) {
-        peer.continued_ = true;
+    if (peer.parser_->headDone() && !peer.expectHandled_) {
+        peer.expectHandled_ = true;
         if (net::equalWithoutCase(net::headerValue(peer.parser_->head().headers_, "Expect"),
                                   "100-continue")) {
             peer.connection_->write("HTTP/1.1 100 Continue\r\n\r\n");
