--- a/benchmarks/mix/routed.cpp
+++ b/benchmarks/mix/routed.cpp
@@ -207,7 +207,7 @@
             for (int entry = 0; entry < static_cast<int>(entries_.size()); ++entry) {
                 if (world_.reachable(entry / perDomain, domain) && entry / perDomain != domain) {
                     entries_[entry].router_.onDomainCapacity(domainId(domain), spare,
-                                                         now + spanOf(RoomValidSeconds));
+                                                             now + spanOf(RoomValidSeconds));
                 }
             }
         }
